--- a/mallowlug/compose.py
+++ b/mallowlug/compose.py
@@ -10,19 +10,19 @@
 from typing import TYPE_CHECKING, Any
 
 from mallowlug import config
-from mallowlug.core.binds import Binds
 from mallowlug.core.clock import clock_of
 from mallowlug.core.descriptors import Shares, shares_of
-from mallowlug.core.desk import Desk
-from mallowlug.core.figures import Figures
+from mallowlug.core.disabled_hosts import Outs
+from mallowlug.core.handover import Binds
 from mallowlug.core.journal import Journal
 from mallowlug.core.listings import Listings, listed_of
+from mallowlug.core.metrics import Figures
 from mallowlug.core.model import HostList
-from mallowlug.core.outs import Outs
+from mallowlug.core.operator_interface import Desk
 from mallowlug.core.ports import Intake, Plugs
 from mallowlug.core.reasons import Reasons
 from mallowlug.core.relay import Driver
-from mallowlug.core.staff_room import staff_room
+from mallowlug.core.reserved_space import staff_room
 from mallowlug.directory.discovery import FIRST_S, Watch
 from mallowlug.ends.notices import Notices
 from mallowlug.fronts.resp2 import Server
@@ -33,7 +33,7 @@
 if TYPE_CHECKING:
     from mallowlug.console.server import Console
     from mallowlug.fleet.agent import Agent
-    from mallowlug.upgrade.shift import Shift
+    from mallowlug.upgrade.coordinator import Shift
 
 LOG = logging.getLogger("mallowlug")
 VERSION = "0.2.0"  # of the program, as the other relays of a fleet hear it
@@ -185,7 +185,7 @@
         if cfg.console is None:
             return None
         from mallowlug.console.server import Console  # noqa: PLC0415
-        from mallowlug.upgrade.shift import Shift  # noqa: PLC0415
+        from mallowlug.upgrade.coordinator import Shift  # noqa: PLC0415
 
         self._shift = Shift(
             cfg.state, self._system.disk, self, self._extras.durable,
--- a/mallowlug/core/outs.py
+++ b/mallowlug/core/disabled_hosts.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from mallowlug.core.staff_room import ROOMY
+from mallowlug.core.reserved_space import ROOMY
 from mallowlug.system import Disk, swap
 
 LOG = logging.getLogger(__name__)
--- a/mallowlug/core/desk.py
+++ b/mallowlug/core/operator_interface.py
@@ -4,8 +4,8 @@
 
 from typing import Protocol
 
-from mallowlug.core.figures import Figures, Now
-from mallowlug.core.outs import Outs
+from mallowlug.core.disabled_hosts import Outs
+from mallowlug.core.metrics import Figures, Now
 from mallowlug.core.relay import Driver
 
 NOTHING = Now(0, 0, 0, 0)
--- a/mallowlug/core/relay.py
+++ b/mallowlug/core/relay.py
@@ -14,11 +14,12 @@
 from itertools import islice
 from typing import Any
 
-from mallowlug.core.binds import Binds, Learnt
 from mallowlug.core.clock import Clock
-from mallowlug.core.figures import Figures, Now
+from mallowlug.core.disabled_hosts import Outs
+from mallowlug.core.handover import Binds, Learnt
 from mallowlug.core.journal import Attempt, DueCare, Journal, JournalFullError, Recovered
 from mallowlug.core.listings import Listings
+from mallowlug.core.metrics import Figures, Now
 from mallowlug.core.model import (
     Address,
     Answer,
@@ -32,7 +33,6 @@
     Taken,
     Told,
 )
-from mallowlug.core.outs import Outs
 from mallowlug.core.ports import Plugs
 from mallowlug.core.reasons import UNKNOWN_END, DoorRefusal, Event
 from mossfront import Relay as Module
--- a/mallowlug/fleet/agent.py
+++ b/mallowlug/fleet/agent.py
@@ -14,7 +14,7 @@
 
 from mallowlug.core.model import Address, pair_of
 from mallowlug.fleet import records as rec
-from mallowlug.fleet.parts import Parts
+from mallowlug.fleet.quota_shares import Parts
 from mallowlug.fleet.records import Rumour
 from mallowlug.fleet.swim import Swim, Times
 from mallowlug.fleet.view import Event, shown
--- a/mallowlug/rig/judge/life.py
+++ b/mallowlug/rig/judge/life.py
@@ -18,7 +18,7 @@
 from typing import Literal
 
 from mallowlug.rig.judge import record as rec
-from mallowlug.rig.judge.books import Books
+from mallowlug.rig.judge.ledger import Books
 
 Effect = Literal["safe", "keyed", "unsafe"]
 Step = Literal["taken", "try", "refused", "failed", "delivered", "dead", "bounced", "dies"]
--- a/mallowlug/rig/judge/returns.py
+++ b/mallowlug/rig/judge/returns.py
@@ -6,7 +6,7 @@
 
 from mallowlug.rig.judge import cold
 from mallowlug.rig.judge import record as rec
-from mallowlug.rig.judge.books import Books
+from mallowlug.rig.judge.ledger import Books
 from mallowlug.rig.judge.rule import Rule
 
 
--- a/mallowlug/rig/judge/rule.py
+++ b/mallowlug/rig/judge/rule.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 
 from mallowlug.rig.judge import record as rec
-from mallowlug.rig.judge.books import Books
+from mallowlug.rig.judge.ledger import Books
 
 
 @dataclass(frozen=True, slots=True)
--- a/mallowlug/rig/judge/rules.py
+++ b/mallowlug/rig/judge/rules.py
@@ -12,7 +12,7 @@
 from typing import Literal
 
 from mallowlug.rig.judge import record as rec
-from mallowlug.rig.judge.books import Attempt, Books, Message
+from mallowlug.rig.judge.ledger import Attempt, Books, Message
 from mallowlug.rig.judge.returns import Returns
 from mallowlug.rig.judge.rule import Breach, Rule
 from mallowlug.rig.judge.untried import Untried
--- a/mallowlug/rig/judge/untried.py
+++ b/mallowlug/rig/judge/untried.py
@@ -5,7 +5,7 @@
 from collections import defaultdict
 
 from mallowlug.rig.judge import record as rec
-from mallowlug.rig.judge.books import Books, Message
+from mallowlug.rig.judge.ledger import Books, Message
 from mallowlug.rig.judge.rule import Rule
 
 FOUND = 20  # messages that a run's restarts have to find before a share of them says anything
--- a/mallowlug/upgrade/shift.py
+++ b/mallowlug/upgrade/coordinator.py
@@ -11,13 +11,13 @@
 from pathlib import Path
 from typing import Protocol
 
-from mallowlug.core.binds import Binds
+from mallowlug.core.handover import Binds
 from mallowlug.core.model import Answer, Handed, Refused
 from mallowlug.core.ports import Intake
 from mallowlug.core.relay import Driver
-from mallowlug.core.staff_room import ROOMY
+from mallowlug.core.reserved_space import ROOMY
 from mallowlug.system import APPEND, Disk
-from mallowlug.upgrade import binds as told
+from mallowlug.upgrade import handover_file
 from mallowlug.upgrade.locks import Succession
 from mallowlug.upgrade.spool import Adoption, Door
 
@@ -116,13 +116,13 @@
         """
         self._adoption.tidy()
         self._heard = self._count_hups()
-        binds = told.take(self._folder, self._disk)
+        binds = handover_file.take(self._folder, self._disk)
         if self.followed or self.door is not None:
             self._staff.hear()
             self._staff.catch_up(binds)
         driver = self._staff.take_up(binds or self._kept)
         self._kept = None
-        told.drop(self._folder, self._disk)
+        handover_file.drop(self._folder, self._disk)
         self._adoption.look(driver)
         loop = asyncio.get_running_loop()
         self._staff.serve_by(Beside(driver, self._adoption))
@@ -170,7 +170,7 @@
         self._adoption.look(driver)
         self._share()  # the last moment: from here to the end nothing else runs in this process
         binds = self._staff.binds()
-        if not (driver.settled() and told.keep(self._folder, self._disk, binds, self._most_binds)):
+        if not (driver.settled() and handover_file.keep(self._folder, self._disk, binds, self._most_binds)):
             LOG.warning("upgrade: the disk is full or failing; serving on")
             driver.pause(False)
             await asyncio.sleep(REST_S)
--- a/mallowlug/upgrade/binds.py
+++ b/mallowlug/upgrade/handover_file.py
@@ -12,8 +12,8 @@
 
 import msgspec
 
-from mallowlug.core.binds import Binds
-from mallowlug.core.staff_room import ROOMY
+from mallowlug.core.handover import Binds
+from mallowlug.core.reserved_space import ROOMY
 from mallowlug.system import Disk, swap
 
 LOG = logging.getLogger(__name__)
--- a/mossfront/interface.py
+++ b/mossfront/interface.py
@@ -1,7 +1,7 @@
 """The vocabulary of the decision module: settings, events, actions and outcomes.
 
 Times are whole microseconds and carry the suffix ``_us``. Everything here is a frozen value; a caller
-builds settings and events, hands them to ``mossfront.brain.Relay`` and carries out the actions it returns.
+builds settings and events, hands them to ``mossfront.engine.Relay`` and carries out the actions it returns.
 """
 
 from __future__ import annotations
--- a/mossfront/outages.py
+++ b/mossfront/outages.py
@@ -1,6 +1,6 @@
 """What failures and returns tell of endpoints: suspicions, doubts, credit, and care over a restart.
 
-The part of the policy that feeds ``mossfront/slow_start.py``; ``mossfront/brain.py`` decides what is sent.
+The part of the policy that feeds ``mossfront/slow_start.py``; ``mossfront/engine.py`` decides what is sent.
 """
 
 from __future__ import annotations
@@ -42,7 +42,7 @@
 
 
 class Outages:
-    """What a relay makes of failures and returns: the base of ``mossfront.brain.Relay``, which sets these."""
+    """What a relay makes of failures and returns: the base of ``engine.Relay``, which sets these."""
 
     set: Settings
     rng: random.Random
--- a/mossfront/drill.py
+++ b/mossfront/simulator_adapter.py
@@ -10,7 +10,7 @@
 from typing import IO
 
 from mossfront import interface as api
-from mossfront.brain import Relay
+from mossfront.engine import Relay
 from mossfront.settings import (
     BadLineError,
     Fields,
--- a/mossfront/state.py
+++ b/mossfront/state.py
@@ -1,4 +1,4 @@
-"""What a relay remembers: plain records that ``mossfront/brain.py`` fills and judges; it decides nothing."""
+"""What a relay remembers: plain records that ``mossfront/engine.py`` fills and judges; it decides nothing."""
 
 from __future__ import annotations
 
--- a/tests/members/test_parts.py
+++ b/tests/members/test_parts.py
@@ -8,7 +8,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from mallowlug.fleet.parts import Parts
+from mallowlug.fleet.quota_shares import Parts
 
 SETTLE = 10
 
--- a/tests/sim/test_guards.py
+++ b/tests/sim/test_guards.py
@@ -18,7 +18,7 @@
 from mallowlug.rig.sim.guards import MOST_TOLD, Watch
 from mallowlug.rig.sim.sweep import played
 from mallowlug.rig.world import scenario
-from mossfront import brain
+from mossfront import engine
 from mossfront import interface as api
 from tests.sim.worlds import Patch, planted
 from tests.support import KEYED, SAFE, SECOND, TURN, UNSAFE, arrival, ended, entry, roster, settings
@@ -32,12 +32,12 @@
     """The module hears something else of an event, or (None) nothing of it."""
 
     def patch(monkey: pytest.MonkeyPatch) -> None:
-        real = brain.Relay.step
+        real = engine.Relay.step
 
-        def step(self: brain.Relay, now_us: int, events: Iterable[api.Event]) -> list[api.Action]:
+        def step(self: engine.Relay, now_us: int, events: Iterable[api.Event]) -> list[api.Action]:
             return real(self, now_us, [told for event in events if (told := change(event)) is not None])
 
-        monkey.setattr(brain.Relay, "step", step)
+        monkey.setattr(engine.Relay, "step", step)
 
     return patch
 
@@ -63,12 +63,12 @@
 
 def turns_for_all(monkey: pytest.MonkeyPatch) -> None:
     """Every message has its turn."""
-    monkey.setattr(brain.Relay, "_has_turn", lambda self, message: True)
+    monkey.setattr(engine.Relay, "_has_turn", lambda self, message: True)
 
 
 def no_ends(monkey: pytest.MonkeyPatch) -> None:
     """What has no time left is not given up."""
-    monkey.setattr(brain.Relay, "_expire", lambda self: None)
+    monkey.setattr(engine.Relay, "_expire", lambda self: None)
 
 
 def nothing_runs(monkey: pytest.MonkeyPatch) -> None:
--- a/tests/sim/test_hours.py
+++ b/tests/sim/test_hours.py
@@ -9,7 +9,7 @@
 from mallowlug.core import relay
 from mallowlug.rig.sim import hours
 from mallowlug.rig.world.scenario import Scenario
-from mossfront import brain
+from mossfront import engine
 
 HOUR = Scenario.model_validate(
     {
@@ -41,7 +41,7 @@
 
 def test_a_leak_is_found_by_its_type(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     """Hosts that are gone are never forgotten."""
-    monkeypatch.setattr(brain.Relay, "_forget", lambda self: None)
+    monkeypatch.setattr(engine.Relay, "_forget", lambda self: None)
     problems = hours.played(HOUR, 4, tmp_path, lull_s=45.0).problems
     assert problems
     assert "Tally" in problems[-1]
--- a/tests/sim/test_upgrades.py
+++ b/tests/sim/test_upgrades.py
@@ -9,9 +9,9 @@
 import pytest
 
 from mallowlug.compose import Node
-from mallowlug.core.outs import Outs
+from mallowlug.core.disabled_hosts import Outs
 from mallowlug.core.relay import Driver
-from mallowlug.core.staff_room import SMALL as SMALL_ROOM
+from mallowlug.core.reserved_space import SMALL as SMALL_ROOM
 from mallowlug.rig.judge import record as rec
 from mallowlug.rig.sim import exhaust
 from mallowlug.rig.sim.disk import SimDisk
@@ -21,7 +21,7 @@
 from mallowlug.rig.world import scenario
 from mallowlug.rig.world.scenario import EventTable, Scenario
 from mallowlug.upgrade import spool
-from mallowlug.upgrade.shift import Shift
+from mallowlug.upgrade.coordinator import Shift
 from tests.sim.worlds import Patch, judged, planted
 from tests.world import ROOT
 
--- a/tests/sim/test_vast.py
+++ b/tests/sim/test_vast.py
@@ -6,7 +6,7 @@
 
 from mallowlug.rig.sim import sweep
 from mallowlug.rig.world import scenario
-from mossfront.brain import Relay
+from mossfront.engine import Relay
 from mossfront.slow_start import Budget
 from tests.world import ROOT
 
--- a/tests/test_backlog.py
+++ b/tests/test_backlog.py
@@ -12,7 +12,7 @@
 
 from mossfront import Relay
 from mossfront import interface as api
-from mossfront.brain import RISKS, SICK_SHARE
+from mossfront.engine import RISKS, SICK_SHARE
 from mossfront.state import Call, Destination, Message
 from tests.support import KEYED, SAFE, SECOND, SETTINGS, TURN, UNSAFE, ZONED, entry, roster, sends, settings
 
@@ -107,7 +107,7 @@
 def test_a_wrong_bend_is_noticed(monkeypatch: pytest.MonkeyPatch) -> None:
     """The comparison can fail: without the bends only a lane's ends are looked at."""
     told = settings(halves=True, slots=2, hold_cap=400)
-    monkeypatch.setattr("mossfront.brain.bends", lambda *_args: ())
+    monkeypatch.setattr("mossfront.engine.bends", lambda *_args: ())
     pairs = ((Relay(told, seed), Plain(told, seed), seed) for seed in range(6))
     assert any(played(one, seed, 0.85) != played(other, seed, 0.85) for one, other, seed in pairs)
 
--- a/tests/test_by_hand.py
+++ b/tests/test_by_hand.py
@@ -7,11 +7,11 @@
 
 import pytest
 
+from mallowlug.core.disabled_hosts import Outs
 from mallowlug.core.model import Told
-from mallowlug.core.outs import Outs
 from mallowlug.system import POSIX, PosixDisk
 from mossfront import interface as api
-from mossfront.brain import Relay
+from mossfront.engine import Relay
 from tests.calls import Calls, serving
 from tests.support import SAFE, SECOND, arrival, ended, entry, roster, sends, settings
 from tests.world import World, called, silent, soon
--- a/tests/test_cost.py
+++ b/tests/test_cost.py
@@ -17,7 +17,7 @@
 from mallowlug.rig.judge import record as rec
 from mallowlug.rig.sim.ground import simulate
 from mallowlug.rig.world import scenario
-from mossfront.brain import Relay
+from mossfront.engine import Relay
 from tests.world import ROOT
 
 ROOMS = ("mossfront", "mallowlug/core", "mallowlug/fronts", "mallowlug/partners", "mallowlug/net")
--- a/tests/test_deadlines.py
+++ b/tests/test_deadlines.py
@@ -11,11 +11,11 @@
 import pytest
 
 from mallowlug.core.clock import Clock
-from mallowlug.core.figures import Figures
+from mallowlug.core.disabled_hosts import Outs
 from mallowlug.core.journal import Journal
 from mallowlug.core.listings import Listings
+from mallowlug.core.metrics import Figures
 from mallowlug.core.model import Call, Handed, HostList, Listed, Notice, Part, Told
-from mallowlug.core.outs import Outs
 from mallowlug.core.ports import Plugs
 from mallowlug.core.relay import NEAR_US, Driver
 from mallowlug.system import POSIX
--- a/tests/test_figures.py
+++ b/tests/test_figures.py
@@ -7,7 +7,7 @@
 import pytest
 from prometheus_client.parser import text_string_to_metric_families
 
-from mallowlug.core.figures import Figures, Now
+from mallowlug.core.metrics import Figures, Now
 from tests.world import Reply, Request, World, called, delivered, enqueue, packed, silent, soon
 
 Samples = dict[tuple[str, str, str], float]
--- a/tests/test_former_life.py
+++ b/tests/test_former_life.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from mossfront import interface as api
-from mossfront.brain import Relay
+from mossfront.engine import Relay
 from tests.support import SECOND, TURN, UNSAFE, ZONED, ended, entry, roster, sends, settings
 
 
--- a/tests/test_group.py
+++ b/tests/test_group.py
@@ -7,7 +7,7 @@
 import pytest
 
 from mossfront import interface as api
-from mossfront.brain import Relay
+from mossfront.engine import Relay
 from mossfront.state import Destination, Endpoint
 from tests.checker import Checker
 from tests.fleet import Fleet, Host, Tallies
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -8,7 +8,7 @@
 from mallowlug.partners.http_calls import Hosts
 from mallowlug.system import POSIX
 from mossfront import interface as api
-from mossfront.brain import FORGET_US, Relay
+from mossfront.engine import FORGET_US, Relay
 from tests.support import SAFE, SECOND, entry, roster, sends, settings
 
 
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -18,7 +18,7 @@
         ("mallowlug/core/journal.py", "from mallowlug.fronts import resp2"),
         ("mallowlug/fronts/resp2.py", "from mallowlug.partners import http_calls"),
         ("mallowlug/net/http.py", "from mallowlug import compose"),
-        ("mossfront/state.py", "from mossfront import drill"),
+        ("mossfront/state.py", "from mossfront import simulator_adapter"),
         ("mallowlug/rig/judge/rules.py", "from mallowlug.rig.world import hosts"),
         ("mallowlug/rig/world/hosts.py", "from mallowlug.core import journal"),
         ("mallowlug/core/relay.py", "import mallowlug.rig.judge.record"),
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -11,11 +11,11 @@
 from tests.support import SAFE, settings
 
 ROOT = Path(__file__).resolve().parent.parent
-BRAIN = (ROOT / "mossfront" / "brain.py").read_text(encoding="utf-8")
+ENGINE = (ROOT / "mossfront" / "engine.py").read_text(encoding="utf-8")
 
 
 def test_the_module_can_be_read_whole() -> None:
-    assert sum(1 for line in BRAIN.splitlines() if line.strip()) < 1200
+    assert sum(1 for line in ENGINE.splitlines() if line.strip()) < 1200
 
 
 def test_no_line_is_too_wide() -> None:
@@ -25,7 +25,7 @@
 
 
 def test_the_interface_is_named_at_the_modules_head() -> None:
-    assert "mossfront/interface.py" in BRAIN.splitlines()[0] + BRAIN.splitlines()[1]
+    assert "mossfront/interface.py" in ENGINE.splitlines()[0] + ENGINE.splitlines()[1]
 
 
 @pytest.mark.parametrize(
--- a/tests/test_listings.py
+++ b/tests/test_listings.py
@@ -12,17 +12,17 @@
 from hypothesis import strategies as st
 
 from mallowlug.core.clock import Clock
-from mallowlug.core.figures import Figures
+from mallowlug.core.disabled_hosts import Outs
 from mallowlug.core.journal import DueCare, Journal
 from mallowlug.core.listings import Listings
+from mallowlug.core.metrics import Figures
 from mallowlug.core.model import HostList, Listed
-from mallowlug.core.outs import Outs
 from mallowlug.core.ports import Plugs
 from mallowlug.core.relay import Driver
 from mallowlug.directory.discovery import SLICE, slices
 from mallowlug.system import POSIX
 from mossfront import interface as api
-from mossfront.brain import Relay
+from mossfront.engine import Relay
 from tests.support import SAFE, SECOND, entry, roster, sends, settings
 
 KIND = api.RosterKind
--- a/tests/test_returns.py
+++ b/tests/test_returns.py
@@ -12,7 +12,7 @@
 from mallowlug.rig.judge import cold
 from mossfront import Relay
 from mossfront import interface as api
-from mossfront.brain import FURTHER_WEIGHT
+from mossfront.engine import FURTHER_WEIGHT
 from tests.fleet import Fleet, Host
 from tests.support import SAFE, SECOND, arrival, entry, roster, sends
 from tests.support import settings as usual
--- a/tests/test_sequences.py
+++ b/tests/test_sequences.py
@@ -11,7 +11,7 @@
 from hypothesis import strategies as st
 
 from mossfront import interface as api
-from mossfront.brain import Relay
+from mossfront.engine import Relay
 from tests.checker import Checker
 from tests.support import KEYED, SAFE, SECOND, TURN, UNSAFE, ZONED, arrival, entry, roster, sends, settings
 
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -14,7 +14,7 @@
 from mallowlug.core.journal import MOST_RULES, Journal
 from mallowlug.system import POSIX
 from mossfront import interface as api
-from mossfront.brain import Relay
+from mossfront.engine import Relay
 from tests.support import KEYED, SAFE, SECOND, arrival, ended, entry, roster, sends, settings
 from tests.world import CLASSES, TIMES, World, called, silent, soon
 
--- a/tests/test_drill.py
+++ b/tests/test_simulator_adapter.py
@@ -41,7 +41,7 @@
 def drill(text: str) -> subprocess.CompletedProcess[str]:
     """Run the adapter on a whole conversation."""
     return subprocess.run(
-        [sys.executable, "-m", "mossfront.drill"],
+        [sys.executable, "-m", "mossfront.simulator_adapter"],
         input=text,
         capture_output=True,
         text=True,
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -7,15 +7,15 @@
 
 import pytest
 
-from mallowlug.core.binds import Binds, Learnt
+from mallowlug.core.disabled_hosts import Outs
+from mallowlug.core.handover import Binds, Learnt
 from mallowlug.core.listings import Listings
 from mallowlug.core.model import HostList, Listed
-from mallowlug.core.outs import Outs
-from mallowlug.core.staff_room import ROOMY, SMALL, staff_room
+from mallowlug.core.reserved_space import ROOMY, SMALL, staff_room
 from mallowlug.fleet import records
 from mallowlug.operator.model import OperatorFile
 from mallowlug.system import POSIX
-from mallowlug.upgrade import binds as told
+from mallowlug.upgrade import handover_file
 from mossfront import Relay
 from mossfront import interface as api
 from tests.support import SAFE, arrival, roster, sends, settings
@@ -61,9 +61,9 @@
 @pytest.mark.parametrize("count", [MANY, MANY + 1])
 def test_a_successor_is_told_of_so_many_hosts(count: int, tmp_path: Path) -> None:
     binds = handed_over(HOSTS[:count])
-    assert told.keep(tmp_path, POSIX.disk, binds)
-    assert (tmp_path / told.FILE).stat().st_size <= ROOMY.binds
-    kept = told.take(tmp_path, POSIX.disk)
+    assert handover_file.keep(tmp_path, POSIX.disk, binds)
+    assert (tmp_path / handover_file.FILE).stat().st_size <= ROOMY.binds
+    kept = handover_file.take(tmp_path, POSIX.disk)
     assert kept is not None
     assert (kept.seq, len(kept.rows), len(kept.learned)) == (41, count, count)
 
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -16,9 +16,9 @@
 import pytest
 
 from mallowlug import config
-from mallowlug.core.binds import Binds
+from mallowlug.core.handover import Binds
 from mallowlug.system import POSIX
-from mallowlug.upgrade import binds as told
+from mallowlug.upgrade import handover_file
 from tests.test_upgrade import Process, beside, served, until_ready
 from tests.world import CLASSES, TIMES, Client, World, called, silent, soon
 
@@ -236,9 +236,13 @@
         dest: [[rng.randbytes(512).hex(), "127.0.0.1", 80, "a", "k", "ready", 1.0, False]]
         for dest in range(1000)
     }
-    assert told.keep(tmp_path, POSIX.disk, Binds(seq=7, rows=rows, config="x" * 9000, discovery="a:1"))
-    found = told.take(tmp_path, POSIX.disk)
+    assert handover_file.keep(
+        tmp_path, POSIX.disk, Binds(seq=7, rows=rows, config="x" * 9000, discovery="a:1")
+    )
+    found = handover_file.take(tmp_path, POSIX.disk)
     assert found is not None and (found.config, found.rows, found.seq) == ("x" * 9000, {}, -1)
-    assert told.keep(tmp_path, POSIX.disk, Binds(waits={"h": 5}, config=rng.randbytes(200_000).hex()))
-    found = told.take(tmp_path, POSIX.disk)
+    assert handover_file.keep(
+        tmp_path, POSIX.disk, Binds(waits={"h": 5}, config=rng.randbytes(200_000).hex())
+    )
+    found = handover_file.take(tmp_path, POSIX.disk)
     assert found is not None and (found.config, found.waits) == ("", {"h": 5})
--- a/tests/test_told.py
+++ b/tests/test_told.py
@@ -11,7 +11,7 @@
 from mallowlug.directory.discovery import FIRST_S, QUIET_S
 from mossfront import Relay
 from mossfront import interface as api
-from mossfront.brain import LISTED_US
+from mossfront.engine import LISTED_US
 from tests.support import SECOND, entry, roster, settings
 from tests.world import Request, World, delivered
 
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -14,10 +14,10 @@
 
 import pytest
 
-from mallowlug.core.binds import Binds
-from mallowlug.core.staff_room import ROOMY
+from mallowlug.core.handover import Binds
+from mallowlug.core.reserved_space import ROOMY
 from mallowlug.system import POSIX, PosixDisk
-from mallowlug.upgrade import binds as told
+from mallowlug.upgrade import handover_file
 from mallowlug.upgrade.locks import Lock, Succession
 from mallowlug.upgrade.spool import Adoption
 from tests.world import ROOT, Client, World, called, delivered, free_port, silent, soon
@@ -442,18 +442,18 @@
         for dest in range(1000)
     }
     many = Binds({"h1": 5}, [("h1", 5, 1.0, 2.0, 3.0, -1, 0)], 7, rows, [f"id-{n}" for n in range(512)])
-    assert told.keep(tmp_path, POSIX.disk, many)
+    assert handover_file.keep(tmp_path, POSIX.disk, many)
     assert (tmp_path / "binds").stat().st_size <= ROOMY.binds
-    kept = told.take(tmp_path, POSIX.disk)
+    kept = handover_file.take(tmp_path, POSIX.disk)
     assert kept is not None
     assert (kept.waits, kept.seq, kept.rows, kept.over) == ({"h1": 5}, -1, {}, [])
-    bomb = zlib.compress(b" " * (told.MOST_PLAIN + 1))
+    bomb = zlib.compress(b" " * (handover_file.MOST_PLAIN + 1))
     for data in (b"", b"{", b"[]", b'{"waits": 5}', b"\xff" * 100, zlib.compress(b"{}")[:-3], bomb):
         (tmp_path / "binds").write_bytes(data)
-        assert told.take(tmp_path, POSIX.disk) is None
-    told.drop(tmp_path, POSIX.disk)
-    told.drop(tmp_path, POSIX.disk)
-    assert told.take(tmp_path, POSIX.disk) is None
+        assert handover_file.take(tmp_path, POSIX.disk) is None
+    handover_file.drop(tmp_path, POSIX.disk)
+    handover_file.drop(tmp_path, POSIX.disk)
+    assert handover_file.take(tmp_path, POSIX.disk) is None
 
 
 async def test_a_console_that_is_busy_does_not_stop_an_upgrade(world: World) -> None:
