--- a/mallowlug/compose.py
+++ b/mallowlug/compose.py
@@ -98,7 +98,7 @@
     counts as told at once. So an ask that hangs must not outlast its return by a drain's grace.
     """
     least_s = max(LEAST_ANSWER_S, cfg.settings.drain_grace_us / 4e6)
-    return min(FIRST_S, least_s) if cfg.settings.pushed else FIRST_S
+    return min(FIRST_S, least_s) if cfg.settings.list_is_pushed else FIRST_S
 
 
 def list_of(binds: Binds | None, known: HostList) -> HostList:
@@ -293,8 +293,8 @@
 
     def _within(self, settings: Settings) -> Settings:
         """Settings with the group as it was counted, where it is, and no more calls out than descriptors."""
-        slots, size = min(settings.slots, self._shares.calls), self._size or settings.group_size
-        return replace(settings, slots=slots, group_size=size)
+        slots, size = min(settings.max_calls, self._shares.calls), self._size or settings.group_size
+        return replace(settings, max_calls=slots, group_size=size)
 
     def retire(self) -> None:
         """Close the journal and let go of everything that is out."""
--- a/mallowlug/config.py
+++ b/mallowlug/config.py
@@ -256,7 +256,7 @@
             state=Path(environ["ROUTER_STATE"]),
             seed=seed_of(raw.get("seed", 0)),
             # On sockets the directory answers only when asked, whatever the simulator's site says.
-            settings=replace(settings_of(pairs), must_ask=True),
+            settings=replace(settings_of(pairs), must_subscribe=True),
             connect_timeout_us=whole(pairs, "allowed.connect_timeout_us", 1_000_000),
             disk_bytes=int(float(limits.get("disk_mb", 3)) * 1_000_000),
             memory_bytes=int(float(limits.get("memory_mb", 64)) * 1_000_000),
--- a/mallowlug/core/journal.py
+++ b/mallowlug/core/journal.py
@@ -19,13 +19,17 @@
 import msgspec
 
 from mallowlug.system import APPEND, FRESH, Disk
-from mossfront.interface import CareKind
+from mossfront.interface import OutageRecordKind
 
 LOG = logging.getLogger(__name__)
 OTHERS = 4  # blocks for the small files beside the journal: clock, overruled
 ABOUT = {"care": "host", "rules": "rules", "spool": "spool", "unspool": "spool"}  # what a record names
 MOST_RULES = 32  # sets of rules that are kept though no message lives by them
-KINDS_BY_CODE = (CareKind.OUTAGE, CareKind.SUSPICION, CareKind.RETURN)  # as a care record writes them
+KINDS_BY_CODE = (
+    OutageRecordKind.OUTAGE,
+    OutageRecordKind.SUSPICION,
+    OutageRecordKind.RECOVERY,
+)  # as a care record writes them
 MARK = b"\xa5mlg"
 FRAME = struct.Struct("<4sII")
 BLOCK = 512  # files count in whole blocks
@@ -106,7 +110,7 @@
     """An endpoint that the last life saw fail: until when (us) it may be down or cold."""
 
     until_us: int
-    kind: CareKind = CareKind.OUTAGE
+    kind: OutageRecordKind = OutageRecordKind.OUTAGE
     served_percent: int = 100  # of the destination's messages, before it failed
 
 
--- a/mallowlug/core/listings.py
+++ b/mallowlug/core/listings.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from mallowlug.core.model import HostList, Listed
-from mossfront.interface import Entry, Listing
+from mossfront.interface import EndpointEntry, Listing
 
 LOOKED_AT = 16  # destinations that are asked to sleep at once
 # Host, address, port, zone, kind, listing, hint, later.
@@ -31,7 +31,7 @@
 def listed_of(row: Row, dest: int) -> Listed:
     """What ``row_of`` has kept."""
     host, address, port, zone, kind, listing, hint, _ = row
-    return Listed(Entry(host, dest, zone, kind, Listing(listing), hint), (address, port))
+    return Listed(EndpointEntry(host, dest, zone, kind, Listing(listing), hint), (address, port))
 
 
 class Listings:
--- a/mallowlug/core/model.py
+++ b/mallowlug/core/model.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 
 from mallowlug.core.reasons import DoorRefusal
-from mossfront.interface import Entry, Verdict
+from mossfront.interface import EndpointEntry, Verdict
 
 Address = tuple[str, int]
 
@@ -58,7 +58,7 @@
 class Listed:
     """An endpoint with the address under which this relay reaches it."""
 
-    entry: Entry
+    entry: EndpointEntry
     dial: Address
 
 
--- a/mallowlug/core/reasons.py
+++ b/mallowlug/core/reasons.py
@@ -11,7 +11,7 @@
 from collections import Counter
 from enum import StrEnum
 
-from mossfront.interface import GiveUp, Verdict
+from mossfront.interface import GiveUpReason, Verdict
 
 LOG = logging.getLogger(__name__)
 SUMMARY_S = 10.0  # s between two lines of the log
@@ -68,7 +68,7 @@
     Event.CLIENT_CLOSE: tuple(reason.value for reason in ClientClose),
     Event.HOST_CLOSE: tuple(reason.value for reason in HostClose),
     Event.RETRY: (*(verdict.value for verdict in Verdict), UNKNOWN_END),
-    Event.REFUSAL: (*(reason.value for reason in DoorRefusal), *(reason.value for reason in GiveUp)),
+    Event.REFUSAL: (*(reason.value for reason in DoorRefusal), *(reason.value for reason in GiveUpReason)),
 }
 
 
--- a/mallowlug/core/relay.py
+++ b/mallowlug/core/relay.py
@@ -1,4 +1,4 @@
-"""The relay: feeds ``Relay.step`` with what happens and carries out what it decides.
+"""The relay: feeds ``DecisionEngine.step`` with what happens and carries out what it decides.
 
 It owns which message owes which end. It decides nothing that the module can decide: it refuses at the door
 what it cannot keep, and while it shuts down it starts no call that could not end.
@@ -35,7 +35,7 @@
 )
 from mallowlug.core.ports import Plugs
 from mallowlug.core.reasons import UNKNOWN_END, DoorRefusal, Event
-from mossfront import Relay as Module
+from mossfront import DecisionEngine
 from mossfront import interface as api
 
 LOG = logging.getLogger(__name__)
@@ -54,11 +54,11 @@
     return {**asdict(cls), "effect": cls.effect.value, "most": most}
 
 
-def rules_of(told: dict[str, Any]) -> api.Rules:
+def rules_of(told: dict[str, Any]) -> api.DeliveryRules:
     """What the journal has kept; ``KeyError``, ``TypeError`` or ``ValueError`` where it makes no sense."""
     fields_ = {name: value for name, value in told.items() if name != "most"}
     cls = api.MessageClass(**{**fields_, "effect": api.Effect(told["effect"])})
-    return api.Rules(cls, int(told["most"]))
+    return api.DeliveryRules(cls, int(told["most"]))
 
 
 @dataclass(slots=True)
@@ -91,7 +91,7 @@
         self._set, self._journal, self._crashed, self._figures = settings, journal, crashed, figures
         self._reasons = figures.reasons
         self.clock, self._now_s = clock, asyncio.get_running_loop().time
-        self._module = Module(settings, seed)
+        self._module = DecisionEngine(settings, seed)
         self._partners = plugs.partners(self._settled, self._released)
         self._directory = plugs.directory(self._listed, self._unlisted)
         self._ends = plugs.ends(self._confirmed)
@@ -125,7 +125,7 @@
         self._outs.changed = self._by_hand
         for host in self._outs.hosts:
             self._by_hand(host, True)
-        self._listed(known, api.RosterKind.CACHED)
+        self._listed(known, api.EndpointUpdateKind.CACHED)
         now_us = self.clock()
         for message in self._journal.recovered.values():
             self._resume(message, now_us)
@@ -138,7 +138,7 @@
                 self._use(listed.entry.dest)
         for host, due in self._journal.cares.items():
             left_us, served = due.until_us - now_us, due.served_percent / 100
-            self._inbox.append(api.Care(host, left_us, due.kind, served))
+            self._inbox.append(api.OutageRecord(host, left_us, due.kind, served))
         if binds is not None:
             self._bind(binds, now_us)
         self._step()
@@ -149,7 +149,7 @@
         for ref in binds.over:
             self._remember(ref)
         self._learned = {row[0]: row for row in binds.learned}
-        rosters = [event for event in self._inbox if isinstance(event, api.Roster)]
+        rosters = [event for event in self._inbox if isinstance(event, api.EndpointUpdate)]
         self._go_on_from(entry.host for event in rosters for entry in event.entries)
 
     def _go_on_from(self, hosts: Iterable[str]) -> None:
@@ -160,14 +160,14 @@
                 _, wait_us, quota, pace, rate, cold_us, spaced_us = row
                 left = max(0, wait_us - now_us), quota, pace, rate
                 cold = max(0, now_us - cold_us) if cold_us >= 0 else -1
-                self._post(api.Learned(host, *left, cold, max(0, spaced_us - now_us)))
+                self._post(api.EndpointSnapshot(host, *left, cold, max(0, spaced_us - now_us)))
 
     def binds(self) -> Binds:
         """What binds a successor beside the journal."""
         now_us = self.clock()
         learned = [
             (e.host, now_us + e.wait_us, e.quota, e.pace, e.rate,
-             now_us - e.cold_us if e.cold_us >= 0 else -1, now_us + e.spaced_us)
+             now_us - e.cold_for_us if e.cold_for_us >= 0 else -1, now_us + e.next_call_in_us)
             for e in self._module.learned()
         ]  # fmt: skip
         waits = {route: now_us + left_us for route, left_us in self._partners.waits().items()}
@@ -196,7 +196,7 @@
 
     def pause(self, on: bool) -> None:
         """Start no call, or start them again."""
-        self._post(api.Paused(on))
+        self._post(api.DispatchPaused(on))
 
     def settled(self) -> bool:
         """Whether the disk has taken all that the journal owes it."""
@@ -257,7 +257,7 @@
         if self._retired:
             return
         self._partners.change(settings.kinds)
-        self._post(api.Changed(settings))
+        self._post(api.SettingsChanged(settings))
         asyncio.get_running_loop().call_later(DROPPED_S, self._drop, settings)
 
     def _drop(self, settings: api.Settings) -> None:
@@ -313,7 +313,7 @@
         if self._retired:
             return
         self._partners.bar(host, out)
-        self._post(api.ByHand(host, out))
+        self._post(api.HostOverride(host, out))
 
     @property
     def now(self) -> Now:
@@ -351,7 +351,7 @@
         """
         if self.knew(handed.id):
             return Taken()
-        if len(self._held) >= self._set.hold_cap:
+        if len(self._held) >= self._set.max_held_messages:
             return self.refused(DoorRefusal.FULL)
         try:
             fields = {name: getattr(handed, name) for name in FIELDS}
@@ -369,7 +369,7 @@
     def _class(self, name: str) -> api.MessageClass:
         return self._classes.get(name) or self._dropped[name]
 
-    def _rules(self, number: int) -> api.Rules | None:
+    def _rules(self, number: int) -> api.DeliveryRules | None:
         """The rules of that number; None where the journal does not know them."""
         if (told := self._journal.rules.get(number)) is None:
             return None
@@ -382,7 +382,14 @@
     def _arrival(self, handed: Handed, now_us: int, **former: Any) -> api.Arrival:
         left_us = handed.deadline_us - now_us
         return api.Arrival(
-            handed.id, handed.dest, handed.cls, left_us, handed.tenant, handed.order, at_us=now_us, **former
+            handed.id,
+            handed.dest,
+            handed.cls,
+            left_us,
+            handed.tenant,
+            handed.order,
+            received_us=now_us,
+            **former,
         )
 
     def _resume(self, message: Recovered, now_us: int) -> None:
@@ -410,31 +417,31 @@
         attempts = 1 + max((a.number for a in message.attempts), default=-1)
         self._held[message.id] = Held(handed, message.body, rules.cls.effect, attempts)
         self._use(handed.dest)
-        former: dict[str, Any] = {"attempts": attempts, "rules": rules, "found": not attempts}
+        former: dict[str, Any] = {"attempts": attempts, "rules": rules, "recovered_untried": not attempts}
         if risky := [a for a in message.attempts if not a.never_ran]:
             first = min(risky, key=lambda attempt: attempt.at_us)
             # One from the future: the clock was set back between two lives, and nobody knows how old it is.
             age_us = now_us - first.at_us if first.at_us <= now_us else UNKNOWN_US
-            former |= {"risky_age_us": age_us, "risky_zone": first.zone}
+            former |= {"in_doubt_age_us": age_us, "in_doubt_zone": first.zone}
         self._inbox.append(self._arrival(handed, now_us, **former))
 
-    def _listed(self, news: HostList, kind: api.RosterKind | None = None) -> None:
+    def _listed(self, news: HostList, kind: api.EndpointUpdateKind | None = None) -> None:
         """News of the list binds calls at once and the module with its next step."""
         heard, self._seq = self._listings.follow(news, self._now_s()), news.seq
         self.listed |= kind is None or len(self._listings) > 0
-        kind = kind or (api.RosterKind.WHOLE if news.whole else api.RosterKind.CHANGES)
+        kind = kind or (api.EndpointUpdateKind.FULL if news.whole else api.EndpointUpdateKind.CHANGES)
         self._tell(heard, kind)
 
-    def _tell(self, news: HostList, kind: api.RosterKind, later: bool = False) -> None:
+    def _tell(self, news: HostList, kind: api.EndpointUpdateKind, later: bool = False) -> None:
         self._partners.apply(news)
-        self._post(api.Roster(kind, tuple(listed.entry for listed in news.hosts), later))
+        self._post(api.EndpointUpdate(kind, tuple(listed.entry for listed in news.hosts), later))
         if self._learned:
             self._go_on_from(listed.entry.host for listed in news.hosts)
 
     def _use(self, dest: int) -> None:
         """A destination gets a message: where it slept, all sides hear of it first."""
         for later, news in self._listings.wake(dest, self._now_s()):
-            self._tell(news, api.RosterKind.AWAKE, later)
+            self._tell(news, api.EndpointUpdateKind.REACTIVATED, later)
         if self._rest is None and self._listings.crowded:
             self._rest = asyncio.get_running_loop().call_later(REST_S, self._rested)
 
@@ -442,12 +449,12 @@
         """Ask the module to let go of what is not used."""
         self._rest = None
         for dest in self._listings.tired(self._now_s()):
-            self._post(api.Idle(dest))
+            self._post(api.DestinationIdle(dest))
         if self._listings.crowded:
             self._rest = asyncio.get_running_loop().call_later(REST_S, self._rested)
 
     def _unlisted(self) -> None:
-        self._post(api.Roster(api.RosterKind.FAILED))
+        self._post(api.EndpointUpdate(api.EndpointUpdateKind.FAILED))
 
     def _confirmed(self, ref: str) -> None:
         self._journal.over(ref)
@@ -473,15 +480,15 @@
                 told.wait_us,
                 told.report.get("x0"),
                 told.report.get("x1"),
-                still_out=told.lasts,
+                call_continues=told.lasts,
             )
         )
         if complete:  # also for a part whose own time ran out before: the module must not send it again
-            self._post(api.Withdrawn(part.id))
+            self._post(api.MessageWithdrawn(part.id))
 
     def _released(self, part: Part) -> None:
         """Nothing of an attempt that had its outcome before is on the wire any more."""
-        self._post(api.Released(part.id, part.attempt))
+        self._post(api.CallEnded(part.id, part.attempt))
 
     def _end(self, ref: str, delivered: bool) -> None:
         """Nothing more is owed, unless that was so before, or nobody knows whether it came in time.
@@ -522,7 +529,7 @@
         if self._timer is not None:
             self._timer.cancel()
         self._stepped_s = loop.time()
-        self._timer, self._next_s = None, self._stepped_s + self._set.round_us / 1e6
+        self._timer, self._next_s = None, self._stepped_s + self._set.step_interval_us / 1e6
         events, self._inbox = self._inbox, []
         try:
             self._carry_out(self._module.step(self.clock(), events))
@@ -550,16 +557,16 @@
                     self._partners.cancel(action.id, action.attempt)
                 case api.Subscribe():
                     self._directory.subscribe()
-                case api.Wake():
+                case api.SetTimer():
                     loop = asyncio.get_running_loop()
                     if self._wake is not None:
                         self._wake.cancel()
                     self._wake = loop.call_later(action.delay_us / 1e6, self._post, api.TimerDue())
-                case api.Asleep():
+                case api.DestinationDeactivated():
                     self._partners.apply(self._listings.sleep(action.dest))
-                case api.Care():
+                case api.OutageRecord():
                     percent = round(100 * action.served_share)
-                    due = DueCare(self.clock() + action.for_us, action.kind, percent)
+                    due = DueCare(self.clock() + action.valid_for_us, action.kind, percent)
                     self._journal.care(action.host, due)
                 case api.Log():
                     LOG.info("%s", action.line)
@@ -601,7 +608,7 @@
             return False
         return True
 
-    def _given_up(self, notice: Notice, reason: api.GiveUp) -> list[tuple[Notice, bool]]:
+    def _given_up(self, notice: Notice, reason: api.GiveUpReason) -> list[tuple[Notice, bool]]:
         """The module's final answer, journaled; none where the message is over already.
 
         Where the disk does not take it, a later life may try the message, beside the retry that a refusal
@@ -633,7 +640,9 @@
                 number, held.attempts = held.attempts, held.attempts + 1
                 if number:
                     self._reasons.count(Event.RETRY, held.last_end, message_id=send.id, host=host)
-                parts.append(Part(send.id, number, held.handed.key, held.body, send.limit_us, send.by_us))
+                parts.append(
+                    Part(send.id, number, held.handed.key, held.body, send.timeout_us, send.start_within_us)
+                )
                 tries.append((send.id, Attempt(number, host, self._partners.zone(host), now_us)))
             if not parts:
                 continue
@@ -648,4 +657,4 @@
 
     def _can_end(self, send: api.Send, stop_s: float) -> bool:
         """Whether the process lasts as long as the call may; else the journal keeps it for the next life."""
-        return self._stepped_s + send.limit_us / 1e6 <= stop_s
+        return self._stepped_s + send.timeout_us / 1e6 <= stop_s
--- a/mallowlug/directory/discovery.py
+++ b/mallowlug/directory/discovery.py
@@ -12,7 +12,7 @@
 from mallowlug.core.model import Address, HostList, Listed
 from mallowlug.net.http import FAULTS, Connection
 from mallowlug.system import System
-from mossfront.interface import Entry, Listing
+from mossfront.interface import EndpointEntry, Listing
 
 LOG = logging.getLogger(__name__)
 HOSTS = "/discovery/hosts"
@@ -28,7 +28,7 @@
     """One host; one that cannot be read is left out, for the others' sake."""
     try:
         address, _, port = str(raw["dial"]).rpartition(":")
-        entry = Entry(
+        entry = EndpointEntry(
             host=str(raw["host"]),
             dest=int(raw["block"]),
             zone=str(raw.get("site", "")),
--- a/mallowlug/partners/http_calls.py
+++ b/mallowlug/partners/http_calls.py
@@ -202,7 +202,7 @@
     def _route(self, host: str) -> str:
         """What shares waits with a host: its destination, unless its kind's endpoints are routes apart."""
         listed = self._listed.get(host)
-        apart = listed is None or self._kind(listed).apart
+        apart = listed is None or self._kind(listed).separate_routes
         return host if listed is None or apart else f"dest {listed.entry.dest}"
 
     def _kind(self, listed: Listed) -> Kind:
@@ -211,7 +211,7 @@
     def batch(self, host: str) -> int:
         """How many messages a call to the host may carry."""
         listed = self._listed.get(host)
-        return 1 if listed is None else self._kind(listed).batch
+        return 1 if listed is None else self._kind(listed).batch_size
 
     def waits(self) -> dict[str, int]:
         """By route: how long (us) it is still to be left alone."""
--- a/mallowlug/rig/sim/ground.py
+++ b/mallowlug/rig/sim/ground.py
@@ -207,21 +207,21 @@
     would run at any time.
     """
     loop = SimLoop()
-    ground, lapses, module = SimGround(loop, scenario), list[str](), vars(core)["Module"]
+    ground, lapses, module = SimGround(loop, scenario), list[str](), vars(core)["DecisionEngine"]
     log, logger = LifeLog(loop), logging.getLogger("mallowlug")
     former, collects = logger.level, gc.isenabled()
     logger.addHandler(log)
     logger.setLevel(logging.INFO)
     logger.propagate = False
     gc.disable()
-    vars(core)["Module"] = watched(module, lapses)
+    vars(core)["DecisionEngine"] = watched(module, lapses)
     try:
         done = loop.complete(play(scenario, folder, options, ground))
     finally:
         logger.removeHandler(log)
         logger.setLevel(former)
         logger.propagate = True
-        vars(core)["Module"] = module
+        vars(core)["DecisionEngine"] = module
         if collects:
             gc.enable()
     relays = ground.relays
--- a/mallowlug/rig/sim/guards.py
+++ b/mallowlug/rig/sim/guards.py
@@ -39,7 +39,7 @@
     def __init__(self, settings: api.Settings, tell: Callable[[str], None]) -> None:
         self._set, self._tell, self._left = settings, tell, MOST_TOLD
         self._classes = {cls.name: cls for cls in settings.classes}
-        self._entries: dict[str, api.Entry] = {}
+        self._entries: dict[str, api.EndpointEntry] = {}
         self._waits: dict[str, int] = {}  # by route
         self._by_hand: set[str] = set()
         self._messages: dict[str, Watched] = {}
@@ -74,32 +74,32 @@
     def _route(self, host: str) -> str:
         entry = self._entries.get(host)
         kinds = {kind.name: kind for kind in self._set.kinds}
-        apart = entry is None or entry.kind not in kinds or kinds[entry.kind].apart
+        apart = entry is None or entry.kind not in kinds or kinds[entry.kind].separate_routes
         return host if entry is None or apart else f"dest {entry.dest}"
 
     def _event(self, now_us: int, event: api.Event) -> None:
         match event:
-            case api.Roster():
+            case api.EndpointUpdate():
                 self._roster(now_us, event)
             case api.Arrival():
                 self._arrival(now_us, event)
             case api.Outcome():
                 self._outcome(now_us, event)
-            case api.Released() if event.id in self._messages:
+            case api.CallEnded() if event.id in self._messages:
                 self._messages[event.id].out.pop(event.attempt, None)
-            case api.Withdrawn() if event.id in self._messages:
+            case api.MessageWithdrawn() if event.id in self._messages:
                 self._messages[event.id].over = True
-            case api.Learned():
+            case api.EndpointSnapshot():
                 self._wait(event.host, now_us + event.wait_us)
-            case api.ByHand():
-                (self._by_hand.add if event.out else self._by_hand.discard)(event.host)
-            case api.Changed():
+            case api.HostOverride():
+                (self._by_hand.add if event.disabled else self._by_hand.discard)(event.host)
+            case api.SettingsChanged():
                 self._set = event.settings
                 self._classes |= {cls.name: cls for cls in event.settings.classes}
 
-    def _roster(self, now_us: int, event: api.Roster) -> None:
+    def _roster(self, now_us: int, event: api.EndpointUpdate) -> None:
         self._waits = {route: until_us for route, until_us in self._waits.items() if until_us > now_us}
-        if event.kind is api.RosterKind.WHOLE:
+        if event.kind is api.EndpointUpdateKind.FULL:
             self._entries.clear()
         for entry in event.entries:
             if entry.listing is api.Listing.GONE:
@@ -111,11 +111,11 @@
         cls = event.rules.cls if event.rules is not None else self._classes.get(event.cls)
         if cls is None or event.id in self._messages:
             return
-        reckoned_us = now_us if event.at_us < 0 else event.at_us
-        risky_us = reckoned_us - event.risky_age_us if event.risky_age_us >= 0 else -1
+        reckoned_us = now_us if event.received_us < 0 else event.received_us
+        risky_us = reckoned_us - event.in_doubt_age_us if event.in_doubt_age_us >= 0 else -1
         key = event.key if cls.in_order else ""
         self._messages[event.id] = Watched(
-            cls, reckoned_us + event.left_us, key, event.attempts, risky_us, event.risky_zone
+            cls, reckoned_us + event.time_left_us, key, event.attempts, risky_us, event.in_doubt_zone
         )
         if key:
             self._lines.setdefault(key, []).append(event.id)
@@ -125,12 +125,12 @@
         self._waits[route] = max(self._waits.get(route, 0), until_us)
 
     def _outcome(self, now_us: int, event: api.Outcome) -> None:
-        if event.wait_us > 0:
-            self._wait(event.host, now_us + event.wait_us)
+        if event.retry_after_us > 0:
+            self._wait(event.host, now_us + event.retry_after_us)
         if (message := self._messages.get(event.id)) is None or event.attempt not in message.out:
             return
         host, since_us = message.out[event.attempt]
-        if not event.still_out:
+        if not event.call_continues:
             del message.out[event.attempt]
         if event.verdict is api.Verdict.OK:
             message.over = True
@@ -157,7 +157,7 @@
         message.out[message.tries] = host, now_us
         message.tries += 1
 
-    def _repeat(self, now_us: int, ref: str, message: Watched, entry: api.Entry | None) -> None:
+    def _repeat(self, now_us: int, ref: str, message: Watched, entry: api.EndpointEntry | None) -> None:
         """Whether the class allows one more attempt behind those that may have run."""
         cls = message.cls
         if cls.effect is api.Effect.UNSAFE and (message.risky_us >= 0 or message.out):
--- a/mossfront/__init__.py
+++ b/mossfront/__init__.py
@@ -1,5 +1,5 @@
 """mossfront: the decisions of a relay that delivers webhooks and other calls to many destinations."""
 
-from mossfront.engine import Relay
+from mossfront.engine import DecisionEngine
 
-__all__ = ["Relay"]
+__all__ = ["DecisionEngine"]
--- a/mossfront/engine.py
+++ b/mossfront/engine.py
@@ -17,39 +17,48 @@
 from mossfront.interface import (
     Action,
     Arrival,
-    Asleep,
-    ByHand,
-    Care,
-    CareKind,
-    Changed,
+    CallEnded,
     CloseIdle,
+    DeliveryRules,
+    DestinationDeactivated,
+    DestinationIdle,
+    DispatchPaused,
     Effect,
-    Entry,
+    EndpointEntry,
+    EndpointSnapshot,
+    EndpointUpdate,
+    EndpointUpdateKind,
     Event,
     Fail,
-    GiveUp,
-    Idle,
+    GiveUpReason,
+    HostOverride,
     Kind,
-    Learned,
     Listing,
+    MessageWithdrawn,
+    OutageRecord,
+    OutageRecordKind,
     Outcome,
-    Paused,
     Refuse,
-    Released,
-    Roster,
-    RosterKind,
-    Rules,
     Send,
+    SetTimer,
     Settings,
+    SettingsChanged,
     Subscribe,
     TimerDue,
     Verdict,
-    Wake,
-    Withdrawn,
 )
 from mossfront.outages import OUTAGE_MARK, Outages
 from mossfront.slow_start import RECENT_US, Budget, Phase
-from mossfront.state import Call, Destination, Endpoint, Guard, Manner, Message, Record, Tally
+from mossfront.state import (
+    Call,
+    CallLimiter,
+    CompiledRules,
+    DecayingCounter,
+    Destination,
+    Endpoint,
+    LatencyStats,
+    Message,
+)
 
 CAP_SHARE, SICK_SHARE = 0.75, 0.5  # of slots: calls to one healthy, one failing or slow destination
 FORGET_US = 20_000_000  # us after which a host that is gone is forgotten, if nothing binds it any more
@@ -82,30 +91,36 @@
 RISKS = {effect: float(order) for order, effect in enumerate(Effect)}  # by what a repeat does
 
 
-class Relay(Outages):
+class DecisionEngine(Outages):
     """One sender. Feed it batches of events in order of time; carry out what it returns."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
         self.set, self.rng, self.now, self.actions = settings, random.Random(seed), 0, list[Action]()
-        self.manners, self.paused = dict[Rules, Manner](), False
-        self.shares: dict[str, tuple[float, Tally]] = {}
+        self.manners, self.paused = dict[DeliveryRules, CompiledRules](), False
+        self.shares: dict[str, tuple[float, DecayingCounter]] = {}
         self.all_held: Lanes = {}  # over all destinations, by class and worth
         self.messages, self.endpoints = dict[str, Message](), dict[str, Endpoint]()
         self.dests, self.out = dict[int, Destination](), set[str]()  # out: hosts that staff leave out
         self.turns = dict[str, list[Message]]()  # by key: messages in order of arrival
         self.rests = dict[str, int]()  # by key: when an attempt that may still run has died down
         self.wired = dict[tuple[str, int], str]()  # attempts whose call is on the wire still, and their keys
-        self.norms: dict[str, Record] = {}  # by class: latency over all endpoints
-        self.arrivals = Tally(MEMORY_US)
+        self.norms: dict[str, LatencyStats] = {}  # by class: latency over all endpoints
+        self.arrivals = DecayingCounter(MEMORY_US)
         # Calls lost on connections that had been idle, and on others; the idle age that is trusted.
-        self.cut, self.kept = Tally(MEMORY_US, 1 - WEIGHT), Tally(MEMORY_US, 1 - WEIGHT)
-        self.stale_us, self.crowd = float(settings.keepalive_us), Tally(MEMORY_US)  # crowd: no connection
-        self.trials = (Tally(MEMORY_US, 1 - WEIGHT), Tally(MEMORY_US, 1 - WEIGHT))  # failed, refused again
+        self.cut, self.kept = DecayingCounter(MEMORY_US, 1 - WEIGHT), DecayingCounter(MEMORY_US, 1 - WEIGHT)
+        self.stale_us, self.crowd = (
+            float(settings.keepalive_us),
+            DecayingCounter(MEMORY_US),
+        )  # crowd: no connection
+        self.trials = (
+            DecayingCounter(MEMORY_US, 1 - WEIGHT),
+            DecayingCounter(MEMORY_US, 1 - WEIGHT),
+        )  # failed, refused again
         self.open, self.calls_out, self.wake_us, self.serial = 0, 0, -1, 0
         self.made = list[Call]()  # in this step, and not let out yet
         self._change(settings)
         # Next ask; its gap; when the last one was made; from one to the next, at most.
-        self.ask_us, self.ask_gap_us = (0 if settings.must_ask else -1), self.ask_least_us
+        self.ask_us, self.ask_gap_us = (0 if settings.must_subscribe else -1), self.ask_least_us
         self.asked_us, self.ask_most_us = -LISTED_US, LISTED_US * 2 // 3
         self.forget_us = 0  # when to look next for what is gone
         self.look: dict[int, None] = {}  # destinations that an event or a due time touched
@@ -118,36 +133,39 @@
         """Go by these settings; what came under others, and what was learned, stays as it is."""
         self.set = settings
         self.kinds = {kind.name: kind for kind in settings.kinds}
-        rules = {cls.name: Rules(cls, settings.max_attempts) for cls in settings.classes}
+        rules = {cls.name: DeliveryRules(cls, settings.max_attempts) for cls in settings.classes}
         self.classes = {name: self._manner(rule) for name, rule in rules.items()}
         known, self.quotas = self.shares, sum(t.quota_per_s for t in settings.tenants)
-        fresh = (Tally(MEMORY_US) for _ in settings.tenants)
+        fresh = (DecayingCounter(MEMORY_US) for _ in settings.tenants)
         self.shares = {
             t.name: (t.quota_per_s, known[t.name][1] if t.name in known else tally)
             for t, tally in zip(settings.tenants, fresh, strict=True)
         }
         self.budget = Budget(
-            settings.group_size, settings.fall_multiple, settings.fall_us, settings.cold_from,
-            settings.warm_within_us,
+            settings.group_size, settings.collapse_multiple, settings.collapse_window_us,
+            settings.cold_capacity_share, settings.warm_up_us,
         )  # fmt: skip
         # The more share a limit, the less often each hears of it: paces move the slower.
         self.slow = settings.group_size**0.5
         # A group's asks wait for each other: all at once are all late, and those given up are worked off too.
         self.crowded_us = max(0, ASK_EACH_US * settings.group_size - ASK_GAP_US)
         self.ask_least_us = ASK_GAP_US
-        if settings.pushed:
+        if settings.list_is_pushed:
             # Nobody else asks the agent, and what it has counts as told whether a watch is open or not: with
             # an ask that gets no answer for as long (``directory``), half of a drain's grace may go by.
-            self.crowded_us, self.ask_least_us = 0, max(settings.round_us, settings.drain_grace_us // 4)
+            self.crowded_us, self.ask_least_us = (
+                0,
+                max(settings.step_interval_us, settings.drain_grace_us // 4),
+            )
 
-    def _manner(self, rules: Rules) -> Manner:
+    def _manner(self, rules: DeliveryRules) -> CompiledRules:
         """What follows from a set of rules; one for all messages that came under it."""
         if (found := self.manners.get(rules)) is None:
             self.serial += 1
             used = {m.manner.rules for m in self.messages.values()} if len(self.manners) > 64 else None
             if used is not None:  # settings that change all day must not grow the process
                 self.manners = {rule: manner for rule, manner in self.manners.items() if rule in used}
-            found = Manner(rules, self.serial, bends(rules.cls, self.set.halves, URGENCY_US))
+            found = CompiledRules(rules, self.serial, bends(rules.cls, self.set.worth_halves, URGENCY_US))
             self.manners[rules] = found
         return found
 
@@ -156,29 +174,29 @@
         self.now, self.actions = now_us, []
         idle: list[int] = []
         for event in events:
-            if isinstance(event, Roster):
+            if isinstance(event, EndpointUpdate):
                 self._roster(event)
             elif isinstance(event, Arrival):
                 self._arrive(event)
             elif isinstance(event, Outcome):
                 self._outcome(event)
-            elif isinstance(event, Withdrawn) and event.id in self.messages:
+            elif isinstance(event, MessageWithdrawn) and event.id in self.messages:
                 self._close(self.messages[event.id])
-            elif isinstance(event, Released):
+            elif isinstance(event, CallEnded):
                 self._release(event)
-            elif isinstance(event, TimerDue) and self.wake_us <= now_us + self.set.round_us:
+            elif isinstance(event, TimerDue) and self.wake_us <= now_us + self.set.step_interval_us:
                 self.wake_us = -1  # it has come, be it a little early: no other would
-            elif isinstance(event, Idle):
+            elif isinstance(event, DestinationIdle):
                 idle.append(event.dest)
-            elif isinstance(event, Learned) and event.host in self.endpoints:
+            elif isinstance(event, EndpointSnapshot) and event.host in self.endpoints:
                 self._go_on_from(self.endpoints[event.host], event)
-            elif isinstance(event, Paused):
-                self.paused = event.on
-            elif isinstance(event, Changed):
+            elif isinstance(event, DispatchPaused):
+                self.paused = event.paused
+            elif isinstance(event, SettingsChanged):
                 self._change(event.settings)
-            elif isinstance(event, ByHand):
-                self._by_hand(event.host, event.out)
-            elif isinstance(event, Care) and event.host in self.endpoints:
+            elif isinstance(event, HostOverride):
+                self._by_hand(event.host, event.disabled)
+            elif isinstance(event, OutageRecord) and event.host in self.endpoints:
                 self._beware(self.endpoints[event.host], event)
         while self.due and self.due[0][0] <= now_us:
             at_us, number = heapq.heappop(self.due)
@@ -187,7 +205,7 @@
         while self.found and self.found[0][0] <= now_us:
             self._credit_found(heapq.heappop(self.found)[1])
         self._expire()
-        if self.calls_out < self.set.slots and not self.paused:  # else what is held is looked at later
+        if self.calls_out < self.set.max_calls and not self.paused:  # else what is held is looked at later
             self._dispatch()
             self._let_out()
         for number in idle:  # last: what has come for it meanwhile binds it
@@ -195,18 +213,18 @@
         if 0 <= self.ask_us <= now_us:  # a directory that only answers; an unanswered ask is made again
             self.actions.append(Subscribe())
             self.asked_us = now_us
-            self.ask_us = now_us + max(2_000_000, self.set.ask_within_us // 2)
+            self.ask_us = now_us + max(2_000_000, self.set.subscribe_within_us // 2)
         times = [heap[0][0] for heap in (self.due, self.ends, self.found) if heap]
         times += [self.ask_us] * (self.ask_us >= 0)
         if times and (self.wake_us <= now_us or min(times) < self.wake_us):
-            self.wake_us = max(min(times), now_us + self.set.round_us)
-            self.actions.append(Wake(self.wake_us - now_us))
+            self.wake_us = max(min(times), now_us + self.set.step_interval_us)
+            self.actions.append(SetTimer(self.wake_us - now_us))
         return self.actions
 
-    def _roster(self, event: Roster) -> None:
+    def _roster(self, event: EndpointUpdate) -> None:
         """Follow the directory; where it must be asked, a failed or broken watch is asked for again."""
-        if event.kind is RosterKind.FAILED:
-            if self.set.must_ask:
+        if event.kind is EndpointUpdateKind.FAILED:
+            if self.set.must_subscribe:
                 gap_us = self.ask_gap_us * self.rng.uniform(0.7, 1.3) + self.crowded_us * self.rng.random()
                 # It may be back this very moment, whatever has become of the call before: the next one begins
                 # within two thirds of the time in which a change counts as told, the rest is for its answer.
@@ -214,26 +232,30 @@
                 if gap_us > most_us:
                     gap_us = most_us * self.rng.uniform(0.75, 1.0)
                 self.ask_us = self.now + int(gap_us)
-                most_us = max(self.ask_least_us, self.set.ask_within_us // 4, 2 * self.crowded_us)
-                self.ask_gap_us = self.ask_least_us if self.set.pushed else min(2 * self.ask_gap_us, most_us)
+                most_us = max(self.ask_least_us, self.set.subscribe_within_us // 4, 2 * self.crowded_us)
+                self.ask_gap_us = (
+                    self.ask_least_us if self.set.list_is_pushed else min(2 * self.ask_gap_us, most_us)
+                )
             return
-        if event.kind in (RosterKind.CHANGES, RosterKind.WHOLE):
+        if event.kind in (EndpointUpdateKind.CHANGES, EndpointUpdateKind.FULL):
             self.ask_us, self.ask_gap_us = -1, self.ask_least_us
         elif self.ask_us == 0:  # the first list, perhaps an old one: many may have started just now
             self.ask_us = self.now + int(min(self.crowded_us, self.ask_most_us) * self.rng.random())
         named = {entry.host for entry in event.entries}
-        whole = event.kind in (RosterKind.WHOLE, RosterKind.CACHED)
+        whole = event.kind in (EndpointUpdateKind.FULL, EndpointUpdateKind.CACHED)
         for host, endpoint in self.endpoints.items() if whole else ():
             if host not in named:
                 endpoint.follow(Listing.GONE, self.now)
                 self.dests[endpoint.dest].listed_anew()
-        start = max(1, int(CAP_SHARE * self.set.slots))
+        start = max(1, int(CAP_SHARE * self.set.max_calls))
         # Until an answer tells of a limit: what the members may ask of all, spread evenly.
         fresh = {entry.dest for entry in event.entries if entry.dest not in self.dests}
         even = self.quotas * self._equal(MOST_PARTS) / max(1, len(self.dests) + len(fresh))
-        later = event.later or (bool(self.endpoints) and event.kind is not RosterKind.AWAKE)
+        later = event.added_later or (
+            bool(self.endpoints) and event.kind is not EndpointUpdateKind.REACTIVATED
+        )
         for entry in event.entries:
-            dest = self.dests.setdefault(entry.dest, Destination(Guard(MEMORY_US), self.now))
+            dest = self.dests.setdefault(entry.dest, Destination(CallLimiter(MEMORY_US), self.now))
             known, kind = self.endpoints.get(entry.host), self.kinds.get(entry.kind, Kind(entry.kind))
             if known is None or (known.dest, known.kind) != (entry.dest, kind):
                 if known is not None:  # the host moved: calls out are settled with the old endpoint
@@ -247,16 +269,22 @@
             known.follow(entry.listing, self.now)
             dest.listed_anew()
             self.look[entry.dest] = None
-            if self.set.rates_told and entry.listing is Listing.READY:
-                self._told(known.limit, entry.rate_hint / (1.5 if self.set.rates_rough else 1.0))
-        if event.kind is not RosterKind.AWAKE and self.now >= self.forget_us:
+            if self.set.rate_hints_given and entry.listing is Listing.READY:
+                self._told(known.limit, entry.rate_hint / (1.5 if self.set.rate_hints_rough else 1.0))
+        if event.kind is not EndpointUpdateKind.REACTIVATED and self.now >= self.forget_us:
             self._forget()
 
-    def _enlist(self, entry: Entry, kind: Kind, quota: int, pace: float) -> Endpoint:
+    def _enlist(self, entry: EndpointEntry, kind: Kind, quota: int, pace: float) -> Endpoint:
         """An endpoint of which nothing is known yet."""
         dest = self.dests[entry.dest]
-        new = Endpoint(entry, kind, dest.limit, Guard(MEMORY_US), Tally(MEMORY_US, 1 - WEIGHT))
-        new.start, new.quota, new.out = max(1, int(CAP_SHARE * self.set.slots)), quota, entry.host in self.out
+        new = Endpoint(
+            entry, kind, dest.limit, CallLimiter(MEMORY_US), DecayingCounter(MEMORY_US, 1 - WEIGHT)
+        )
+        new.start, new.quota, new.out = (
+            max(1, int(CAP_SHARE * self.set.max_calls)),
+            quota,
+            entry.host in self.out,
+        )
         if new.limit.pace == math.inf and pace:
             new.limit.pace, new.limit.pace_us = pace, self.now
         self.endpoints[entry.host] = dest.endpoints[entry.host] = new
@@ -270,27 +298,27 @@
             return
         old.out = out
         if not out:  # calls out are settled with the old endpoint
-            entry = Entry(host, old.dest, old.zone, old.kind.name, old.listing)
+            entry = EndpointEntry(host, old.dest, old.zone, old.kind.name, old.listing)
             new = self._enlist(entry, old.kind, 1, old.limit.pace if old.limit.pace < math.inf else 0.0)
             new.gone_us, new.limit.rate = old.gone_us, old.limit.rate
-            new.own.slow.returned(self.now, self.budget, self.rng.random())
-            self._care(new, self.set.warm_within_us + self.set.fall_us, CareKind.RETURN)
+            new.own.slow.begin_cold(self.now, self.budget, self.rng.random())
+            self._care(new, self.set.warm_up_us + self.set.collapse_window_us, OutageRecordKind.RECOVERY)
         self.dests[old.dest].listed_anew()
         self.look[old.dest] = None
 
-    def learned(self) -> list[Learned]:
+    def learned(self) -> list[EndpointSnapshot]:
         """What a successor may go on from."""
         return [
-            Learned(
+            EndpointSnapshot(
                 e.host, max(0, e.limit.wait_us - self.now), e.quota,
                 self._pace(e.limit) if e.limit.pace < math.inf else 0.0, e.limit.rate,
-                self.now - e.own.slow.cold_us if e.own.slow.phase is Phase.SLOW_START else -1,
-                e.own.slow.credit_in_us(self.now, self.budget),
+                self.now - e.own.slow.cold_since_us if e.own.slow.phase is Phase.SLOW_START else -1,
+                e.own.slow.credit_available_in_us(self.now, self.budget),
             )
             for e in self.endpoints.values() if e.listing is not Listing.GONE
         ]  # fmt: skip
 
-    def _go_on_from(self, endpoint: Endpoint, event: Learned) -> None:
+    def _go_on_from(self, endpoint: Endpoint, event: EndpointSnapshot) -> None:
         """The process before this one had come so far here."""
         limit = endpoint.limit
         limit.wait_us = max(limit.wait_us, self.now + event.wait_us)
@@ -298,8 +326,8 @@
         limit.rate = event.rate
         if event.pace:
             limit.pace, limit.pace_us = event.pace, self.now
-        if event.cold_us >= 0:  # its budget goes on from where it was, and no second trial begins it anew
-            endpoint.own.slow.resume(self.now, self.budget, event.cold_us, event.spaced_us)
+        if event.cold_for_us >= 0:  # its budget goes on from where it was, and no second trial begins it anew
+            endpoint.own.slow.resume(self.now, self.budget, event.cold_for_us, event.next_call_in_us)
             endpoint.own.strikes, endpoint.own.next_us = 0, self.now
 
     def _forget(self) -> None:
@@ -328,7 +356,7 @@
                 del self.endpoints[host]
             del self.dests[number]
             self.look.pop(number, None)
-        self.actions.append(Asleep(number))
+        self.actions.append(DestinationDeactivated(number))
 
     def avoided(self) -> int:
         """Listed endpoints that nothing new is sent to now: out by hand, draining, or paused by an outage."""
@@ -345,7 +373,7 @@
 
     def _until_us(self, endpoint: Endpoint) -> int:
         """When no wait, pause or cold return binds there any more."""
-        return max(max(g.pause_us, g.slow.cold_us + self.set.warm_within_us) for g in endpoint.guards)
+        return max(max(g.pause_us, g.slow.cold_since_us + self.set.warm_up_us) for g in endpoint.guards)
 
     def _bound(self, number: int, dest: Destination) -> bool:
         """Whether a message, a call, a wait, a pause, an outage or a cold return there still binds."""
@@ -356,7 +384,7 @@
         # A call may be out at an endpoint that has moved: its message is all that is left of it here.
         return bool(self.wired) or any(message.dest == number for message in self.messages.values())
 
-    def _told(self, limit: Guard, rate: float | None, left: float | None = None) -> None:
+    def _told(self, limit: CallLimiter, rate: float | None, left: float | None = None) -> None:
         """A rate told for all relays bounds the pace; the share of it that is left shows what others use.
 
         All that share the limit are told alike. So each moves its pace from its equal part by the same factor
@@ -403,11 +431,11 @@
                 worth *= self.set.over_share_worth
         message = self.messages[event.id] = Message(event, manner, self.now, worth)
         self.open += 1
-        dest = self.dests.setdefault(event.dest, Destination(Guard(MEMORY_US), self.now))
+        dest = self.dests.setdefault(event.dest, Destination(CallLimiter(MEMORY_US), self.now))
         ready = dest.ready()
         for limit in (limits := {id(e.limit): e.limit for e in ready}).values():
             limit.demand.add(False, self.now, 1 / len(limits))
-        if event.found:
+        if event.recovered_untried:
             # All relays may have been restarted together; what they found came over a while, and does again.
             at_us = self.now + int(self.rng.random() * message.cls.deadline_us)
             if at_us < message.deadline_us:
@@ -467,12 +495,12 @@
         cls, risky = message.cls, message.risky_us >= 0
         if message.attempts >= message.most or (risky and cls.effect is Effect.UNSAFE):
             return self.now
-        end = message.deadline_us - int(max(4 * self.set.round_us, self._record(message).mean_us / 2))
+        end = message.deadline_us - int(max(4 * self.set.step_interval_us, self._record(message).mean_us / 2))
         return min(end, self._known_us(message)) if risky and cls.effect is Effect.KEYED else end
 
     def _known_us(self, message: Message) -> int:
         """Until when the key of a message that may have run is known, so that a repeat is dropped."""
-        return message.risky_us + message.cls.window_us - self.set.round_us
+        return message.risky_us + message.cls.window_us - self.set.step_interval_us
 
     def _outcome(self, event: Outcome) -> None:
         """Settle one attempt: its call, the endpoint's figures, then the message."""
@@ -481,13 +509,15 @@
             return
         endpoint, verdict = call.endpoint, event.verdict
         self.look[message.dest] = None
-        endpoint.limit.wait_us = max(endpoint.limit.wait_us, self.now + event.wait_us * (event.wait_us > 0))
+        endpoint.limit.wait_us = max(
+            endpoint.limit.wait_us, self.now + event.retry_after_us * (event.retry_after_us > 0)
+        )
         call.open -= 1
         if call.open == 0:
             endpoint.calls.remove(call)
             endpoint.used_us = self.now
             self.calls_out -= 1
-            self._told(endpoint.limit, event.limit_per_s, event.limit_left)
+            self._told(endpoint.limit, event.limit_per_s, event.limit_remaining)
             if verdict not in (Verdict.CANCELLED, Verdict.NOT_SENT):
                 self._learn(call, message, event)
             # Many relays' idle connections fill a small table: close one that will hardly serve again.
@@ -502,7 +532,7 @@
             if message.risky_us < 0 or call.sent_us < message.risky_us:
                 message.risky_us, message.risky_zone = call.sent_us, endpoint.zone
             message.timeouts += verdict is Verdict.TIMEOUT
-            if message.key and event.still_out:
+            if message.key and event.call_continues:
                 self.wired[event.id, event.attempt] = message.key
             if message.key in self.wired.values():  # an earlier attempt's call may be on the wire still
                 self.rests[message.key] = NEVER_US
@@ -515,7 +545,7 @@
         elif not message.out:  # held again; what may not be repeated is answered after the whole batch
             self._hold(message)
 
-    def _release(self, event: Released) -> None:
+    def _release(self, event: CallEnded) -> None:
         """The last byte of an attempt is accounted for: from now its key only rests."""
         key = self.wired.pop((event.id, event.attempt), "")
         if key and key not in self.wired.values():
@@ -553,12 +583,14 @@
             if guard.strikes:
                 self.trials[guard.refused].add(False, self.now)
             guard.strikes = 0
-            change = guard.slow.succeeded(self.now, call.sent_us, self.budget)
+            change = guard.slow.on_success(self.now, call.sent_us, self.budget)
             self._report(endpoint, change, message)
             if change and change.after is Phase.SLOW_START:
-                self._care(endpoint, self.set.warm_within_us + self.set.fall_us, CareKind.RETURN)
+                self._care(
+                    endpoint, self.set.warm_up_us + self.set.collapse_window_us, OutageRecordKind.RECOVERY
+                )
             elif endpoint.care_us > self.now and all(g.slow.phase is Phase.HEALTHY for g in endpoint.guards):
-                self._care(endpoint, 0, CareKind.RETURN)
+                self._care(endpoint, 0, OutageRecordKind.RECOVERY)
         endpoint.limit.served.add(False, self.now)
         endpoint.limit.pace = self._pace(endpoint.limit) * PACE_UP
 
@@ -586,7 +618,9 @@
                 return True
         return False
 
-    def _fail(self, endpoint: Endpoint, guard: Guard, call: Call, message: Message, event: Outcome) -> None:
+    def _fail(
+        self, endpoint: Endpoint, guard: CallLimiter, call: Call, message: Message, event: Outcome
+    ) -> None:
         """A strike, a pause before the next trial, and what it says of an outage."""
         verdict, refused = event.verdict, event.verdict is Verdict.FULL
         beside = self.now - guard.ok_us < RECENT_US
@@ -606,7 +640,7 @@
         if verdict is Verdict.ERROR:  # it answers: the next may be served, and at once
             return
         gap_us = min(RETRY_US * 2.0 ** min(guard.strikes - 1, 10), RETRY_MAX_US)
-        if guard.slow.limited(self.now):
+        if guard.slow.needs_credit(self.now):
             # Credit spreads the calls of all relays. Behind a told wait, which ends for all, it is alone.
             if guard.wait_us <= self.now:
                 pause_us = int(gap_us * self.rng.uniform(0.3, 1.3))
@@ -623,14 +657,14 @@
         else:  # all that were told to wait would come back at once
             guard.next_us = max(guard.next_us, start_us + int((start_us - self.now) * self.rng.random()))
 
-    def _pace(self, limit: Guard) -> float:
+    def _pace(self, limit: CallLimiter) -> float:
         """This relay's pace at a limit; it grows with time, and faster with successes."""
         in_us = PACE_US * self.slow if limit.told_us > 0 else MEMORY_US
         grown = limit.pace * math.exp(min(50.0, (self.now - limit.pace_us) / in_us))
         limit.pace, limit.pace_us = min(grown, limit.rate or math.inf), self.now
         return limit.pace
 
-    def _part(self, endpoint: Endpoint, guard: Guard) -> float:
+    def _part(self, endpoint: Endpoint, guard: CallLimiter) -> float:
         """This relay's part of the calls a second there: an equal one, or by its own demand."""
         limit = endpoint.limit
         part = max(limit.rate * self._equal(1), limit.demand.rate(self.now), 1e-3)
@@ -638,17 +672,17 @@
             part = min(part, limit.rate * self._equal(MOST_PARTS))
         return part / (1 if guard is limit else max(1, len(self.dests[endpoint.dest].ready())))
 
-    def _why_over(self, message: Message) -> GiveUp:
+    def _why_over(self, message: Message) -> GiveUpReason:
         """Why no further call is made for a message whose end has come."""
         if message.attempts >= message.most:
-            return GiveUp.NO_TRY_LEFT
+            return GiveUpReason.NO_ATTEMPTS_LEFT
         if message.risky_us < 0 or message.cls.effect is Effect.SAFE:
-            return GiveUp.NO_TIME
+            return GiveUpReason.NO_TIME
         if message.cls.effect is Effect.UNSAFE:
-            return GiveUp.NOT_REPEATABLE
-        return GiveUp.KEY_EXPIRES if self._known_us(message) <= self.now else GiveUp.NO_TIME
+            return GiveUpReason.NOT_REPEATABLE
+        return GiveUpReason.KEY_EXPIRED if self._known_us(message) <= self.now else GiveUpReason.NO_TIME
 
-    def _give_up(self, message: Message, reason: GiveUp) -> None:
+    def _give_up(self, message: Message, reason: GiveUpReason) -> None:
         """Answer for good: a refusal where a retry is harmless, else a failure."""
         keyed_anywhere = message.cls.effect is Effect.KEYED and not message.cls.scope_is_zone
         harmless = message.cls.effect is Effect.SAFE or message.risky_us < 0 or keyed_anywhere
@@ -677,12 +711,12 @@
         if len(self.rests) > 2 * len(self.turns) + 64:
             self.rests = {key: at_us for key, at_us in self.rests.items() if at_us > self.now}
 
-    def _record(self, message: Message, endpoint: Endpoint | None = None) -> Record:
+    def _record(self, message: Message, endpoint: Endpoint | None = None) -> LatencyStats:
         """What a call takes there, else anywhere, else a guess: a quarter of the aim, spread as wide."""
         here = endpoint.records.get(message.cls.name) if endpoint else None
         return here or self.norms.get(message.cls.name) or self._fresh(message.cls.aim_us / 4)
 
-    _fresh = staticmethod(lambda guess_us: Record(guess_us, Tally(MEMORY_US, 1 - WEIGHT)))
+    _fresh = staticmethod(lambda guess_us: LatencyStats(guess_us, DecayingCounter(MEMORY_US, 1 - WEIGHT)))
 
     def _expire(self) -> None:
         """Answer held messages whose time or window covers no call, and the least worthy over the bound."""
@@ -698,10 +732,10 @@
             start = min([e.limit.wait_us for e in dest.ready()], default=0) if dest.held else 0
             if start > self.now:  # told to wait past the message's time: answer now
                 for message in self._ending(dest, start):
-                    self._give_up(message, GiveUp.TOLD_TO_WAIT)
-        for _ in range(self.open - max(1, self.set.hold_cap - 1)):
+                    self._give_up(message, GiveUpReason.WAIT_EXCEEDS_DEADLINE)
+        for _ in range(self.open - max(1, self.set.max_held_messages - 1)):
             if worst := self._worst():
-                self._give_up(worst, GiveUp.TOO_MANY)
+                self._give_up(worst, GiveUpReason.BACKLOG_FULL)
 
     def _worst(self) -> Message | None:
         """The least worthy of all that is held."""
@@ -735,7 +769,7 @@
         if (late_us := at_us - message.aim_us) <= 0:
             return message.worth
         cls = message.cls
-        if self.set.halves:
+        if self.set.worth_halves:
             return message.worth * max(cls.late_worth, math.pow(0.5, late_us / max(1, cls.aim_us)))
         return message.worth * (1 - (1 - cls.late_worth) * late_us / max(1, cls.deadline_us - cls.aim_us))
 
@@ -749,7 +783,7 @@
     def _dispatch(self) -> None:
         """One pass over what is held at the destinations to look at, best first."""
         front: Front = []
-        short, looked = self.calls_out >= SICK_SHARE * self.set.slots, list(self.look)
+        short, looked = self.calls_out >= SICK_SHARE * self.set.max_calls, list(self.look)
         for dest in [self.dests[number] for number in looked]:
             for message in list(dest.resting.values()):
                 self._enter(dest, message)
@@ -793,7 +827,7 @@
 
     def _due_again(self, looked: list[int]) -> None:
         """When to look at these destinations again, where something is held."""
-        if self.calls_out < self.set.slots:  # else what is held waits for a slot and is looked at again
+        if self.calls_out < self.set.max_calls:  # else what is held waits for a slot and is looked at again
             self.look = {}
         for number in looked:
             if (dest := self.dests[number]).held:
@@ -819,7 +853,7 @@
         spots = [e for e in dest.ready() if zone is None or e.zone == zone]
         shared = [e for e in spots if e.host in opened and opened[e.host].messages < opened[e.host].most]
         # Sends of one step to one endpoint share a call as far as its kind allows, whatever is meant here.
-        spots = [e for e in spots if e.host not in opened or opened[e.host].messages >= e.kind.batch]
+        spots = [e for e in spots if e.host not in opened or opened[e.host].messages >= e.kind.batch_size]
         return shared or [e for e in spots if self._room(dest, e)]
 
     def _has_turn(self, message: Message) -> bool:
@@ -829,7 +863,7 @@
 
     def _room(self, dest: Destination, endpoint: Endpoint) -> bool:
         """Whether one more call to the endpoint is within slots, cap, quota, wait, pace and suspicion."""
-        if self.calls_out >= self.set.slots or len(endpoint.calls) >= max(1, int(endpoint.quota)):
+        if self.calls_out >= self.set.max_calls or len(endpoint.calls) >= max(1, int(endpoint.quota)):
             return False
         if self.now < endpoint.clear_us(self.now, self.budget):
             return False
@@ -839,10 +873,12 @@
         out = 0
         for other in others:
             out += len(other.calls)
-        if out < max(1, int(SICK_SHARE * self.set.slots)):  # within the lower cap nobody asks which one binds
+        if out < max(
+            1, int(SICK_SHARE * self.set.max_calls)
+        ):  # within the lower cap nobody asks which one binds
             return True
         sick = any(e.ratio.share(self.now) > HIGH_MARK or self._ill(e) or self._suspect(e) for e in others)
-        return not sick and out < max(1, int(CAP_SHARE * self.set.slots))
+        return not sick and out < max(1, int(CAP_SHARE * self.set.max_calls))
 
     def _cost(self, message: Message, endpoint: Endpoint) -> float:
         """Time to be served there, with its failures and its fee turned into time."""
@@ -861,21 +897,21 @@
                 idle_us = 0
             call = opened[endpoint.host] = Call(endpoint, self.now, overdue, idle_us)
             for guard in endpoint.guards:
-                if endpoint.kind.batch > 1 and guard.slow.phase is not Phase.HEALTHY:
+                if endpoint.kind.batch_size > 1 and guard.slow.phase is not Phase.HEALTHY:
                     load = self._load(self.dests[endpoint.dest], guard)
-                    weight = guard.slow.most_weight(self.now, self.budget, load)
+                    weight = guard.slow.max_call_weight(self.now, self.budget, load)
                     call.most = int(min(call.most, 1 + (weight - 1) / FURTHER_WEIGHT))
             endpoint.calls.append(call)
             self.made.append(call)
             self.calls_out += 1
             limit = endpoint.limit
-            paced = not limit.slow.limited(self.now)  # else credit is the pace
+            paced = not limit.slow.needs_credit(self.now)  # else credit is the pace
             if paced and (pace := self._pace(limit)) < math.inf:
                 gap_us = int(1e6 / pace * self.rng.uniform(0.5, 1.5))  # not back together
                 limit.next_us = max(limit.next_us, self.now - BURST_US) + gap_us
         first = call.messages == 0
         # What travels with others weighs a part of a call.
-        endpoint.slow.charge(self.now, self.budget, 1.0 if first else FURTHER_WEIGHT, first=first)
+        endpoint.slow.spend(self.now, self.budget, 1.0 if first else FURTHER_WEIGHT, first=first)
         self._unhold(message)  # before its tries and what they may have done say another lane
         message.first = False
         call.messages, call.open = call.messages + 1, call.open + 1
--- a/mossfront/interface.py
+++ b/mossfront/interface.py
@@ -36,13 +36,13 @@
         return self in (Verdict.FULL, Verdict.CONNECT_FAILED, Verdict.NOT_SENT)
 
 
-class RosterKind(Enum):
+class EndpointUpdateKind(Enum):
     """What a piece of news about the endpoint list is."""
 
     CHANGES = "changes"
-    WHOLE = "whole"
+    FULL = "whole"
     CACHED = "cached"
-    AWAKE = "awake"  # endpoints of destinations that are used again: listed all along, and no news
+    REACTIVATED = "awake"  # endpoints of destinations that are used again: listed all along, and no news
     FAILED = "failed"
 
 
@@ -82,54 +82,63 @@
     """A kind of destination: whether its endpoints are separate routes, and messages to a call."""
 
     name: str
-    apart: bool = False
-    batch: int = 1
+    separate_routes: bool = False
+    batch_size: int = 1
 
 
 @dataclass(frozen=True, slots=True)
 class Settings:
     """Everything that a relay is told at its start."""
 
-    slots: int
+    max_calls: int
     classes: tuple[MessageClass, ...]
     kinds: tuple[Kind, ...] = ()
     tenants: tuple[Tenant, ...] = ()
     zone_fees: dict[str, float] = field(default_factory=dict)
     group_size: int = 1
-    hold_cap: int = 1000
+    max_held_messages: int = 1000
     max_attempts: int = 1
-    round_us: int = 1000
+    step_interval_us: int = 1000
     keepalive_us: int = 60_000_000
     may_duplicate: bool = False
     may_cancel: bool = False
     may_probe: bool = False
     advise_retry: bool = False
     max_retry_after_us: int = 0
-    must_ask: bool = False
-    pushed: bool = False  # lists come to an agent beside the relay, which answers at once and at no cost
-    ask_within_us: int = 0
-    rates_told: bool = False
-    rates_rough: bool = False
-    halves: bool = False
+    must_subscribe: bool = False
+    list_is_pushed: bool = (
+        False  # lists come to an agent beside the relay, which answers at once and at no cost
+    )
+    subscribe_within_us: int = 0
+    rate_hints_given: bool = False
+    rate_hints_rough: bool = False
+    worth_halves: bool = False
     over_share_worth: float = 1.0
     drain_grace_us: int = 0
-    fall_multiple: float = 2.0
-    fall_us: int = 1_000_000
-    cold_from: float = 0.2
-    warm_within_us: int = 10_000_000
+    collapse_multiple: float = 2.0
+    collapse_window_us: int = 1_000_000
+    cold_capacity_share: float = 0.2
+    warm_up_us: int = 10_000_000
     answer_slack_us: int = 0
     order_pause_us: int = 0
 
     def __post_init__(self) -> None:
         """Refuse settings that cannot work, naming the field."""
-        for name in ("slots", "group_size", "hold_cap", "max_attempts", "round_us", "fall_us"):
+        for name in (
+            "max_calls",
+            "group_size",
+            "max_held_messages",
+            "max_attempts",
+            "step_interval_us",
+            "collapse_window_us",
+        ):
             if getattr(self, name) < 1:
                 raise ValueError(f"{name}: must be at least 1")
         for name in (
             "max_retry_after_us",
-            "ask_within_us",
+            "subscribe_within_us",
             "drain_grace_us",
-            "warm_within_us",
+            "warm_up_us",
             "keepalive_us",
             "answer_slack_us",
             "order_pause_us",
@@ -137,10 +146,10 @@
         ):
             if getattr(self, name) < 0:
                 raise ValueError(f"{name}: must not be negative")
-        if not 0 < self.cold_from <= 1:
-            raise ValueError("cold_from: must lie above 0 and at most at 1")
-        if self.fall_multiple <= 0:
-            raise ValueError("fall_multiple: must be positive")
+        if not 0 < self.cold_capacity_share <= 1:
+            raise ValueError("cold_capacity_share: must lie above 0 and at most at 1")
+        if self.collapse_multiple <= 0:
+            raise ValueError("collapse_multiple: must be positive")
         if not self.classes:
             raise ValueError("classes: at least one is needed")
         if len({cls.name for cls in self.classes}) < len(self.classes):
@@ -151,12 +160,12 @@
             if cls.aim_us < 0 or cls.deadline_us < 1 or cls.window_us < 0:
                 raise ValueError(f"classes.{cls.name}.deadline_us: times must not be negative")
         for kind in self.kinds:
-            if kind.batch < 1:
-                raise ValueError(f"kinds.{kind.name}.batch: must be at least 1")
+            if kind.batch_size < 1:
+                raise ValueError(f"kinds.{kind.name}.batch_size: must be at least 1")
 
 
 @dataclass(frozen=True, slots=True)
-class Entry:
+class EndpointEntry:
     """One endpoint as the directory lists it."""
 
     host: str
@@ -168,44 +177,49 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Roster:
-    """News of the endpoint list. ``later``: of used endpoints that came after the first list, perhaps new."""
+class EndpointUpdate:
+    """News of the endpoint list.
 
-    kind: RosterKind
-    entries: tuple[Entry, ...] = ()
-    later: bool = False
+    ``added_later``: of used endpoints that came after the first list, perhaps new.
+    """
+
+    kind: EndpointUpdateKind
+    entries: tuple[EndpointEntry, ...] = ()
+    added_later: bool = False
 
 
 @dataclass(frozen=True, slots=True)
-class Rules:
+class DeliveryRules:
     """What a message lives and ends by, whatever the settings say later: its class, and its most attempts."""
 
     cls: MessageClass
-    most: int
+    max_attempts: int
 
 
 @dataclass(frozen=True, slots=True)
 class Arrival:
-    """A message taken in; it must get exactly one final answer within ``left_us``.
+    """A message taken in; it must get exactly one final answer within ``time_left_us``.
 
-    Its times count from ``at_us`` by the steps' clock: it may have waited for the step that takes it in, or
-    for a restart to read all that was left (-1: from that step on). The five fields before it speak of a
-    former life of this relay: attempts made, how long ago and in which zone the first of them was made that
+    Its times count from ``received_us`` by the steps' clock: it may have waited for the step that takes it
+    in, or for a restart to read all that was left (-1: from that step on). The five fields before it speak of
+    a former life of this relay: attempts made, how long ago and in which zone the first of them was made that
     may have run (-1: none may), the rules that it was taken on under, and whether a restart found it untried.
     """
 
     id: str
     dest: int
     cls: str
-    left_us: int
+    time_left_us: int
     tenant: str = ""
     key: str = ""
     attempts: int = 0
-    risky_age_us: int = -1
-    risky_zone: str = ""
-    rules: Rules | None = None  # those under which it was taken on, where they are not the present ones
-    found: bool = False  # such a one goes before all else
-    at_us: int = -1
+    in_doubt_age_us: int = -1
+    in_doubt_zone: str = ""
+    rules: DeliveryRules | None = (
+        None  # those under which it was taken on, where they are not the present ones
+    )
+    recovered_untried: bool = False  # such a one goes before all else
+    received_us: int = -1
 
 
 @dataclass(frozen=True, slots=True)
@@ -218,10 +232,12 @@
     verdict: Verdict
     elapsed_us: int
     complete: bool = False
-    wait_us: int = 0
-    limit_left: float | None = None
+    retry_after_us: int = 0
+    limit_remaining: float | None = None
     limit_per_s: float | None = None
-    still_out: bool = False  # its call stays on the wire for others; ``Released`` tells when it no longer is
+    call_continues: bool = (
+        False  # its call stays on the wire for others; ``CallEnded`` tells when it no longer is
+    )
 
 
 @dataclass(frozen=True, slots=True)
@@ -241,58 +257,58 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Withdrawn:
+class MessageWithdrawn:
     """Nobody wants this message any more; no answer is owed."""
 
     id: str
 
 
 @dataclass(frozen=True, slots=True)
-class Released:
+class CallEnded:
     """The call of an attempt that had its outcome before is off the wire: only now nothing of it begins."""
 
     id: str
     attempt: int
 
 
-class CareKind(Enum):
+class OutageRecordKind(Enum):
     """What a process knows of an endpoint that may be down or cold."""
 
     OUTAGE = "outage"  # it was down, and has not been seen back
     SUSPICION = "suspicion"  # a call has failed, and nothing has told yet whether that was an outage
-    RETURN = "return"  # it has been seen back, and is cold
+    RECOVERY = "return"  # it has been seen back, and is cold
 
 
 @dataclass(frozen=True, slots=True)
-class Care:
+class OutageRecord:
     """An endpoint may be down or cold for so long from now; behind a return, until it is warm.
 
     As an action: keep this for a later life. As an event: a former life has seen it.
     """
 
     host: str
-    for_us: int
-    kind: CareKind = CareKind.OUTAGE
+    valid_for_us: int
+    kind: OutageRecordKind = OutageRecordKind.OUTAGE
     served_share: float = 1.0  # of the destination's messages, that was delivered before it failed
 
 
 @dataclass(frozen=True, slots=True)
-class Idle:
+class DestinationIdle:
     """A destination has not been used for long; the relay may let go of it until it is."""
 
     dest: int
 
 
 @dataclass(frozen=True, slots=True)
-class ByHand:
+class HostOverride:
     """Staff leave an endpoint out, whatever the list says, or take it back: then as a new, cold process."""
 
     host: str
-    out: bool
+    disabled: bool
 
 
 @dataclass(frozen=True, slots=True)
-class Learned:
+class EndpointSnapshot:
     """What the process that served before has learned of an endpoint, to go on from."""
 
     host: str
@@ -300,19 +316,22 @@
     quota: float
     pace: float  # own calls/s; 0: none
     rate: float  # calls/s told for all; 0: not told
-    cold_us: int = -1  # how long ago its cold return began; -1: it is warm, or out
-    spaced_us: int = 0  # how long until a cold one bears the next call
+    cold_for_us: int = -1  # how long ago its cold return began; -1: it is warm, or out
+    next_call_in_us: int = 0  # how long until a cold one bears the next call
 
 
 @dataclass(frozen=True, slots=True)
-class Paused:
-    """Nothing is sent from now on, or (``on`` false) it is again; what has no time left is still answered."""
+class DispatchPaused:
+    """Nothing is sent from now on, or (``paused`` false) it is again.
+
+    What has no time left is still answered.
+    """
 
-    on: bool
+    paused: bool
 
 
 @dataclass(frozen=True, slots=True)
-class Changed:
+class SettingsChanged:
     """Other settings count from now on; messages that are open keep the rules under which they came."""
 
     settings: Settings
@@ -320,43 +339,43 @@
 
 Event = (
     Arrival
-    | ByHand
-    | Care
-    | Changed
-    | Idle
-    | Learned
+    | HostOverride
+    | OutageRecord
+    | SettingsChanged
+    | DestinationIdle
+    | EndpointSnapshot
     | Outcome
-    | Paused
+    | DispatchPaused
     | ProbeResult
-    | Released
-    | Roster
+    | CallEnded
+    | EndpointUpdate
     | TimerDue
-    | Withdrawn
+    | MessageWithdrawn
 )
 
 
 @dataclass(frozen=True, slots=True)
 class Send:
-    """Call an endpoint with a message, within ``limit_us`` of the step's time.
+    """Call an endpoint with a message, within ``timeout_us`` of the step's time.
 
-    ``by_us``: only within so long (0: any time), as its key is known.
+    ``start_within_us``: only within so long (0: any time), as its key is known.
     """
 
     id: str
     host: str
-    limit_us: int
-    by_us: int = 0
+    timeout_us: int
+    start_within_us: int = 0
 
 
-class GiveUp(Enum):
+class GiveUpReason(Enum):
     """Why a message gets its final answer without having been delivered."""
 
     NO_TIME = "no time for a further call"
-    TOLD_TO_WAIT = "told to wait beyond its time"
-    NO_TRY_LEFT = "no try left"
+    WAIT_EXCEEDS_DEADLINE = "told to wait beyond its time"
+    NO_ATTEMPTS_LEFT = "no try left"
     NOT_REPEATABLE = "may have run, and may not be repeated"
-    KEY_EXPIRES = "may have run, and its key is known no longer"
-    TOO_MANY = "too many messages are held"
+    KEY_EXPIRED = "may have run, and its key is known no longer"
+    BACKLOG_FULL = "too many messages are held"
 
 
 @dataclass(frozen=True, slots=True)
@@ -365,7 +384,7 @@
 
     id: str
     retry_after_us: int = 0
-    reason: GiveUp = field(default=GiveUp.NO_TIME, compare=False)
+    reason: GiveUpReason = field(default=GiveUpReason.NO_TIME, compare=False)
 
 
 @dataclass(frozen=True, slots=True)
@@ -373,7 +392,7 @@
     """Final answer: given up, nothing is promised."""
 
     id: str
-    reason: GiveUp = field(default=GiveUp.NO_TIME, compare=False)
+    reason: GiveUpReason = field(default=GiveUpReason.NO_TIME, compare=False)
 
 
 @dataclass(frozen=True, slots=True)
@@ -404,14 +423,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Asleep:
+class DestinationDeactivated:
     """Nothing binds an idle destination, and nothing of it is kept here any more."""
 
     dest: int
 
 
 @dataclass(frozen=True, slots=True)
-class Wake:
+class SetTimer:
     """Ask for a ``TimerDue`` after this delay."""
 
     delay_us: int
@@ -424,4 +443,16 @@
     line: str
 
 
-Action = Send | Refuse | Fail | Cancel | CloseIdle | Probe | Subscribe | Asleep | Wake | Log | Care
+Action = (
+    Send
+    | Refuse
+    | Fail
+    | Cancel
+    | CloseIdle
+    | Probe
+    | Subscribe
+    | DestinationDeactivated
+    | SetTimer
+    | Log
+    | OutageRecord
+)
--- a/mossfront/simulator_adapter.py
+++ b/mossfront/simulator_adapter.py
@@ -10,7 +10,7 @@
 from typing import IO
 
 from mossfront import interface as api
-from mossfront.engine import Relay
+from mossfront.engine import DecisionEngine
 from mossfront.settings import (
     BadLineError,
     Fields,
@@ -35,18 +35,18 @@
     "TOO_LATE": api.Verdict.NOT_SENT,
 }
 FORMS = {
-    "0": api.RosterKind.CHANGES,
-    "1": api.RosterKind.WHOLE,
-    "2": api.RosterKind.CACHED,
-    "3": api.RosterKind.FAILED,
+    "0": api.EndpointUpdateKind.CHANGES,
+    "1": api.EndpointUpdateKind.FULL,
+    "2": api.EndpointUpdateKind.CACHED,
+    "3": api.EndpointUpdateKind.FAILED,
 }
 LISTINGS = {"0": api.Listing.GONE, "1": api.Listing.READY, "2": api.Listing.DRAINING}
 LAST_TABLE = 15
 
 
-def entry_of(pairs: Fields) -> api.Entry:
+def entry_of(pairs: Fields) -> api.EndpointEntry:
     """One line of a host list."""
-    return api.Entry(
+    return api.EndpointEntry(
         host=need(pairs, "host"),
         dest=whole(pairs, "dest"),
         zone=pairs.get("campus", ""),
@@ -74,7 +74,7 @@
         id=need(pairs, "xid"),
         dest=whole(pairs, "terminates_at"),
         cls=need(pairs, "tier_class"),
-        left_us=whole(pairs, "grace_us"),
+        time_left_us=whole(pairs, "grace_us"),
         tenant=pairs.get("account", ""),
         key=pairs.get("affinity", ""),
     )
@@ -91,8 +91,8 @@
         verdict=verdict,
         elapsed_us=whole(pairs, "elapsed_us", 0),
         complete=flag(pairs, "complete"),
-        wait_us=wait_ms * 1000,
-        limit_left=report.get("x0"),
+        retry_after_us=wait_ms * 1000,
+        limit_remaining=report.get("x0"),
         limit_per_s=report.get("x1"),
     )
 
@@ -114,9 +114,9 @@
     return api.TimerDue()
 
 
-def withdrawn_of(pairs: Fields) -> api.Withdrawn:
+def withdrawn_of(pairs: Fields) -> api.MessageWithdrawn:
     """A message that nobody wants any more."""
-    return api.Withdrawn(need(pairs, "xid"))
+    return api.MessageWithdrawn(need(pairs, "xid"))
 
 
 READERS: dict[str, Callable[[Fields], api.Event]] = {
@@ -132,7 +132,7 @@
 def written(who: str, action: api.Action) -> str:
     """One action as a line of the wire."""
     match action:
-        case api.Send(id=xid, host=host, limit_us=limit):
+        case api.Send(id=xid, host=host, timeout_us=limit):
             return f"try who={who} xid={xid} host={host} limit_us={limit}"
         case api.Refuse(id=xid, retry_after_us=after):
             return f"bounce who={who} xid={xid} hold_off_us={after}"
@@ -146,13 +146,15 @@
             return f"test who={who} host={host}"
         case api.Subscribe():
             return f"observe who={who} active=1"
-        case api.Wake(delay_us=delay):
+        case api.SetTimer(delay_us=delay):
             return f"sleep who={who} wait_us={delay} label=wake"
         case api.Log(line=line):
             return f"log who={who} line={line}"
-        case api.Asleep(dest=dest):  # a simulated list is small: no destination is ever called idle here
+        case api.DestinationDeactivated(
+            dest=dest
+        ):  # a simulated list is small: no destination is ever called idle here
             return f"log who={who} line=destination {dest} sleeps"
-        case api.Care(host=host, for_us=us):  # nothing outlasts an instance here
+        case api.OutageRecord(host=host, valid_for_us=us):  # nothing outlasts an instance here
             return f"log who={who} line={host} needs care for {us} us"
 
 
@@ -162,8 +164,8 @@
     def __init__(self, lines: Iterator[str], out: IO[str]) -> None:
         """Read frames from ``lines`` and write replies to ``out``."""
         self._lines, self._out, self._number = lines, out, 0
-        self._relays: dict[str, Relay] = {}
-        self._tables: dict[int, tuple[api.Entry, ...]] = {}
+        self._relays: dict[str, DecisionEngine] = {}
+        self._tables: dict[int, tuple[api.EndpointEntry, ...]] = {}
         self._events: dict[str, list[api.Event]] = {}
 
     @property
@@ -192,22 +194,22 @@
             entries.append(entry_of(fields_of(rest)))
         self._tables[ref] = tuple(entries)
 
-    def _roster(self, pairs: Fields) -> api.Roster:
+    def _roster(self, pairs: Fields) -> api.EndpointUpdate:
         """News of the list, with the table it names as it stands at this line."""
         kind = known(FORMS, pairs, "form")
-        if kind is api.RosterKind.FAILED:
-            return api.Roster(kind)
+        if kind is api.EndpointUpdateKind.FAILED:
+            return api.EndpointUpdate(kind)
         ref = whole(pairs, "ref", 0)
         if ref not in self._tables:
             raise BadLineError(f"no table {ref}")
-        return api.Roster(kind, self._tables[ref])
+        return api.EndpointUpdate(kind, self._tables[ref])
 
     def _init(self, rest: str) -> str:
         """Start a relay afresh; its settings fill the rest of the line."""
         pairs = fields_of(rest)
         who, seed = need(pairs, "who"), whole(pairs, "init_seed")
         try:
-            self._relays[who] = Relay(settings_of(pairs), seed)
+            self._relays[who] = DecisionEngine(settings_of(pairs), seed)
         except BadLineError:
             raise
         except ValueError as error:
--- a/mossfront/slow_start.py
+++ b/mossfront/slow_start.py
@@ -54,7 +54,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Transition:
+class PhaseChange:
     """A change of phase and its reason, for the log."""
 
     before: Phase
@@ -63,7 +63,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Load:
+class EndpointTraffic:
     """What this sender knows of an endpoint's traffic."""
 
     messages_per_s: float  # its own new messages for the endpoint
@@ -77,25 +77,25 @@
     """The settings' figures of a cold endpoint, and how many senders share it."""
 
     senders: int
-    multiple: float  # of its present capacity that it bears
-    fall_us: int  # sent more for so long, it falls over
-    cold_from: float  # share of its capacity at its return
-    warm_us: int  # until it has all of it
+    collapse_multiple: float  # of its present capacity that it bears
+    collapse_window_us: int  # sent more for so long, it falls over
+    cold_capacity_share: float  # share of its capacity at its return
+    warm_up_us: int  # until it has all of it
 
     @property
-    def unit_us(self) -> int:
+    def time_per_call_us(self) -> int:
         """Time in which one sender earns a call without any message.
 
         In a small group it is short enough for a message that is held to be tried. In a large one it is not,
         and what all earn by time only adds to what messages earn: there it is to be little.
         """
         falls = min(MOST_FALLS, max(1.0, self.senders / FEW_SENDERS))
-        return int(falls * self.fall_us * self.senders)
+        return int(falls * self.collapse_window_us * self.senders)
 
     def credit_per_message(self, cold_for_us: int) -> float:
         """Calls that a new message earns while the endpoint has been back for so long (0: not yet back)."""
-        warm = min(1.0, max(0, cold_for_us) / max(1, self.warm_us))
-        return self.multiple * (self.cold_from + (1 - self.cold_from) * warm)
+        warm = min(1.0, max(0, cold_for_us) / max(1, self.warm_up_us))
+        return self.collapse_multiple * (self.cold_capacity_share + (1 - self.cold_capacity_share) * warm)
 
 
 def share_notified(messages_per_s: float, outage_us: int) -> float:
@@ -113,18 +113,18 @@
         "_doubted",
         "_refunded",
         "batched",
-        "cold_us",
-        "failed_us",
-        "ok_us",
+        "cold_since_us",
+        "first_failure_us",
+        "last_success_us",
         "phase",
         "served_share",
     )
 
     def __init__(self) -> None:
         self.phase = Phase.HEALTHY
-        self.failed_us = NEVER_US  # when the first failure of this suspicion was known
-        self.ok_us = NEVER_US  # the last success
-        self.cold_us = -1  # when the endpoint was found to be back; -1: it is not in slow start
+        self.first_failure_us = NEVER_US  # when the first failure of this suspicion was known
+        self.last_success_us = NEVER_US  # the last success
+        self.cold_since_us = -1  # when the endpoint was found to be back; -1: it is not in slow start
         self.batched = False  # whether a call may carry several messages
         self._credit = CallCredit()
         self._confirm_by_us = NEVER_US
@@ -133,46 +133,50 @@
         self._doubted = False  # no call has failed here, but one to a sibling
         self.served_share = 1.0  # of the messages before the first failure
 
-    def limited(self, now_us: int) -> bool:
+    def needs_credit(self, now_us: int) -> bool:
         """Whether calls need credit now: not right behind a success, nor for a call that confirms."""
         return self.phase is not Phase.HEALTHY and not self._free(now_us)
 
-    def call_us(self, now_us: int, budget: Budget) -> int:
+    def next_call_us(self, now_us: int, budget: Budget) -> int:
         """When the next call may be made, if no message comes before."""
-        return self._credit.next_call_us(now_us, budget.unit_us) if self.limited(now_us) else NEVER_US
+        return (
+            self._credit.next_call_us(now_us, budget.time_per_call_us)
+            if self.needs_credit(now_us)
+            else NEVER_US
+        )
 
-    def message(self, now_us: int, budget: Budget, load: Load, share: float) -> None:
+    def on_message(self, now_us: int, budget: Budget, load: EndpointTraffic, share: float) -> None:
         """A new message came, of which this endpoint has that share."""
         if self.phase is not Phase.HEALTHY:
             earned = share * self._calls_per_message(now_us, budget, load)
             one = self.phase is not Phase.SLOW_START  # what is not known to be back is tried call by call
-            self._credit.earn(now_us, earned, budget.unit_us, one=one)
+            self._credit.earn(now_us, earned, budget.time_per_call_us, one=one)
 
     def pause(self, until_us: int) -> None:
         """No call is made until then, a time that this sender has drawn for itself."""
         self._credit.pause(until_us)
 
-    def charge(self, now_us: int, budget: Budget, weight: float, first: bool) -> None:
+    def spend(self, now_us: int, budget: Budget, weight: float, first: bool) -> None:
         """A call of this weight is made, or (not ``first``) so much is added to one of this moment."""
         if self.phase is Phase.HEALTHY:
             return
         if self._free(now_us):
             self._confirming = self._confirming or (first and not self._recent(now_us))
             return
-        self._credit.spend(now_us, weight, budget.unit_us)
+        self._credit.spend(now_us, weight, budget.time_per_call_us)
 
-    def failed(
+    def on_failure(
         self,
         now_us: int,
         sent_us: int,
         budget: Budget,
-        load: Load,
+        load: EndpointTraffic,
         drawn: float,
         *,
         reason: str,
         outage: bool = False,
         hung: bool = False,
-    ) -> Transition | None:
+    ) -> PhaseChange | None:
         """A call has failed. ``outage``: most calls fail. ``hung``: others may have failed in this moment.
 
         ``drawn``, in 0 to 1, is the credit to begin with.
@@ -189,16 +193,18 @@
                 # The message that failed has had its first call; what it may earn beyond that is a retry.
                 retries = 0.0 if hung else max(0.0, self._calls_per_message(now_us, budget, load) - 1)
                 call_weight = self._credit_for_call(now_us, budget, load)
-                self._credit.begin(now_us, drawn + retries / call_weight, budget.fall_us, call_weight)
+                self._credit.begin(
+                    now_us, drawn + retries / call_weight, budget.collapse_window_us, call_weight
+                )
                 self._refunded = 0.0
             if not outage:
                 return self._enter(Phase.SUSPECT, reason)
-        elif not outage and (sent_us < self.failed_us or self._recent(now_us)):
+        elif not outage and (sent_us < self.first_failure_us or self._recent(now_us)):
             return None  # it was out beside the one that failed first, or others are served
-        self.cold_us = -1
+        self.cold_since_us = -1
         return self._enter(Phase.DOWN, reason)
 
-    def refund(self, now_us: int, budget: Budget, load: Load) -> None:
+    def refund(self, now_us: int, budget: Budget, load: EndpointTraffic) -> None:
         """A call was answered with an error: the outage goes on, and none before now weighs on the return.
 
         A sender that may send many calls while the endpoint falls may try again at once. Of many senders that
@@ -207,9 +213,9 @@
         if self.phase is Phase.DOWN:
             part = self._calls_in_a_fall(now_us, budget, load) / REFUNDED_PART
             self._refunded = min(1.0, max(part, REFUNDED_TO_ALL / budget.senders))
-            self._credit.give_back(now_us, self._refunded, budget.unit_us)
+            self._credit.give_back(now_us, self._refunded, budget.time_per_call_us)
 
-    def most_weight(self, now_us: int, budget: Budget, load: Load) -> float:
+    def max_call_weight(self, now_us: int, budget: Budget, load: EndpointTraffic) -> float:
         """What a call may weigh: this sender's part of a fall's budget, and a small batch at least."""
         if self.phase is Phase.HEALTHY or (self.phase is Phase.SUSPECT and self._recent(now_us)):
             return math.inf
@@ -220,30 +226,30 @@
         if self.phase is Phase.SUSPECT and self._confirm_by_us == NEVER_US:
             self._confirm_by_us = until_us
 
-    def succeeded(self, now_us: int, sent_us: int, budget: Budget) -> Transition | None:
+    def on_success(self, now_us: int, sent_us: int, budget: Budget) -> PhaseChange | None:
         """A call was served."""
         if self.phase is Phase.HEALTHY:
-            self.ok_us = now_us
+            self.last_success_us = now_us
             return None
-        recent, self.ok_us = self._recent(now_us), now_us
+        recent, self.last_success_us = self._recent(now_us), now_us
         if self.phase is Phase.SLOW_START:
             # A window that begins just before the endpoint is warm ends so much later.
-            if now_us - self.cold_us > budget.warm_us + budget.fall_us:
-                self.cold_us = -1
+            if now_us - self.cold_since_us > budget.warm_up_us + budget.collapse_window_us:
+                self.cold_since_us = -1
                 return self._enter(Phase.HEALTHY, "warm")
             return None
         if self.phase is Phase.SUSPECT and (recent or self._doubted or sent_us <= self._confirm_by_us):
             self._doubted = False
-            phase = Phase.HEALTHY if self.cold_us < 0 else Phase.SLOW_START
+            phase = Phase.HEALTHY if self.cold_since_us < 0 else Phase.SLOW_START
             return self._enter(phase, "served again at once")
         # The outage went on until the last failed call: of the calls so far this one weighs on the return.
-        self._credit.give_back(now_us, self._refunded, budget.unit_us)
-        self.cold_us, self._refunded = now_us, 0.0
+        self._credit.give_back(now_us, self._refunded, budget.time_per_call_us)
+        self.cold_since_us, self._refunded = now_us, 0.0
         return self._enter(Phase.SLOW_START, "served again")
 
-    def doubted(
-        self, now_us: int, budget: Budget, load: Load, drawn: float, reason: str
-    ) -> Transition | None:
+    def on_sibling_failure(
+        self, now_us: int, budget: Budget, load: EndpointTraffic, drawn: float, reason: str
+    ) -> PhaseChange | None:
         """A sibling failed: endpoints of one destination mostly fail together.
 
         One that has just served is in no outage. Of another one nobody knows until it is called.
@@ -252,7 +258,9 @@
             return None
         self._suspicion_begins(now_us)
         self.served_share, self._doubted = load.served_share, True
-        self._credit.begin(now_us, drawn, budget.fall_us, self._credit_for_call(now_us, budget, load))
+        self._credit.begin(
+            now_us, drawn, budget.collapse_window_us, self._credit_for_call(now_us, budget, load)
+        )
         return self._enter(Phase.SUSPECT, reason)
 
     def restore(
@@ -264,58 +272,58 @@
         *,
         cold_for_us: int = 0,
         served_share: float = 1.0,
-    ) -> Transition | None:
+    ) -> PhaseChange | None:
         """Go on in the phase in which a former process was; in slow start, from the return that it saw.
 
         Credit is drawn anew: many processes may have been restarted together.
         """
-        self.cold_us, self.failed_us, self.served_share = -1, now_us, served_share
+        self.cold_since_us, self.first_failure_us, self.served_share = -1, now_us, served_share
         self._doubted = False
-        self._credit.begin(now_us, drawn, budget.fall_us, self._small_batch_credit)
+        self._credit.begin(now_us, drawn, budget.collapse_window_us, self._small_batch_credit)
         if phase is Phase.SLOW_START:
-            self.cold_us = now_us - cold_for_us
+            self.cold_since_us = now_us - cold_for_us
         return self._enter(phase, "known from before the restart")
 
     def resume(self, now_us: int, budget: Budget, cold_for_us: int, credit_in_us: int) -> None:
         """Go on from where the process before this one, which has handed over, stood in a slow start."""
-        self.phase, self.ok_us = Phase.SLOW_START, now_us
-        self.cold_us = max(0, now_us - cold_for_us)
+        self.phase, self.last_success_us = Phase.SLOW_START, now_us
+        self.cold_since_us = max(0, now_us - cold_for_us)
         call_weight = self._small_batch_credit
-        fraction = 1 - credit_in_us / (budget.unit_us * call_weight)
-        self._credit.begin(now_us, fraction, budget.fall_us, call_weight)
+        fraction = 1 - credit_in_us / (budget.time_per_call_us * call_weight)
+        self._credit.begin(now_us, fraction, budget.collapse_window_us, call_weight)
 
-    def returned(self, now_us: int, budget: Budget, drawn: float) -> None:
+    def begin_cold(self, now_us: int, budget: Budget, drawn: float) -> None:
         """The endpoint is known to be a new process: it is cold from now."""
-        self.phase, self.cold_us = Phase.SLOW_START, now_us
-        self._credit.begin(now_us, drawn, budget.fall_us, self._small_batch_credit)
+        self.phase, self.cold_since_us = Phase.SLOW_START, now_us
+        self._credit.begin(now_us, drawn, budget.collapse_window_us, self._small_batch_credit)
 
-    def credit_in_us(self, now_us: int, budget: Budget) -> int:
+    def credit_available_in_us(self, now_us: int, budget: Budget) -> int:
         """How long until a call is earned, if no message comes."""
         if self.phase is Phase.HEALTHY:
             return 0
-        return self._credit.next_call_us(now_us, budget.unit_us) - now_us
+        return self._credit.next_call_us(now_us, budget.time_per_call_us) - now_us
 
-    def _calls_per_message(self, now_us: int, budget: Budget, load: Load) -> float:
+    def _calls_per_message(self, now_us: int, budget: Budget, load: EndpointTraffic) -> float:
         """Calls that a new message earns, so that those of all notified senders fit the budget."""
-        outage_us = min(USUAL_OUTAGE_US + max(0, now_us - self.failed_us), LONG_OUTAGE_US)
+        outage_us = min(USUAL_OUTAGE_US + max(0, now_us - self.first_failure_us), LONG_OUTAGE_US)
         notified = max(LEAST_NOTIFIED, share_notified(load.destination_per_s, outage_us))
         bears = budget.credit_per_message(self._cold_for_us(now_us))
         earned = max(bears, BESIDE_OTHERS * (1 - notified)) / notified
         return earned * self.served_share
 
-    def _calls_in_a_fall(self, now_us: int, budget: Budget, load: Load) -> float:
+    def _calls_in_a_fall(self, now_us: int, budget: Budget, load: EndpointTraffic) -> float:
         """This sender's part of what a cold endpoint bears in the time in which it falls over."""
         per_s = load.messages_per_s
         if load.limit_per_s:
             per_s = min(per_s, MOST_PARTS * load.limit_per_s / budget.senders)
-        return budget.credit_per_message(self._cold_for_us(now_us)) * per_s * budget.fall_us / 1e6
+        return budget.credit_per_message(self._cold_for_us(now_us)) * per_s * budget.collapse_window_us / 1e6
 
     @property
     def _small_batch_credit(self) -> float:
         """The credit for a call of a sender whose part of the budget is small or unknown."""
         return SMALL_BATCH_CREDIT if self.batched else 1.0
 
-    def _credit_for_call(self, now_us: int, budget: Budget, load: Load) -> float:
+    def _credit_for_call(self, now_us: int, budget: Budget, load: EndpointTraffic) -> float:
         """The credit that a call needs.
 
         A sender whose part is larger than a small batch makes about one call in the time of a fall, and may
@@ -326,20 +334,20 @@
 
     def _suspicion_begins(self, now_us: int) -> None:
         """From now on something may be wrong, and no call has been allowed to tell."""
-        self.failed_us, self._confirming, self._confirm_by_us = now_us, False, NEVER_US
+        self.first_failure_us, self._confirming, self._confirm_by_us = now_us, False, NEVER_US
 
     def _recent(self, now_us: int) -> bool:
-        return now_us - self.ok_us <= RECENT_US
+        return now_us - self.last_success_us <= RECENT_US
 
     def _free(self, now_us: int) -> bool:
         """Whether a call needs no credit: right behind a success, or the one that may tell."""
-        if self.phase is not Phase.SUSPECT or self.cold_us >= 0:
+        if self.phase is not Phase.SUSPECT or self.cold_since_us >= 0:
             return False
         return self._recent(now_us) or (not self._confirming and now_us <= self._confirm_by_us)
 
     def _cold_for_us(self, now_us: int) -> int:
-        return now_us - self.cold_us if self.phase is Phase.SLOW_START else 0
+        return now_us - self.cold_since_us if self.phase is Phase.SLOW_START else 0
 
-    def _enter(self, phase: Phase, reason: str) -> Transition:
+    def _enter(self, phase: Phase, reason: str) -> PhaseChange:
         before, self.phase = self.phase, phase
-        return Transition(before, phase, reason)
+        return PhaseChange(before, phase, reason)
--- a/mossfront/state.py
+++ b/mossfront/state.py
@@ -5,14 +5,14 @@
 import math
 from typing import TYPE_CHECKING
 
-from mossfront.interface import Arrival, CareKind, Entry, Kind, Listing, Rules
+from mossfront.interface import Arrival, DeliveryRules, EndpointEntry, Kind, Listing, OutageRecordKind
 from mossfront.slow_start import NEVER_US, Budget, Phase, SlowStart
 
 if TYPE_CHECKING:
     from mossfront.backlog import Lane
 
 
-class Tally:
+class DecayingCounter:
     """Events and how many of them count; they fade over ``memory_us`` and, by ``keep``, with each event."""
 
     def __init__(self, memory_us: int, keep: float = 1.0) -> None:
@@ -34,7 +34,7 @@
         return self.total * math.exp((self.at_us - now_us) / self.memory_us) * 1e6 / self.memory_us
 
 
-class Traffic(Tally):
+class TrafficRate(DecayingCounter):
     """How many new messages a second come, right also in the first seconds of a count."""
 
     MEMORY_US = 30_000_000
@@ -58,10 +58,10 @@
         return self.rate(now_us) / -math.expm1(-age_us / self.MEMORY_US)
 
 
-class Record:
+class LatencyStats:
     """How a class of message fares, at an endpoint or anywhere: answer times, and failures of its own."""
 
-    def __init__(self, guess_us: float, bad: Tally) -> None:
+    def __init__(self, guess_us: float, bad: DecayingCounter) -> None:
         self.mean_us, self.spread_us, self.bad = guess_us, guess_us, bad
 
     def learn(self, took_us: float, weight: float) -> None:
@@ -70,7 +70,7 @@
         self.mean_us += weight * (took_us - self.mean_us)
 
 
-class Guard:
+class CallLimiter:
     """What bounds calls to an endpoint, or to all that share a limit: failures, pauses, pace, slow start."""
 
     def __init__(self, memory_us: int) -> None:
@@ -79,12 +79,15 @@
         self.wait_us, self.next_us = 0, NEVER_US  # told to wait until; own pause until
         self.rate, self.pace, self.pace_us = 0.0, math.inf, 0  # calls/s: told for all (0: not); own pace
         self.told, self.told_us = (0.0, 0.0), NEVER_US  # rate and share left as told last; when
-        self.demand, self.served = Tally(memory_us), Tally(memory_us)  # own messages that came, own successes
+        self.demand, self.served = (
+            DecayingCounter(memory_us),
+            DecayingCounter(memory_us),
+        )  # own messages that came, own successes
 
     @property
     def ok_us(self) -> int:
         """When a call was served last."""
-        return self.slow.ok_us
+        return self.slow.last_success_us
 
     @property
     def pause_us(self) -> int:
@@ -95,20 +98,22 @@
 class Endpoint:
     """One address: its calls in flight, quota, failure ratio and records by class."""
 
-    def __init__(self, entry: Entry, kind: Kind, shared: Guard, own: Guard, ratio: Tally) -> None:
+    def __init__(
+        self, entry: EndpointEntry, kind: Kind, shared: CallLimiter, own: CallLimiter, ratio: DecayingCounter
+    ) -> None:
         self.host, self.dest, self.zone, self.kind = entry.host, entry.dest, entry.zone, kind
         self.listing, self.ratio, self.own, self.out = entry.listing, ratio, own, False  # out: by hand
-        self.limit = own if kind.apart else shared
-        self.guards = (own,) if kind.apart else (own, shared)
+        self.limit = own if kind.separate_routes else shared
+        self.guards = (own,) if kind.separate_routes else (own, shared)
         for guard in self.guards:
-            guard.slow.batched = kind.batch > 1
+            guard.slow.batched = kind.batch_size > 1
         self.calls: list[Call] = []
-        self.records: dict[str, Record] = {}
+        self.records: dict[str, LatencyStats] = {}
         self.quota, self.start = 0.0, 0.0  # calls in flight allowed now, and at most
         self.used_us = 0  # when a call last ended (0: no connection is left)
         self.gone_us = 0  # when it was heard that it is gone
         self.care_us = 0  # until when a later life was told to take care
-        self.care_kind = CareKind.OUTAGE
+        self.care_kind = OutageRecordKind.OUTAGE
 
     @property
     def slow(self) -> SlowStart:
@@ -122,7 +127,7 @@
         for guard in self.guards:
             clear_us = max(clear_us, guard.wait_us, guard.next_us)
             limited = limited or guard.slow.phase is not Phase.HEALTHY
-        return max(clear_us, self.slow.call_us(now_us, budget)) if limited else clear_us
+        return max(clear_us, self.slow.next_call_us(now_us, budget)) if limited else clear_us
 
     def follow(self, listing: Listing, now_us: int) -> None:
         """Follow the directory."""
@@ -136,42 +141,42 @@
 
     def __init__(self, endpoint: Endpoint, now_us: int, overdue_us: float, idle_us: int) -> None:
         self.endpoint, self.sent_us, self.overdue_us, self.idle_us = endpoint, now_us, overdue_us, idle_us
-        self.messages, self.open, self.most = 0, 0, endpoint.kind.batch  # most: that it may carry
+        self.messages, self.open, self.most = 0, 0, endpoint.kind.batch_size  # most: that it may carry
         self.carried: list[tuple[Message, int]] = []  # until it is let out, with the time-out (us) of each
 
 
-class Manner:
+class CompiledRules:
     """One set of rules with what follows from it; messages of equal rules share it."""
 
-    def __init__(self, rules: Rules, number: int, bends: tuple[int, ...]) -> None:
+    def __init__(self, rules: DeliveryRules, number: int, bends: tuple[int, ...]) -> None:
         self.rules, self.number, self.bends = rules, number, bends
 
 
 class Message:
     """A message taken in and what is known of its attempts."""
 
-    def __init__(self, event: Arrival, manner: Manner, now_us: int, worth: float) -> None:
-        cls, reckoned_us = manner.rules.cls, now_us if event.at_us < 0 else event.at_us
+    def __init__(self, event: Arrival, manner: CompiledRules, now_us: int, worth: float) -> None:
+        cls, reckoned_us = manner.rules.cls, now_us if event.received_us < 0 else event.received_us
         self.id, self.dest, self.cls, self.worth = event.id, event.dest, cls, worth
-        self.manner, self.most = manner, manner.rules.most
-        self.key, self.deadline_us = event.key if cls.in_order else "", reckoned_us + event.left_us
+        self.manner, self.most = manner, manner.rules.max_attempts
+        self.key, self.deadline_us = event.key if cls.in_order else "", reckoned_us + event.time_left_us
         self.aim_us = self.deadline_us - cls.deadline_us + cls.aim_us
         self.out: dict[int, Call] = {}
         self.attempts, self.timeouts, self.done = event.attempts, 0, False
         self.serial = 0  # when it was held last
-        self.first = event.found  # a restart has found it, and it was not tried yet
+        self.first = event.recovered_untried  # a restart has found it, and it was not tried yet
         self.lane: tuple[object, ...] = ()  # where it is held, if it may go
         self.risky_us, self.risky_zone = -1, ""  # first attempt that may have run: when sent, and its zone
-        if event.risky_age_us >= 0:  # made in a former life of this relay
-            self.risky_us, self.risky_zone = max(0, reckoned_us - event.risky_age_us), event.risky_zone
+        if event.in_doubt_age_us >= 0:  # made in a former life of this relay
+            self.risky_us, self.risky_zone = max(0, reckoned_us - event.in_doubt_age_us), event.in_doubt_zone
 
 
 class Destination:
     """A partner: its endpoints, the messages held for it, and the limit that its endpoints share."""
 
-    def __init__(self, limit: Guard, now_us: int) -> None:
+    def __init__(self, limit: CallLimiter, now_us: int) -> None:
         self.limit = limit
-        self.traffic = Traffic(now_us)
+        self.traffic = TrafficRate(now_us)
         self.endpoints: dict[str, Endpoint] = {}
         self.held: dict[str, Message] = {}
         self.lanes: dict[tuple[object, ...], Lane] = {}  # those of them that may go
--- a/tests/calls.py
+++ b/tests/calls.py
@@ -9,10 +9,10 @@
 from mallowlug.core.model import Call, HostList, Listed, Part, Told
 from mallowlug.partners.http_calls import Exchange, Hosts
 from mallowlug.system import POSIX
-from mossfront.interface import Entry, Kind, Listing
+from mossfront.interface import EndpointEntry, Kind, Listing
 from tests.world import HttpServer, delivered, soon
 
-KIND = Kind("banks", apart=True, batch=10)
+KIND = Kind("banks", separate_routes=True, batch_size=10)
 
 
 class Calls:
@@ -28,7 +28,7 @@
 
     def list(self, port: int, listing: Listing = Listing.READY) -> None:
         """The host as the directory lists it."""
-        entry = Entry("h1", 1, "a", "banks", listing)
+        entry = EndpointEntry("h1", 1, "a", "banks", listing)
         self.hosts.apply(HostList(1, False, (Listed(entry, ("127.0.0.1", port)),)))
 
     def _settled(self, _call: Call, part: Part, told: Told) -> None:
--- a/tests/checker.py
+++ b/tests/checker.py
@@ -9,7 +9,7 @@
 from collections.abc import Sequence
 from dataclasses import dataclass, field
 
-from mossfront import Relay
+from mossfront import DecisionEngine
 from mossfront import interface as api
 
 
@@ -46,12 +46,12 @@
 
     def __init__(self, settings: api.Settings, seed: int = 1) -> None:
         """Start a relay under audit."""
-        self.settings, self.relay, self.now_us = settings, Relay(settings, seed), 0
+        self.settings, self.relay, self.now_us = settings, DecisionEngine(settings, seed), 0
         self.classes = {cls.name: cls for cls in settings.classes}
-        self.apart = {kind.name: kind.apart for kind in settings.kinds}
-        self.batch = {kind.name: kind.batch for kind in settings.kinds}
+        self.apart = {kind.name: kind.separate_routes for kind in settings.kinds}
+        self.batch = {kind.name: kind.batch_size for kind in settings.kinds}
         self.cases: dict[str, Case] = {}
-        self.entries: dict[str, api.Entry] = {}
+        self.entries: dict[str, api.EndpointEntry] = {}
         self.listed: dict[str, tuple[api.Listing, int]] = {}
         self.waits: dict[str, int] = {}
         self.rests: dict[str, int] = {}
@@ -74,17 +74,17 @@
         for action in actions:
             self._did(action, fresh)
         self.calls = [(h, parts) for h, parts in self.calls if any(a.open for a in parts)]
-        assert len(self.calls) <= self.settings.slots, "slots: more calls out than slots"
+        assert len(self.calls) <= self.settings.max_calls, "slots: more calls out than slots"
         for case in self.cases.values():
-            slack = self.settings.answer_slack_us + self.settings.round_us
+            slack = self.settings.answer_slack_us + self.settings.step_interval_us
             assert case.over or now_us <= case.deadline_us + slack, f"lost message: {case.event.id}"
         self.trace += actions
         return actions
 
     def _told(self, event: api.Event) -> None:
-        if isinstance(event, api.Roster) and event.kind is not api.RosterKind.FAILED:
+        if isinstance(event, api.EndpointUpdate) and event.kind is not api.EndpointUpdateKind.FAILED:
             named = {entry.host for entry in event.entries}
-            if event.kind is not api.RosterKind.CHANGES:
+            if event.kind is not api.EndpointUpdateKind.CHANGES:
                 for host in self.listed:
                     if host not in named and self.listed[host][0] is not api.Listing.GONE:
                         self.listed[host] = (api.Listing.GONE, self.now_us)
@@ -94,9 +94,9 @@
                     self.listed[entry.host] = (entry.listing, self.now_us)
         elif isinstance(event, api.Arrival):
             self.cases[event.id] = Case(
-                event, self.classes[event.cls], self.now_us + event.left_us, len(self.cases)
+                event, self.classes[event.cls], self.now_us + event.time_left_us, len(self.cases)
             )
-        elif isinstance(event, api.Withdrawn) and event.id in self.cases:
+        elif isinstance(event, api.MessageWithdrawn) and event.id in self.cases:
             self.cases[event.id].over = True
         elif isinstance(event, api.Outcome):
             self._ended(event)
@@ -107,9 +107,9 @@
         attempt.open, attempt.may_run = False, not event.verdict.never_ran
         if event.complete:
             case.over = True
-        if event.wait_us:
+        if event.retry_after_us:
             name = self.route(event.host)
-            self.waits[name] = max(self.waits.get(name, 0), self.now_us + event.wait_us)
+            self.waits[name] = max(self.waits.get(name, 0), self.now_us + event.retry_after_us)
         unsettled = (api.Verdict.TIMEOUT, api.Verdict.RESET, api.Verdict.CANCELLED)
         if case.cls.in_order and case.event.key and event.verdict in unsettled:
             self.rests[case.event.key] = self.now_us + self.settings.order_pause_us
@@ -130,16 +130,16 @@
         elif isinstance(action, api.Probe):
             assert self.settings.may_probe, "probes are not allowed here"
         elif isinstance(action, api.Subscribe):
-            assert self.settings.must_ask, "asked where the list is pushed"
-        elif isinstance(action, api.Wake):
-            assert action.delay_us >= self.settings.round_us, "woken within the round"
+            assert self.settings.must_subscribe, "asked where the list is pushed"
+        elif isinstance(action, api.SetTimer):
+            assert action.delay_us >= self.settings.step_interval_us, "woken within the round"
 
     def _sent(self, case: Case, action: api.Send, fresh: dict[str, list[Attempt]]) -> None:
         cls, entry = case.cls, self.entries[action.host]
         assert not case.over, f"sent after its end: {action.id}"
         assert entry.dest == case.event.dest, "sent to another destination"
         assert len(case.attempts) < self.settings.max_attempts, "too many attempts"
-        assert 0 < action.limit_us <= case.deadline_us - self.now_us, "time-out past the message's time"
+        assert 0 < action.timeout_us <= case.deadline_us - self.now_us, "time-out past the message's time"
         if not self.settings.may_duplicate:
             assert not any(a.open for a in case.attempts), "two attempts side by side"
         risky = case.risky()
@@ -155,7 +155,7 @@
             assert self.now_us <= since_us + self.settings.drain_grace_us, "drain: sent past the grace"
         assert self.now_us >= self.waits.get(self.route(action.host), 0), "wait: sent before its end"
         self._turn(case)
-        attempt = Attempt(action.host, self.now_us, self.now_us + action.limit_us)
+        attempt = Attempt(action.host, self.now_us, self.now_us + action.timeout_us)
         case.attempts.append(attempt)
         parts = fresh.get(action.host)
         if parts is None or len(parts) >= self.batch.get(entry.kind, 1):
--- a/tests/contracts/partners.py
+++ b/tests/contracts/partners.py
@@ -10,10 +10,10 @@
 
 from mallowlug.core.model import Address, Call, HostList, Listed, Part, Told
 from mallowlug.core.ports import Partners, Settled
-from mossfront.interface import Entry, Kind, Listing, Verdict
+from mossfront.interface import EndpointEntry, Kind, Listing, Verdict
 from tests.world import soon
 
-KIND = Kind("banks", apart=True, batch=4)
+KIND = Kind("banks", separate_routes=True, batch_size=4)
 LIMIT_US = 20_000_000
 
 
@@ -192,4 +192,4 @@
 
 def listed(partners: Partners, address: Address, listing: Listing = Listing.READY) -> None:
     """The endpoint ``h1`` as the directory lists it."""
-    partners.apply(HostList(1, False, (Listed(Entry("h1", 1, "a", "banks", listing), address),)))
+    partners.apply(HostList(1, False, (Listed(EndpointEntry("h1", 1, "a", "banks", listing), address),)))
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from mossfront import Relay
+from mossfront import DecisionEngine
 from mossfront import interface as api
 from tests.support import SECOND, roster, settings
 
@@ -26,7 +26,7 @@
     window_us=12 * SECOND,
     scope_is_zone=True,
 )
-KINDS = (api.Kind("lot", apart=True), api.Kind("bank", apart=True, batch=10))
+KINDS = (api.Kind("lot", separate_routes=True), api.Kind("bank", separate_routes=True, batch_size=10))
 
 
 @dataclass
@@ -111,7 +111,7 @@
         *,
         relays: int = 40,
         seed: int = 1,
-        make: Callable[[api.Settings, int], Relay] = Relay,
+        make: Callable[[api.Settings, int], DecisionEngine] = DecisionEngine,
         **changes: object,
     ) -> None:
         """``demand``: messages a second by destination, over all relays."""
@@ -120,15 +120,15 @@
             "classes": (STATUS, POSTING),
             "kinds": KINDS,
             "tenants": (api.Tenant("all", quota),),
-            "slots": 6,
+            "max_calls": 6,
             "group_size": relays,
-            "hold_cap": 88,
+            "max_held_messages": 88,
             "max_attempts": 6,
-            "round_us": 1_000,
-            "fall_multiple": 1.5,
-            "fall_us": 3 * SECOND,
-            "cold_from": 0.27,
-            "warm_within_us": 13 * SECOND,
+            "step_interval_us": 1_000,
+            "collapse_multiple": 1.5,
+            "collapse_window_us": 3 * SECOND,
+            "cold_capacity_share": 0.27,
+            "warm_up_us": 13 * SECOND,
             "may_duplicate": True,
         } | changes
         self.set, self.seed, self.make = settings(**changes), seed, make
@@ -146,8 +146,10 @@
         heapq.heappush(self.heap, (at_us, self.serial, relay, event))
 
     def _listed(self, relay: int, at_us: int) -> None:
-        entries = [api.Entry(h.name, h.dest, "a", h.kind, api.Listing.READY) for h in self.hosts.values()]
-        self._put(at_us, relay, roster(*entries, kind=api.RosterKind.CACHED))
+        entries = [
+            api.EndpointEntry(h.name, h.dest, "a", h.kind, api.Listing.READY) for h in self.hosts.values()
+        ]
+        self._put(at_us, relay, roster(*entries, kind=api.EndpointUpdateKind.CACHED))
 
     def _arrivals(self, until_us: int) -> None:
         for dest, rate in self.demand.items():
@@ -183,13 +185,13 @@
             elif isinstance(action, api.Refuse | api.Fail):
                 if self.due.pop(action.id, None) is not None:
                     self.tallies.ended["refused" if isinstance(action, api.Refuse) else "failed"] += 1
-            elif isinstance(action, api.Wake):
+            elif isinstance(action, api.SetTimer):
                 self._put(at_us + action.delay_us, relay, api.TimerDue())
         for name, sends in calls.items():
             self._call(at_us, relay, self.hosts[name], sends)
 
     def _call(self, at_us: int, relay: int, host: Host, sends: list[api.Send]) -> None:
-        batch = next(kind.batch for kind in KINDS if kind.name == host.kind)
+        batch = next(kind.batch_size for kind in KINDS if kind.name == host.kind)
         for start in range(0, len(sends), batch):
             verdict, wait_us = host.call(at_us, self.rng)
             self.tallies.calls[verdict.value] += 1
--- a/tests/sim/test_guards.py
+++ b/tests/sim/test_guards.py
@@ -32,24 +32,24 @@
     """The module hears something else of an event, or (None) nothing of it."""
 
     def patch(monkey: pytest.MonkeyPatch) -> None:
-        real = engine.Relay.step
+        real = engine.DecisionEngine.step
 
-        def step(self: engine.Relay, now_us: int, events: Iterable[api.Event]) -> list[api.Action]:
+        def step(self: engine.DecisionEngine, now_us: int, events: Iterable[api.Event]) -> list[api.Action]:
             return real(self, now_us, [told for event in events if (told := change(event)) is not None])
 
-        monkey.setattr(engine.Relay, "step", step)
+        monkey.setattr(engine.DecisionEngine, "step", step)
 
     return patch
 
 
 def waitless(event: Any) -> Any:
     """No answer tells a wait."""
-    return replace(event, wait_us=0) if isinstance(event, api.Outcome) else event
+    return replace(event, retry_after_us=0) if isinstance(event, api.Outcome) else event
 
 
 def drainless(event: Any) -> Any:
     """What drains looks ready."""
-    if not isinstance(event, api.Roster):
+    if not isinstance(event, api.EndpointUpdate):
         return event
     ready = api.Listing.READY
     entries = (replace(e, listing=ready) if e.listing is api.Listing.DRAINING else e for e in event.entries)
@@ -58,17 +58,17 @@
 
 def handless(event: Any) -> Any:
     """Staff say nothing."""
-    return None if isinstance(event, api.ByHand) else event
+    return None if isinstance(event, api.HostOverride) else event
 
 
 def turns_for_all(monkey: pytest.MonkeyPatch) -> None:
     """Every message has its turn."""
-    monkey.setattr(engine.Relay, "_has_turn", lambda self, message: True)
+    monkey.setattr(engine.DecisionEngine, "_has_turn", lambda self, message: True)
 
 
 def no_ends(monkey: pytest.MonkeyPatch) -> None:
     """What has no time left is not given up."""
-    monkey.setattr(engine.Relay, "_expire", lambda self: None)
+    monkey.setattr(engine.DecisionEngine, "_expire", lambda self: None)
 
 
 def nothing_runs(monkey: pytest.MonkeyPatch) -> None:
@@ -169,8 +169,11 @@
     assert told == ["waits"]
     assert lapses(asked, ([ended(send, FULL)], [send])) == []
     assert lapses(([SPOTS, arrival("m")], [api.Send("m", "g", SECOND)])) == ["drains"]
-    assert lapses(([SPOTS, api.ByHand("h", True), arrival("m")], [send])) == ["drains"]
-    assert lapses(([SPOTS, api.ByHand("h", True), api.ByHand("h", False), arrival("m")], [send])) == []
+    assert lapses(([SPOTS, api.HostOverride("h", True), arrival("m")], [send])) == ["drains"]
+    assert (
+        lapses(([SPOTS, api.HostOverride("h", True), api.HostOverride("h", False), arrival("m")], [send]))
+        == []
+    )
     for cls, verdict, want in (
         (UNSAFE, RESET, ["twice"]), (UNSAFE, FULL, []), (SAFE, RESET, []), (KEYED, RESET, []),
     ):  # fmt: skip
--- a/tests/sim/test_hours.py
+++ b/tests/sim/test_hours.py
@@ -41,10 +41,10 @@
 
 def test_a_leak_is_found_by_its_type(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     """Hosts that are gone are never forgotten."""
-    monkeypatch.setattr(engine.Relay, "_forget", lambda self: None)
+    monkeypatch.setattr(engine.DecisionEngine, "_forget", lambda self: None)
     problems = hours.played(HOUR, 4, tmp_path, lull_s=45.0).problems
     assert problems
-    assert "Tally" in problems[-1]
+    assert "DecayingCounter" in problems[-1]
 
 
 def test_an_hour_without_a_lull_is_refused(tmp_path: Path) -> None:
--- a/tests/sim/test_vast.py
+++ b/tests/sim/test_vast.py
@@ -6,7 +6,7 @@
 
 from mallowlug.rig.sim import sweep
 from mallowlug.rig.world import scenario
-from mossfront.engine import Relay
+from mossfront.engine import DecisionEngine
 from mossfront.slow_start import Budget
 from tests.world import ROOT
 
@@ -24,6 +24,6 @@
 ) -> None:
     """Planted: no part of what a cold destination bears is another relay's."""
     monkeypatch.setattr(Budget, "credit_per_message", lambda *_: 1e6)
-    monkeypatch.setattr(Relay, "_beware", lambda *_: None)
+    monkeypatch.setattr(DecisionEngine, "_beware", lambda *_: None)
     result = sweep.played(scenario.load(VAST))
     assert result.rules == ("returns",)
--- a/tests/sim/worlds.py
+++ b/tests/sim/worlds.py
@@ -59,13 +59,13 @@
 def nothing_learnt(monkey: MonkeyPatch) -> None:
     """Failures teach nothing, so an endpoint that is back gets all that is held."""
     for name in ("_fail", "_judge"):
-        monkey.setattr(engine.Relay, name, lambda self, *args: None)
-    monkey.setattr(engine.Relay, "_suspect", lambda self, endpoint: False)
+        monkey.setattr(engine.DecisionEngine, name, lambda self, *args: None)
+    monkey.setattr(engine.DecisionEngine, "_suspect", lambda self, endpoint: False)
 
 
 def all_have_turns(monkey: MonkeyPatch) -> None:
     """Every message has its turn."""
-    monkey.setattr(engine.Relay, "_has_turn", lambda self, message: True)
+    monkey.setattr(engine.DecisionEngine, "_has_turn", lambda self, message: True)
 
 
 def waits_unread(monkey: MonkeyPatch) -> None:
@@ -119,15 +119,15 @@
 
 def window_forgotten(monkey: MonkeyPatch) -> None:
     """A keyed message is sent again past its window."""
-    end_us = engine.Relay._end_us
+    end_us = engine.DecisionEngine._end_us
 
-    def ending(self: engine.Relay, message: Any) -> int:
+    def ending(self: engine.DecisionEngine, message: Any) -> int:
         risky, message.risky_us = message.risky_us, -1
         found = end_us(self, message)
         message.risky_us = risky
         return found
 
-    monkey.setattr(engine.Relay, "_end_us", ending)
+    monkey.setattr(engine.DecisionEngine, "_end_us", ending)
 
 
 def wake_lost(monkey: MonkeyPatch) -> None:
@@ -135,7 +135,7 @@
     carry = Driver._carry_out
 
     def carrying(self: Driver, actions: list[api.Action]) -> None:
-        carry(self, [action for action in actions if not isinstance(action, api.Wake)])
+        carry(self, [action for action in actions if not isinstance(action, api.SetTimer)])
 
     monkey.setattr(Driver, "_carry_out", carrying)
 
@@ -160,19 +160,19 @@
 
 def slept_away(monkey: MonkeyPatch) -> None:
     """An idle destination is let go of whatever still binds there."""
-    monkey.setattr(engine.Relay, "_bound", lambda self, number, dest: False)
+    monkey.setattr(engine.DecisionEngine, "_bound", lambda self, number, dest: False)
 
 
 def own_time_outs(monkey: MonkeyPatch) -> None:
     """Every message of a call has a time-out of its own, and goes again while others keep the call out."""
 
-    def letting(self: engine.Relay) -> None:
+    def letting(self: engine.DecisionEngine) -> None:
         for call in self.made:
             self.actions += [api.Send(m.id, call.endpoint.host, limit_us) for m, limit_us in call.carried]
             call.carried.clear()
         self.made.clear()
 
-    monkey.setattr(engine.Relay, "_let_out", letting)
+    monkey.setattr(engine.DecisionEngine, "_let_out", letting)
 
 
 def sync_left_out(monkey: MonkeyPatch) -> None:
--- a/tests/slow_start/outages.py
+++ b/tests/slow_start/outages.py
@@ -15,7 +15,7 @@
 from enum import Enum
 
 from mallowlug.rig.judge import cold
-from mossfront import Relay
+from mossfront import DecisionEngine
 from mossfront import interface as api
 from tests.fleet import KINDS, POSTING, STATUS, Fleet, Host
 from tests.support import SECOND
@@ -222,7 +222,7 @@
 class Group(Fleet):
     """A group through a draw; keeps the calls to each endpoint that is struck, and who saw it fail."""
 
-    def __init__(self, draw: Draw, make: type[Relay] = Relay) -> None:
+    def __init__(self, draw: Draw, make: type[DecisionEngine] = DecisionEngine) -> None:
         self.draw = draw
         outages = draw.outages()
         hosts: list[Host] = [
@@ -235,8 +235,8 @@
         ]  # fmt: skip
         demand = draw.capacity_per_s * draw.load * draw.endpoints
         super().__init__(
-            hosts, {1: demand}, relays=draw.relays, seed=draw.seed, make=make, fall_multiple=MULTIPLE,
-            fall_us=FALL_US, cold_from=COLD_FROM, warm_within_us=WARM_US,
+            hosts, {1: demand}, relays=draw.relays, seed=draw.seed, make=make, collapse_multiple=MULTIPLE,
+            collapse_window_us=FALL_US, cold_capacity_share=COLD_FROM, warm_up_us=WARM_US,
         )  # fmt: skip
         shares = [draw.weights[number % len(draw.weights)] for number in range(draw.relays)]
         if draw.half_to_one and draw.relays > 1:
@@ -266,9 +266,11 @@
         """A new version of the list reaches all relays at one time: all gone, and later all ready again."""
         start_us, end_us = self.draw.outages()[0]
         for at_us, listing in (((start_us + end_us) // 2, api.Listing.GONE), (end_us, api.Listing.READY)):
-            entries = tuple(api.Entry(h.name, h.dest, "a", h.kind, listing) for h in self.hosts.values())
+            entries = tuple(
+                api.EndpointEntry(h.name, h.dest, "a", h.kind, listing) for h in self.hosts.values()
+            )
             for relay in range(self.draw.relays):
-                self._put(at_us, relay, api.Roster(api.RosterKind.CHANGES, entries))
+                self._put(at_us, relay, api.EndpointUpdate(api.EndpointUpdateKind.CHANGES, entries))
 
     def _arrivals(self, until_us: int) -> None:
         rate = self.demand[1] / self.draw.clump
@@ -298,7 +300,7 @@
         for host, endpoint in former.endpoints.items():
             if endpoint.care_us > at_us:
                 served = endpoint.own.slow.served_share
-                care = api.Care(host, endpoint.care_us - at_us, endpoint.care_kind, served)
+                care = api.OutageRecord(host, endpoint.care_us - at_us, endpoint.care_kind, served)
                 self._put(at_us, number, care)
         for message in former.messages.values():
             if message.done or message.deadline_us <= at_us:
@@ -307,8 +309,8 @@
             risky_us = message.risky_us if message.risky_us >= 0 else min(sent, default=-1)
             found = api.Arrival(
                 message.id, message.dest, message.cls.name, message.deadline_us - at_us, "all",
-                attempts=message.attempts, risky_age_us=at_us - risky_us if risky_us >= 0 else -1,
-                risky_zone="a" if risky_us >= 0 else "", found=message.attempts == 0,
+                attempts=message.attempts, in_doubt_age_us=at_us - risky_us if risky_us >= 0 else -1,
+                in_doubt_zone="a" if risky_us >= 0 else "", recovered_untried=message.attempts == 0,
             )  # fmt: skip
             self._put(at_us, number, found)
 
@@ -318,15 +320,15 @@
 
     def _call(self, at_us: int, relay: int, host: Host, sends: list[api.Send]) -> None:
         assert isinstance(host, Endpoint)
-        batch = next(kind.batch for kind in KINDS if kind.name == host.kind)
+        batch = next(kind.batch_size for kind in KINDS if kind.name == host.kind)
         for start in range(0, len(sends), batch):
             carried = sends[start : start + batch]
             weight = cold.work_of(len(carried), ITEM_WEIGHT)
             verdict, took_us, wait_us = host.serve(at_us, weight, self.rng)
-            took_us = min(took_us or NEVER_US, carried[0].limit_us)
+            took_us = min(took_us or NEVER_US, carried[0].timeout_us)
             if verdict is api.Verdict.TIMEOUT and at_us + took_us > (back_us := host.down_until(at_us)):
                 verdict, took_us = api.Verdict.RESET, back_us - at_us  # what hung is broken off at the return
-            if verdict is api.Verdict.OK and took_us == carried[0].limit_us:
+            if verdict is api.Verdict.OK and took_us == carried[0].timeout_us:
                 verdict = api.Verdict.TIMEOUT
             self.tallies.calls[verdict.value] += 1
             if host.outages:
@@ -379,7 +381,7 @@
     return worst
 
 
-def played(draw: Draw, make: type[Relay] = Relay) -> Result:
+def played(draw: Draw, make: type[DecisionEngine] = DecisionEngine) -> Result:
     """Run a draw and find its worst window behind each of its returns, at each endpoint that was out."""
     group = Group(draw, make)
     group.run()
--- a/tests/slow_start/test_decisions.py
+++ b/tests/slow_start/test_decisions.py
@@ -6,28 +6,30 @@
 
 import pytest
 
-from mossfront import Relay
+from mossfront import DecisionEngine
 from mossfront import interface as api
 from mossfront.slow_start import Phase
 from tests.support import SAFE, SECOND, arrival, ended, entry, roster, sends, settings
 
 SPLIT = "split"  # a kind whose endpoints are routes of their own
-GROUP = settings(group_size=50, slots=8)
+GROUP = settings(group_size=50, max_calls=8)
 
 
-def relay_with(*hosts: str, group: api.Settings = GROUP) -> Relay:
+def relay_with(*hosts: str, group: api.Settings = GROUP) -> DecisionEngine:
     """A relay of a group (of fifty) that knows these endpoints of one destination."""
-    relay = Relay(group, 1)
+    relay = DecisionEngine(group, 1)
     relay.step(0, [roster(*(entry(host, kind=SPLIT) for host in hosts))])
     return relay
 
 
-def phase(relay: Relay, host: str) -> Phase:
+def phase(relay: DecisionEngine, host: str) -> Phase:
     """What the relay takes an endpoint to be."""
     return relay.endpoints[host].own.slow.phase
 
 
-def failed(relay: Relay, at_us: int, verdict: api.Verdict, wait_us: int = 0, took_us: int = 1000) -> str:
+def failed(
+    relay: DecisionEngine, at_us: int, verdict: api.Verdict, wait_us: int = 0, took_us: int = 1000
+) -> str:
     """A new message's call fails; the host that it went to."""
     [send] = sends(relay.step(at_us, [arrival(f"m{at_us}", SAFE)]))
     relay.step(at_us + took_us, [ended(send, verdict, took_us=took_us, wait_us=wait_us)])
@@ -57,13 +59,13 @@
 
 def frees_a_call(left: float | None) -> bool:
     """Whether a call is free behind a told wait, where refusals report that so much of a limit is left."""
-    relay = relay_with("h1", group=settings(group_size=2, slots=8))
+    relay = relay_with("h1", group=settings(group_size=2, max_calls=8))
     [first] = sends(relay.step(SECOND, [arrival("m1", SAFE)]))
-    relay.step(SECOND + 1000, [replace(ended(first, took_us=1000), limit_left=1.0, limit_per_s=4.0)])
+    relay.step(SECOND + 1000, [replace(ended(first, took_us=1000), limit_remaining=1.0, limit_per_s=4.0)])
     for at_us in (9 * SECOND, 15 * SECOND):  # of a limit that is used up the first refusal says nothing
         [send] = sends(relay.step(at_us, [arrival(f"m{at_us}", SAFE)]))
         refusal = ended(send, api.Verdict.FULL, took_us=1000, wait_us=SECOND)
-        relay.step(at_us + 1000, [replace(refusal, limit_left=left, limit_per_s=4.0)])
+        relay.step(at_us + 1000, [replace(refusal, limit_remaining=left, limit_per_s=4.0)])
         if phase(relay, "h1") is not Phase.HEALTHY:
             break
     assert phase(relay, "h1") is Phase.SUSPECT
@@ -87,7 +89,7 @@
 ) -> None:
     relay = relay_with("h1")
     for at_s, listing in ((5, meanwhile), (9, api.Listing.READY)):
-        changed = roster(entry("h1", kind=SPLIT, listing=listing), kind=api.RosterKind.CHANGES)
+        changed = roster(entry("h1", kind=SPLIT, listing=listing), kind=api.EndpointUpdateKind.CHANGES)
         relay.step(at_s * SECOND, [changed])
     assert phase(relay, "h1") is after
 
@@ -95,37 +97,39 @@
 @pytest.mark.parametrize(
     ("kind", "known"),
     [
-        (api.CareKind.OUTAGE, Phase.DOWN),
-        (api.CareKind.SUSPICION, Phase.SUSPECT),
-        (api.CareKind.RETURN, Phase.SLOW_START),
+        (api.OutageRecordKind.OUTAGE, Phase.DOWN),
+        (api.OutageRecordKind.SUSPICION, Phase.SUSPECT),
+        (api.OutageRecordKind.RECOVERY, Phase.SLOW_START),
     ],
 )
-def test_a_restart_takes_up_the_phase_that_was_journaled(kind: api.CareKind, known: Phase) -> None:
+def test_a_restart_takes_up_the_phase_that_was_journaled(kind: api.OutageRecordKind, known: Phase) -> None:
     relay = relay_with("h1")
-    relay.step(SECOND, [api.Care("h1", 5 * SECOND, kind, 0.5)])
+    relay.step(SECOND, [api.OutageRecord("h1", 5 * SECOND, kind, 0.5)])
     assert phase(relay, "h1") is known
     assert relay.endpoints["h1"].own.slow.served_share == 0.5
 
 
 def test_a_limits_refusal_is_a_suspicion_for_a_later_life_until_a_call_is_served() -> None:
     """A shut endpoint may report its limit as used up: relays that all met it once may all be restarted."""
-    relay = relay_with("h1", group=settings(group_size=1, slots=8))
+    relay = relay_with("h1", group=settings(group_size=1, max_calls=8))
     [first] = sends(relay.step(SECOND, [arrival("m1", SAFE)]))
-    relay.step(SECOND + 1000, [replace(ended(first, took_us=1000), limit_left=0.5, limit_per_s=4.0)])
+    relay.step(SECOND + 1000, [replace(ended(first, took_us=1000), limit_remaining=0.5, limit_per_s=4.0)])
     [second] = sends(relay.step(2 * SECOND, [arrival("m2", SAFE)]))
-    refusal = replace(ended(second, api.Verdict.FULL, took_us=1000), limit_left=0.0, limit_per_s=4.0)
+    refusal = replace(ended(second, api.Verdict.FULL, took_us=1000), limit_remaining=0.0, limit_per_s=4.0)
     told = relay.step(2 * SECOND + 1000, [refusal])
     assert phase(relay, "h1") is Phase.HEALTHY
-    assert [care.kind for care in told if isinstance(care, api.Care)] == [api.CareKind.SUSPICION]
+    assert [care.kind for care in told if isinstance(care, api.OutageRecord)] == [
+        api.OutageRecordKind.SUSPICION
+    ]
     [again] = sends(relay.step(4 * SECOND, [api.TimerDue()]))
     told = relay.step(4 * SECOND + 1000, [ended(again, attempt=1, took_us=1000)])
-    assert [care.for_us for care in told if isinstance(care, api.Care)] == [0]
+    assert [care.valid_for_us for care in told if isinstance(care, api.OutageRecord)] == [0]
 
 
 def test_a_suspicion_in_a_slow_start_leaves_the_return_journaled() -> None:
     """As an outage it would let a later life begin the warm-up anew, however warm the endpoint is."""
-    relay = relay_with("h1", group=settings(group_size=1, slots=8))
-    relay.step(SECOND, [api.Care("h1", 11 * SECOND, api.CareKind.RETURN, 1.0)])
+    relay = relay_with("h1", group=settings(group_size=1, max_calls=8))
+    relay.step(SECOND, [api.OutageRecord("h1", 11 * SECOND, api.OutageRecordKind.RECOVERY, 1.0)])
     assert phase(relay, "h1") is Phase.SLOW_START
     at_us, told = SECOND, list[api.Action]()
     while phase(relay, "h1") is Phase.SLOW_START:  # the first call may have to wait for its credit
@@ -134,16 +138,16 @@
         for send in sends(actions):
             told += relay.step(at_us + 1000, [ended(send, api.Verdict.RESET, took_us=1000)])
     assert phase(relay, "h1") is Phase.SUSPECT
-    assert [action for action in told if isinstance(action, api.Care)] == []
+    assert [action for action in told if isinstance(action, api.OutageRecord)] == []
 
 
 def test_a_told_wait_is_journaled_beyond_its_end() -> None:
     relay = relay_with("h1")
     [send] = sends(relay.step(SECOND, [arrival("m1", SAFE)]))
     told = ended(send, api.Verdict.FULL, wait_us=40 * SECOND)
-    cares = [action for action in relay.step(2 * SECOND, [told]) if isinstance(action, api.Care)]
-    assert [care.kind for care in cares] == [api.CareKind.OUTAGE]
-    assert cares[0].for_us > 40 * SECOND + 30 * SECOND
+    cares = [action for action in relay.step(2 * SECOND, [told]) if isinstance(action, api.OutageRecord)]
+    assert [care.kind for care in cares] == [api.OutageRecordKind.OUTAGE]
+    assert cares[0].valid_for_us > 40 * SECOND + 30 * SECOND
 
 
 def test_the_log_says_how_long_a_refusal_told_to_wait() -> None:
@@ -156,8 +160,10 @@
 def test_what_a_restart_found_earns_credit_over_its_time_and_not_at_once() -> None:
     """A hundred messages, as many relays would hold together, at an endpoint that was out."""
     relay = relay_with("h1")
-    found = [api.Arrival(f"f{number}", 1, SAFE.name, 6 * SECOND, found=True) for number in range(100)]
-    at_once = sends(relay.step(SECOND, [api.Care("h1", 99 * SECOND), *found]))
+    found = [
+        api.Arrival(f"f{number}", 1, SAFE.name, 6 * SECOND, recovered_untried=True) for number in range(100)
+    ]
+    at_once = sends(relay.step(SECOND, [api.OutageRecord("h1", 99 * SECOND), *found]))
     later = [
         send for at_us in range(SECOND, 7 * SECOND, SECOND // 50)
         for send in sends(relay.step(at_us, [api.TimerDue()]))
--- a/tests/slow_start/test_planted.py
+++ b/tests/slow_start/test_planted.py
@@ -8,9 +8,9 @@
 
 import pytest
 
-from mossfront import Relay
-from mossfront.interface import Care, CareKind
-from mossfront.slow_start import Budget, Phase, SlowStart, Transition
+from mossfront import DecisionEngine
+from mossfront.interface import OutageRecord, OutageRecordKind
+from mossfront.slow_start import Budget, Phase, PhaseChange, SlowStart
 from mossfront.state import Endpoint
 from tests.slow_start.outages import Draw, Failure, Restart, hard_draw, played
 from tests.support import SECOND
@@ -23,7 +23,7 @@
 
 def no_credit(monkey: pytest.MonkeyPatch) -> None:
     """No gap between calls to what is cold."""
-    monkey.setattr(SlowStart, "call_us", lambda *_: 0)
+    monkey.setattr(SlowStart, "next_call_us", lambda *_: 0)
 
 
 def whole_budget_for_each(monkey: pytest.MonkeyPatch) -> None:
@@ -33,42 +33,42 @@
 
 def gate_by_size(monkey: pytest.MonkeyPatch) -> None:
     """As in the faulty release: fewer than three failures in a row say nothing, to a later life neither."""
-    failed, succeeded = SlowStart.failed, SlowStart.succeeded
+    failed, succeeded = SlowStart.on_failure, SlowStart.on_success
     row = dict[int, int]()
 
-    def third(slow: SlowStart, *told: Any, **named: Any) -> Transition | None:
+    def third(slow: SlowStart, *told: Any, **named: Any) -> PhaseChange | None:
         row[id(slow)] = row.get(id(slow), 0) + 1
         return failed(slow, *told, **named) if row[id(slow)] > 2 else None
 
-    def served(slow: SlowStart, *told: Any) -> Transition | None:
+    def served(slow: SlowStart, *told: Any) -> PhaseChange | None:
         row[id(slow)] = 0
         return succeeded(slow, *told)
 
-    def careless(relay: Relay, endpoint: Endpoint, care: Care) -> None:
-        if care.kind is not CareKind.SUSPICION:
+    def careless(relay: DecisionEngine, endpoint: Endpoint, care: OutageRecord) -> None:
+        if care.kind is not OutageRecordKind.SUSPICION:
             beware(relay, endpoint, care)
 
-    beware = Relay._beware
-    monkey.setattr(SlowStart, "failed", third)
-    monkey.setattr(SlowStart, "succeeded", served)
-    monkey.setattr(Relay, "_beware", careless)
+    beware = DecisionEngine._beware
+    monkey.setattr(SlowStart, "on_failure", third)
+    monkey.setattr(SlowStart, "on_success", served)
+    monkey.setattr(DecisionEngine, "_beware", careless)
 
 
 def weight_not_charged(monkey: pytest.MonkeyPatch) -> None:
     """A batch is charged as one message."""
-    charge = SlowStart.charge
+    charge = SlowStart.spend
 
     def once(slow: SlowStart, now_us: int, budget: Budget, weight: float, first: bool) -> None:
         if first:
             charge(slow, now_us, budget, weight, first)
 
-    monkey.setattr(SlowStart, "charge", once)
-    monkey.setattr(SlowStart, "most_weight", lambda *_: 10.0)
+    monkey.setattr(SlowStart, "spend", once)
+    monkey.setattr(SlowStart, "max_call_weight", lambda *_: 10.0)
 
 
 def restart_without_care(monkey: pytest.MonkeyPatch) -> None:
     """A new life does not know what the former one has seen."""
-    monkey.setattr(Relay, "_beware", lambda *_: None)
+    monkey.setattr(DecisionEngine, "_beware", lambda *_: None)
 
 
 def busy(draw: Draw) -> Draw:
@@ -116,7 +116,7 @@
     for drawn in draws:
         slow = SlowStart()
         slow.restore(0, budget, drawn, Phase.DOWN)
-        times.append(slow.call_us(0, budget))
+        times.append(slow.next_call_us(0, budget))
     return (max(times) - min(times)) / SECOND
 
 
--- a/tests/support.py
+++ b/tests/support.py
@@ -27,18 +27,18 @@
 )
 TURN = api.MessageClass("turn", api.Effect.SAFE, aim_us=SECOND, deadline_us=12 * SECOND, in_order=True)
 SETTINGS = api.Settings(
-    slots=8,
+    max_calls=8,
     classes=(SAFE, KEYED, ZONED, UNSAFE, TURN),
-    kinds=(api.Kind("plain"), api.Kind("split", apart=True, batch=3)),
+    kinds=(api.Kind("plain"), api.Kind("split", separate_routes=True, batch_size=3)),
     tenants=(api.Tenant("big", 20.0), api.Tenant("small", 2.0)),
     group_size=2,
-    hold_cap=60,
+    max_held_messages=60,
     max_attempts=4,
-    round_us=5_000,
+    step_interval_us=5_000,
     may_cancel=True,
     drain_grace_us=250_000,
-    fall_us=2 * SECOND,
-    warm_within_us=10 * SECOND,
+    collapse_window_us=2 * SECOND,
+    warm_up_us=10 * SECOND,
     over_share_worth=0.1,
     order_pause_us=700_000,
     answer_slack_us=20_000,
@@ -59,14 +59,16 @@
     listing: api.Listing = api.Listing.READY,
     zone: str = "a",
     rate: float = 1.0,
-) -> api.Entry:
+) -> api.EndpointEntry:
     """One endpoint on the list."""
-    return api.Entry(host, dest, zone, kind, listing, rate)
+    return api.EndpointEntry(host, dest, zone, kind, listing, rate)
 
 
-def roster(*entries: api.Entry, kind: api.RosterKind = api.RosterKind.WHOLE) -> api.Roster:
+def roster(
+    *entries: api.EndpointEntry, kind: api.EndpointUpdateKind = api.EndpointUpdateKind.FULL
+) -> api.EndpointUpdate:
     """News of the list."""
-    return api.Roster(kind, entries)
+    return api.EndpointUpdate(kind, entries)
 
 
 def arrival(
--- a/tests/test_backlog.py
+++ b/tests/test_backlog.py
@@ -10,7 +10,7 @@
 from hypothesis import settings as runs
 from hypothesis import strategies as st
 
-from mossfront import Relay
+from mossfront import DecisionEngine
 from mossfront import interface as api
 from mossfront.engine import RISKS, SICK_SHARE
 from mossfront.state import Call, Destination, Message
@@ -20,12 +20,12 @@
 STEP_US = 20_000
 
 
-class Plain(Relay):
+class Plain(DecisionEngine):
     """The reference: every pass scores all that is held and sorts it."""
 
     def _dispatch(self) -> None:
         ready: list[tuple[float, float, int, int, Message]] = []
-        short, looked = self.calls_out >= SICK_SHARE * self.set.slots, list(self.look)
+        short, looked = self.calls_out >= SICK_SHARE * self.set.max_calls, list(self.look)
         for dest in [self.dests[number] for number in looked]:
             if dest.held and (rooms := [e for e in dest.ready() if self._room(dest, e)]):
                 ill = any(g.strikes for e in dest.endpoints.values() for g in e.guards)
@@ -63,7 +63,7 @@
     return verdict, rng.randrange(20_000, 900_000), wait_us
 
 
-def played(relay: Relay, seed: int, rate: float) -> list[list[api.Action]]:
+def played(relay: DecisionEngine, seed: int, rate: float) -> list[list[api.Action]]:
     """A day of 6 s over five destinations: every step's actions."""
     rng, log = random.Random(seed), list[list[api.Action]]()
     due: list[tuple[int, api.Outcome]] = []
@@ -84,8 +84,8 @@
         for send in sends(actions):
             attempt, tries[send.id] = tries[send.id], tries[send.id] + 1
             verdict, took_us, wait_us = answer_of(seed, send.id, attempt, send.host)
-            if took_us > send.limit_us:
-                verdict, took_us, wait_us = api.Verdict.TIMEOUT, send.limit_us, 0
+            if took_us > send.timeout_us:
+                verdict, took_us, wait_us = api.Verdict.TIMEOUT, send.timeout_us, 0
             done = verdict is api.Verdict.OK
             told = api.Outcome(send.id, attempt, send.host, verdict, took_us, done, wait_us)
             due.append((now_us + took_us, told))
@@ -100,22 +100,22 @@
 def test_the_same_is_chosen_as_by_looking_at_all(
     seed: int, rate: float, halves: bool, slots: int, cap: int, attempts: int
 ) -> None:
-    told = settings(halves=halves, slots=slots, hold_cap=cap, max_attempts=attempts)
-    assert played(Relay(told, seed), seed, rate) == played(Plain(told, seed), seed, rate)
+    told = settings(worth_halves=halves, max_calls=slots, max_held_messages=cap, max_attempts=attempts)
+    assert played(DecisionEngine(told, seed), seed, rate) == played(Plain(told, seed), seed, rate)
 
 
 def test_a_wrong_bend_is_noticed(monkeypatch: pytest.MonkeyPatch) -> None:
     """The comparison can fail: without the bends only a lane's ends are looked at."""
-    told = settings(halves=True, slots=2, hold_cap=400)
+    told = settings(worth_halves=True, max_calls=2, max_held_messages=400)
     monkeypatch.setattr("mossfront.engine.bends", lambda *_args: ())
-    pairs = ((Relay(told, seed), Plain(told, seed), seed) for seed in range(6))
+    pairs = ((DecisionEngine(told, seed), Plain(told, seed), seed) for seed in range(6))
     assert any(played(one, seed, 0.85) != played(other, seed, 0.85) for one, other, seed in pairs)
 
 
 def scores_per_call(held: int) -> float:
     """How many messages are scored for each call, with so many held for one destination."""
     long = replace(SAFE, aim_us=400 * SECOND, deadline_us=900 * SECOND)
-    relay = Relay(replace(SETTINGS, classes=(long,), slots=4, hold_cap=10**6), 1)
+    relay = DecisionEngine(replace(SETTINGS, classes=(long,), max_calls=4, max_held_messages=10**6), 1)
     scored = [0]
     real = relay._score
 
--- a/tests/test_by_hand.py
+++ b/tests/test_by_hand.py
@@ -11,7 +11,7 @@
 from mallowlug.core.model import Told
 from mallowlug.system import POSIX, PosixDisk
 from mossfront import interface as api
-from mossfront.engine import Relay
+from mossfront.engine import DecisionEngine
 from tests.calls import Calls, serving
 from tests.support import SAFE, SECOND, arrival, ended, entry, roster, sends, settings
 from tests.world import World, called, silent, soon
@@ -183,17 +183,17 @@
 
 def test_back_means_cold_and_what_was_learned_of_the_old_process_is_gone() -> None:
     """Its quota begins at one call and its calls are spaced as at a return from an outage."""
-    relay = Relay(settings(slots=40), 1)
+    relay = DecisionEngine(settings(max_calls=40), 1)
     relay.step(0, [roster(entry("h1"))])
     relay.step(SECOND, [arrival(f"a{n}") for n in range(10)])
     before = relay.endpoints["h1"]
-    relay.step(2 * SECOND, [api.ByHand("h1", True), *(arrival(f"b{n}") for n in range(10))])
+    relay.step(2 * SECOND, [api.HostOverride("h1", True), *(arrival(f"b{n}") for n in range(10))])
     assert before.quota > 1 and not relay.dests[1].ready()
     assert relay.avoided() == 1
-    found = sends(relay.step(3 * SECOND, [api.ByHand("h1", False)]))
+    found = sends(relay.step(3 * SECOND, [api.HostOverride("h1", False)]))
     after = relay.endpoints["h1"]
-    assert len(found) <= 1 and after is not before and after.own.slow.cold_us == 3 * SECOND
-    assert after.own.slow.limited(3 * SECOND)
+    assert len(found) <= 1 and after is not before and after.own.slow.cold_since_us == 3 * SECOND
+    assert after.own.slow.needs_credit(3 * SECOND)
     assert relay.avoided() == 0
     came = 0
     now = 3 * SECOND
@@ -207,24 +207,26 @@
 
 
 def test_calls_that_were_out_are_settled_with_the_old_process() -> None:
-    relay = Relay(settings(), 1)
+    relay = DecisionEngine(settings(), 1)
     relay.step(0, [roster(entry("h1"))])
     (send,) = sends(relay.step(SECOND, [arrival("a", SAFE)]))
-    relay.step(2 * SECOND, [api.ByHand("h1", True)])
-    relay.step(3 * SECOND, [api.ByHand("h1", False)])
+    relay.step(2 * SECOND, [api.HostOverride("h1", True)])
+    relay.step(3 * SECOND, [api.HostOverride("h1", False)])
     relay.step(4 * SECOND, [ended(send)])
     assert relay.endpoints["h1"].calls == [] and relay.calls_out == 0 and not relay.messages
 
 
-@pytest.mark.parametrize("kind", [api.RosterKind.WHOLE, api.RosterKind.CHANGES, api.RosterKind.AWAKE])
-def test_the_list_never_brings_a_host_back(kind: api.RosterKind) -> None:
+@pytest.mark.parametrize(
+    "kind", [api.EndpointUpdateKind.FULL, api.EndpointUpdateKind.CHANGES, api.EndpointUpdateKind.REACTIVATED]
+)
+def test_the_list_never_brings_a_host_back(kind: api.EndpointUpdateKind) -> None:
     """Not a whole list, nor a change of its address, nor a destination that wakes."""
-    relay = Relay(settings(), 1)
-    relay.step(0, [api.ByHand("h1", True), roster(entry("h1"))])
-    relay.step(SECOND, [roster(entry("h1", listing=api.Listing.GONE), kind=api.RosterKind.CHANGES)])
+    relay = DecisionEngine(settings(), 1)
+    relay.step(0, [api.HostOverride("h1", True), roster(entry("h1"))])
+    relay.step(SECOND, [roster(entry("h1", listing=api.Listing.GONE), kind=api.EndpointUpdateKind.CHANGES)])
     relay.step(40 * SECOND, [roster()])  # long enough to be forgotten
     relay.step(41 * SECOND, [roster(entry("h1", dest=2), kind=kind)])
     assert sends(relay.step(42 * SECOND, [arrival("a", dest=2)])) == []
-    assert sends(relay.step(43 * SECOND, [api.ByHand("h1", False)])) or sends(
+    assert sends(relay.step(43 * SECOND, [api.HostOverride("h1", False)])) or sends(
         relay.step(60 * SECOND, [api.TimerDue(), arrival("b", dest=2)])
     )
--- a/tests/test_cost.py
+++ b/tests/test_cost.py
@@ -17,7 +17,7 @@
 from mallowlug.rig.judge import record as rec
 from mallowlug.rig.sim.ground import simulate
 from mallowlug.rig.world import scenario
-from mossfront.engine import Relay
+from mossfront.engine import DecisionEngine
 from tests.world import ROOT
 
 ROOMS = ("mossfront", "mallowlug/core", "mallowlug/fronts", "mallowlug/partners", "mallowlug/net")
@@ -67,14 +67,14 @@
 
 
 def test_a_pass_over_all_that_is_held_is_noticed(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    real = Relay._dispatch
+    real = DecisionEngine._dispatch
 
-    def slow(self: Relay) -> None:
+    def slow(self: DecisionEngine) -> None:
         for message in self.messages.values():
             self._score(message)
         real(self)
 
-    monkeypatch.setattr(Relay, "_dispatch", slow)
+    monkeypatch.setattr(DecisionEngine, "_dispatch", slow)
     assert "mossfront" in over(*counted(tmp_path))
 
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -9,7 +9,7 @@
 
 from mallowlug.core.model import Call, HostList, Part
 from mallowlug.fronts.resp2 import MOST_ERRORS, REQUEST_S
-from mossfront import Relay
+from mossfront import DecisionEngine
 from mossfront import interface as api
 from mossfront.interface import Verdict
 from tests.calls import Calls, serving
@@ -198,11 +198,11 @@
 
 
 def test_a_repeat_says_by_when_its_key_is_known() -> None:
-    relay = Relay(settings(), 1)
+    relay = DecisionEngine(settings(), 1)
     first = sends(relay.step(SECOND, [roster(entry("h1")), arrival("k", KEYED)]))
-    assert [send.by_us for send in first] == [0]
+    assert [send.start_within_us for send in first] == [0]
     again = sends(relay.step(2 * SECOND, [ended(first[0], api.Verdict.ERROR), api.TimerDue()]))
-    assert [send.by_us for send in again] == [KEYED.window_us - SECOND - 5_000]
+    assert [send.start_within_us for send in again] == [KEYED.window_us - SECOND - 5_000]
 
 
 def calls_gone() -> HostList:
--- a/tests/test_deadlines.py
+++ b/tests/test_deadlines.py
@@ -19,7 +19,7 @@
 from mallowlug.core.ports import Plugs
 from mallowlug.core.relay import NEAR_US, Driver
 from mallowlug.system import POSIX
-from mossfront import Relay
+from mossfront import DecisionEngine
 from mossfront import interface as api
 from tests.calls import Calls, serving
 from tests.support import KEYED, SECOND, UNSAFE, arrival, entry, roster, sends, settings
@@ -30,17 +30,19 @@
 
 
 def test_a_message_that_waited_for_its_step_has_so_much_less_time() -> None:
-    relay = Relay(settings(), 1)
-    waited = replace(arrival("m1", UNSAFE, left_us=2 * SECOND), at_us=SECOND - LAG_US)
+    relay = DecisionEngine(settings(), 1)
+    waited = replace(arrival("m1", UNSAFE, left_us=2 * SECOND), received_us=SECOND - LAG_US)
     [send] = sends(relay.step(SECOND, [roster(entry("h1")), waited]))
-    assert send.limit_us == 2 * SECOND - LAG_US
+    assert send.timeout_us == 2 * SECOND - LAG_US
 
 
 def test_a_try_of_a_former_life_is_no_younger_for_the_time_that_a_restart_takes() -> None:
-    relay = Relay(settings(), 1)
-    found = replace(arrival("k1", KEYED), attempts=1, risky_age_us=SECOND, risky_zone="a", at_us=SECOND)
+    relay = DecisionEngine(settings(), 1)
+    found = replace(
+        arrival("k1", KEYED), attempts=1, in_doubt_age_us=SECOND, in_doubt_zone="a", received_us=SECOND
+    )
     [send] = sends(relay.step(SECOND + LAG_US, [roster(entry("h1")), found]))
-    assert send.by_us == KEYED.window_us - SECOND - LAG_US - settings().round_us
+    assert send.start_within_us == KEYED.window_us - SECOND - LAG_US - settings().step_interval_us
 
 
 async def test_a_calls_time_counts_from_its_step_and_not_from_when_it_is_let_out() -> None:
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -11,7 +11,7 @@
 
 from mallowlug.core.descriptors import LEAST, shares_of
 from mallowlug.core.model import Call, HostList, Listed, Part
-from mossfront.interface import Entry, Listing, Verdict
+from mossfront.interface import EndpointEntry, Listing, Verdict
 from tests.calls import Calls, serving
 from tests.world import World, silent
 
@@ -39,7 +39,7 @@
     calls = Calls(hosts[0].port)
     calls.hosts._most_open = 2
     rows = [
-        Listed(Entry(f"h{n}", n, "a", "banks", Listing.READY), ("127.0.0.1", host.port))
+        Listed(EndpointEntry(f"h{n}", n, "a", "banks", Listing.READY), ("127.0.0.1", host.port))
         for n, host in enumerate(hosts)
     ]
     calls.hosts.apply(HostList(2, True, tuple(rows)))
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -38,9 +38,9 @@
         for send in sends(checker.step(now_us, [*events, api.TimerDue(), *feed(now_us)])):
             attempt = len(checker.cases[send.id].attempts) - 1
             said = answer(now_us, send, attempt)
-            verdict, took_us = said or (api.Verdict.TIMEOUT, send.limit_us)
-            if took_us > send.limit_us:
-                verdict, took_us = api.Verdict.TIMEOUT, send.limit_us
+            verdict, took_us = said or (api.Verdict.TIMEOUT, send.timeout_us)
+            if took_us > send.timeout_us:
+                verdict, took_us = api.Verdict.TIMEOUT, send.timeout_us
             due.append((now_us + took_us, ended(send, verdict, attempt, took_us)))
             log.append((now_us, send))
     return log
@@ -55,7 +55,7 @@
 
 def test_a_limit_far_under_the_told_rate_is_not_hammered() -> None:
     """Incident i2ed9dd: a lowered limit drew refusals for as long as it lasted."""
-    checker = Checker(settings(rates_told=True, hold_cap=500))
+    checker = Checker(settings(rate_hints_given=True, max_held_messages=500))
     checker.step(0, [roster(entry("h1", rate=20.0))])
     served: list[int] = []
 
@@ -74,7 +74,7 @@
 
 def test_short_slots_go_where_they_earn_most_in_their_time() -> None:
     """Crawling destinations just inside the time-out must not take the slots of the quick ones."""
-    checker = Checker(settings(slots=4, hold_cap=500))
+    checker = Checker(settings(max_calls=4, max_held_messages=500))
     checker.step(0, [roster(entry("slow", dest=1), entry("quick", dest=2))])
 
     def answer(_now_us: int, send: api.Send, _attempt: int) -> tuple[api.Verdict, int]:
@@ -87,7 +87,7 @@
 
 def test_one_trial_at_a_time_for_all_failing_routes_of_a_destination() -> None:
     """A connection that fails holds its slot for as long as connecting may take (incident ib87010)."""
-    checker = Checker(settings(hold_cap=500))
+    checker = Checker(settings(max_held_messages=500))
     checker.step(0, [roster(*(entry(f"h{n}", kind="split") for n in range(4)))])
     log = drive(checker, 12 * SECOND, steady(50_000), lambda *_: (api.Verdict.CONNECT_FAILED, SECOND))
     sent = sorted({at_us for at_us, _ in log if at_us > 6 * SECOND})  # messages of one call share a time
@@ -97,7 +97,7 @@
 
 def test_a_brief_stall_is_not_taken_for_an_outage() -> None:
     """A pause of hundreds of milliseconds ends in late answers, and full speed at once."""
-    checker = Checker(settings(hold_cap=500))
+    checker = Checker(settings(max_held_messages=500))
     checker.step(0, [roster(entry("h1"))])
 
     def answer(now_us: int, _send: api.Send, _attempt: int) -> tuple[api.Verdict, int]:
@@ -111,7 +111,7 @@
 
 
 def test_silence_shows_as_overdue_calls_and_stops_new_ones_before_any_timeout() -> None:
-    checker = Checker(settings(hold_cap=500))
+    checker = Checker(settings(max_held_messages=500))
     checker.step(0, [roster(entry("h1"), entry("h2", dest=2))])
 
     def answer(now_us: int, send: api.Send, _attempt: int) -> tuple[api.Verdict, int]:
@@ -124,7 +124,7 @@
 
 
 def test_a_connection_limit_beside_successes_is_no_outage() -> None:
-    checker = Checker(settings(hold_cap=500))
+    checker = Checker(settings(max_held_messages=500))
     checker.step(0, [roster(entry("h1"))])
     out: list[int] = []
 
@@ -137,11 +137,11 @@
 
     log = drive(checker, 20 * SECOND, steady(160_000), two_at_once)
     assert len({send.id for at_us, send in log if at_us > 10 * SECOND}) >= 55, "the rate goes on"
-    assert checker.relay.endpoints["h1"].own.slow.cold_us < 0
+    assert checker.relay.endpoints["h1"].own.slow.cold_since_us < 0
 
 
 def test_one_flooding_tenant_goes_last() -> None:
-    checker = Checker(settings(slots=1, hold_cap=500))
+    checker = Checker(settings(max_calls=1, max_held_messages=500))
     checker.step(0, [roster(entry("h1"))])
 
     def feed(now_us: int) -> list[api.Event]:
@@ -156,7 +156,7 @@
 
 def test_connections_cut_while_idle_are_closed_in_time_and_harm_no_endpoint() -> None:
     """Incident i3a3909: every call on a connection idle for half a second was reset at once."""
-    checker = Checker(settings(hold_cap=500, keepalive_us=10 * SECOND))
+    checker = Checker(settings(max_held_messages=500, keepalive_us=10 * SECOND))
     checker.step(0, [roster(entry("h1"))])
     ended_us = [0]
     resets: list[int] = []
@@ -179,14 +179,14 @@
 
 def test_a_fast_refusing_endpoint_at_the_floor_gets_few_calls() -> None:
     """One in flight is no limit on rate: refusals back in 20 ms would allow fifty calls a second."""
-    checker = Checker(settings(hold_cap=500))
+    checker = Checker(settings(max_held_messages=500))
     checker.step(0, [roster(entry("h1"))])
     log = drive(checker, 20 * SECOND, steady(100_000, KEYED), lambda *_: (api.Verdict.FULL, 20_000))
     assert 2 <= len([1 for at_us, _ in log if at_us > 10 * SECOND]) <= 10
 
 
 def test_all_destinations_failing_at_once_lose_nothing_and_come_back() -> None:
-    checker = Checker(settings(hold_cap=500, max_attempts=8))
+    checker = Checker(settings(max_held_messages=500, max_attempts=8))
     checker.step(0, [roster(*(entry(f"h{n}", dest=n) for n in (1, 2, 3)))])
 
     def answer(now_us: int, _send: api.Send, _attempt: int) -> tuple[api.Verdict, int]:
@@ -212,7 +212,7 @@
 
 def test_a_destination_that_mostly_answers_with_errors_is_tried_on() -> None:
     """Four of five calls fail at once (second deployment, day rough-1): each further try may be served."""
-    checker = Checker(settings(hold_cap=500, max_attempts=8))
+    checker = Checker(settings(max_held_messages=500, max_attempts=8))
     checker.step(0, [roster(entry("h1"), entry("h2"))])
     drive(checker, 30 * SECOND, steady(100_000), leaking(0.8, 10 * SECOND, 30 * SECOND))
     asked = [case for case in checker.cases.values() if 16 * SECOND < case.deadline_us < 30 * SECOND]
@@ -221,15 +221,25 @@
 
 def test_no_burst_when_the_errors_end() -> None:
     """What went out before the last error can't weigh on the return; what comes behind it is spaced."""
-    end_us, window_us, capacity = 18 * SECOND, SETTINGS.fall_us, 12.0  # calls/s: a little over the demand
-    checker = Checker(settings(hold_cap=500, max_attempts=8, group_size=1))
+    end_us, window_us, capacity = (
+        18 * SECOND,
+        SETTINGS.collapse_window_us,
+        12.0,
+    )  # calls/s: a little over the demand
+    checker = Checker(settings(max_held_messages=500, max_attempts=8, group_size=1))
     checker.step(0, [roster(entry("h1"))])
     log = drive(checker, 26 * SECOND, steady(100_000, KEYED), leaking(0.9, 6 * SECOND, end_us))
     back = [at_us for at_us, _ in log if at_us >= end_us]
     assert len(back) > 10, "it is served again"
     for start_us in back:
-        cold = max(0.0, 1 - (start_us + window_us / 2 - end_us) / SETTINGS.warm_within_us)
-        bears = SETTINGS.fall_multiple * capacity * (1 - (1 - SETTINGS.cold_from) * cold) * window_us / SECOND
+        cold = max(0.0, 1 - (start_us + window_us / 2 - end_us) / SETTINGS.warm_up_us)
+        bears = (
+            SETTINGS.collapse_multiple
+            * capacity
+            * (1 - (1 - SETTINGS.cold_capacity_share) * cold)
+            * window_us
+            / SECOND
+        )
         assert sum(start_us <= at_us < start_us + window_us for at_us in back) <= bears
 
 
@@ -238,7 +248,7 @@
 
     def calls_back(every: int) -> int:
         """Calls in the first 4 s back from an outage, each so many of them answered with an error."""
-        checker, served = Checker(settings(hold_cap=500, group_size=1)), itertools.count(1)
+        checker, served = Checker(settings(max_held_messages=500, group_size=1)), itertools.count(1)
         checker.step(0, [roster(entry("h1"))])
 
         def answer(now_us: int, _send: api.Send, _attempt: int) -> tuple[api.Verdict, int]:
--- a/tests/test_found.py
+++ b/tests/test_found.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from mossfront import Relay
+from mossfront import DecisionEngine
 from mossfront import interface as api
 from tests.support import SAFE, SECOND, UNSAFE, arrival, ended, entry, roster, sends, settings
 from tests.world import Request, World, delivered, silent
@@ -16,12 +16,14 @@
 
 def found(ref: str, left_us: int = 5 * SECOND) -> api.Arrival:
     """A message that a restart has found, of a class that is worth little."""
-    return replace(arrival(ref, LOW, left_us=left_us), rules=api.Rules(LOW, 4), found=True)
+    return replace(
+        arrival(ref, LOW, left_us=left_us), rules=api.DeliveryRules(LOW, 4), recovered_untried=True
+    )
 
 
-def one_at_a_time() -> Relay:
+def one_at_a_time() -> DecisionEngine:
     """A relay with a single slot, so that the order of calls is the order of choice."""
-    return Relay(settings(slots=1, hold_cap=6), 1)
+    return DecisionEngine(settings(max_calls=1, max_held_messages=6), 1)
 
 
 def test_what_was_found_is_tried_before_what_came_since_and_is_worth_more() -> None:
@@ -38,7 +40,7 @@
 def test_of_what_was_found_whose_time_ends_first_goes_first() -> None:
     """So the most of it is tried, whatever each is worth."""
     relay, order = one_at_a_time(), list[str]()
-    costly = replace(found("f2", 9 * SECOND), cls=UNSAFE.name, rules=api.Rules(UNSAFE, 4))
+    costly = replace(found("f2", 9 * SECOND), cls=UNSAFE.name, rules=api.DeliveryRules(UNSAFE, 4))
     events: list[api.Event] = [found("f3", 5_900_000), costly, found("f1", 4 * SECOND), roster(entry("h1"))]
     for at in range(1, 4):
         sent = sends(relay.step(at * SECOND // 2, [*events, api.TimerDue()]))
--- a/tests/test_group.py
+++ b/tests/test_group.py
@@ -7,7 +7,7 @@
 import pytest
 
 from mossfront import interface as api
-from mossfront.engine import Relay
+from mossfront.engine import DecisionEngine
 from mossfront.state import Destination, Endpoint
 from tests.checker import Checker
 from tests.fleet import Fleet, Host, Tallies
@@ -26,7 +26,7 @@
     """Times at which relays that each hold one message, and saw four trials fail, send to one destination."""
     times: list[int] = []
     for number in range(relays):
-        checker = Checker(settings(group_size=size, slots=3, max_attempts=12), seed=number)
+        checker = Checker(settings(group_size=size, max_calls=3, max_attempts=12), seed=number)
         hosts = [entry(f"h{n}", dest=n) for n in range(6)]
         checker.step(0, [roster(*hosts)])
         feed: list[api.Event] = [arrival(f"m{number}-{n}", KEYED, n) for n in range(6)]
@@ -47,7 +47,7 @@
 
 def test_no_room_left_slows_down_and_room_speeds_up() -> None:
     def pace(left: float | None) -> float:
-        relay = Relay(settings(group_size=40), seed=1)
+        relay = DecisionEngine(settings(group_size=40), seed=1)
         [send] = sends(relay.step(0, [roster(entry("h1")), arrival("m1")]))
         told = api.Outcome("m1", 0, send.host, api.Verdict.OK, 1000, True, 0, left, 20.0)
         relay.step(1000, [told])
@@ -58,7 +58,7 @@
 
 
 def test_a_class_that_fails_at_one_endpoint_goes_to_its_sibling() -> None:
-    checker = Checker(settings(hold_cap=500))
+    checker = Checker(settings(max_held_messages=500))
     checker.step(0, [roster(entry("h1"), entry("h2"))])
 
     def answer(_now_us: int, send: api.Send, _attempt: int) -> tuple[api.Verdict, int]:
@@ -74,7 +74,7 @@
 
 
 def test_a_busy_relay_in_a_large_group_is_not_held_to_an_equal_part() -> None:
-    checker = Checker(settings(group_size=300, rates_told=True, hold_cap=500))
+    checker = Checker(settings(group_size=300, rate_hints_given=True, max_held_messages=500))
     checker.step(0, [roster(entry("h1", rate=20.0))])
     log = drive(checker, 10 * SECOND, steady(200_000), lambda *_: (api.Verdict.OK, 80_000))
     assert len(log) >= 45, "five a second, where an equal part were one in fifteen seconds"
@@ -82,7 +82,7 @@
 
 def visits(dests: int) -> int:
     """Destinations looked at for one message while the others are idle."""
-    relay = Relay(settings(), seed=1)
+    relay = DecisionEngine(settings(), seed=1)
     relay.step(0, [roster(*(entry(f"h{n}", dest=n) for n in range(dests)))])
     seen: list[str] = []
     room = relay._room
@@ -104,11 +104,11 @@
 def whole_fleet(pressed: bool = False) -> Tallies:
     """Forty relays of which each sees little, at a lot that takes 9 and one that takes 26 calls a second."""
     hosts = [Host("small", 1, 9.0), Host("large", 1, 26.0), Host("bank", 2, 20.0, "bank")]
-    make = Pressing if pressed else Relay
+    make = Pressing if pressed else DecisionEngine
     return Fleet(hosts, {1: 33.0, 2: 45.0}, make=make, seed=3).play(20.0)
 
 
-class Pressing(Relay):
+class Pressing(DecisionEngine):
     """Planted: each takes the whole limit for itself, and nothing that is told of the others slows it."""
 
     def _equal(self, parts: float) -> float:
@@ -131,9 +131,9 @@
 
     One that is reached after a second has failed, and its turn was spent all the same.
     """
-    asked = settings(group_size=relays, must_ask=True, ask_within_us=10 * SECOND)
-    group = [Relay(asked, n) for n in range(relays)]
-    known = roster(entry("h1"), kind=api.RosterKind.CACHED)
+    asked = settings(group_size=relays, must_subscribe=True, subscribe_within_us=10 * SECOND)
+    group = [DecisionEngine(asked, n) for n in range(relays)]
+    known = roster(entry("h1"), kind=api.EndpointUpdateKind.CACHED)
     inbox: dict[int, list[api.Event]] = {n: [known] for n in range(relays)}
     queue: list[tuple[int, int]] = []
     learned = set[int]()
@@ -145,7 +145,7 @@
         if queue and now_us % turn_us < 20_000:
             asked_us, number = queue.pop(0)
             late = now_us - asked_us > SECOND
-            kind = api.RosterKind.FAILED if late else api.RosterKind.WHOLE
+            kind = api.EndpointUpdateKind.FAILED if late else api.EndpointUpdateKind.FULL
             inbox[number] = [roster(entry("h1"), kind=kind)]
             learned |= set() if late else {number}
     return len(learned)
@@ -170,7 +170,7 @@
 
 def test_an_outage_is_no_sign_of_full_connection_tables() -> None:
     """While some destinations refused connections, idle ones to all others were closed after every call."""
-    checker = Watched(settings(hold_cap=500))
+    checker = Watched(settings(max_held_messages=500))
     checker.step(0, [roster(*(entry(f"h{n}", dest=n) for n in range(8)))])
 
     def answer(_now_us: int, send: api.Send, _attempt: int) -> tuple[api.Verdict, int]:
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -8,13 +8,13 @@
 from mallowlug.partners.http_calls import Hosts
 from mallowlug.system import POSIX
 from mossfront import interface as api
-from mossfront.engine import FORGET_US, Relay
+from mossfront.engine import FORGET_US, DecisionEngine
 from tests.support import SAFE, SECOND, entry, roster, sends, settings
 
 
-def changes(*entries: api.Entry) -> api.Roster:
+def changes(*entries: api.EndpointEntry) -> api.EndpointUpdate:
     """What changed on the list."""
-    return api.Roster(api.RosterKind.CHANGES, entries)
+    return api.EndpointUpdate(api.EndpointUpdateKind.CHANGES, entries)
 
 
 def arrival(ref: str, dest: int = 1, left_us: int = 3600 * SECOND) -> api.Arrival:
@@ -22,7 +22,7 @@
     return api.Arrival(ref, dest, SAFE.name, left_us)
 
 
-def replaced(relay: Relay, rounds: int) -> None:
+def replaced(relay: DecisionEngine, rounds: int) -> None:
     """Hosts are replaced under new ids, each with a delivery, some at a new destination."""
     for number in range(rounds):
         now, dest = number * SECOND, 1 + number % 3 + (number // 100) * 3
@@ -34,7 +34,7 @@
 
 
 def test_hosts_and_destinations_that_are_gone_are_forgotten() -> None:
-    relay = Relay(settings(), 1)
+    relay = DecisionEngine(settings(), 1)
     replaced(relay, 400)
     kept = FORGET_US // SECOND + 2
     assert len(relay.endpoints) <= kept
@@ -47,21 +47,21 @@
 
 def test_what_binds_outlasts_the_listing() -> None:
     """A wait holds for the host, also if it is listed again under its id long after."""
-    relay = Relay(settings(), 1)
+    relay = DecisionEngine(settings(), 1)
     relay.step(0, [roster(entry("h1"))])
     [send] = sends(relay.step(1000, [arrival("m1")]))
-    told = api.Outcome(send.id, 0, "h1", api.Verdict.FULL, 1000, wait_us=500 * SECOND)
+    told = api.Outcome(send.id, 0, "h1", api.Verdict.FULL, 1000, retry_after_us=500 * SECOND)
     relay.step(2000, [told, changes(entry("h1", listing=api.Listing.GONE))])
     relay.step(100 * SECOND, [changes(entry("h2", dest=2))])
     assert sends(relay.step(101 * SECOND, [changes(entry("h1"))])) == []
     relay.step(502 * SECOND, [changes(entry("h3", dest=3))])
-    within_a_unit = range(502 * SECOND, 502 * SECOND + relay.budget.unit_us, SECOND // 10)
+    within_a_unit = range(502 * SECOND, 502 * SECOND + relay.budget.time_per_call_us, SECOND // 10)
     found = [send.host for at_us in within_a_unit for send in sends(relay.step(at_us, [api.TimerDue()]))]
     assert found == ["h1"], "its one call is earned by time"
 
 
 def test_an_open_call_keeps_its_host() -> None:
-    relay = Relay(settings(), 1)
+    relay = DecisionEngine(settings(), 1)
     relay.step(0, [roster(entry("h1"))])
     [send] = sends(relay.step(1000, [arrival("m1")]))
     relay.step(2000, [changes(entry("h1", listing=api.Listing.GONE))])
@@ -74,10 +74,10 @@
 
 def test_a_held_message_is_noted_once_for_a_wait() -> None:
     """Each arrival looks at its destination: one note each would grow for as long as the wait lasts."""
-    relay = Relay(settings(), 1)
+    relay = DecisionEngine(settings(), 1)
     relay.step(0, [roster(entry("h1"))])
     [send] = sends(relay.step(1000, [arrival("m0")]))
-    relay.step(2000, [api.Outcome(send.id, 0, "h1", api.Verdict.FULL, 1000, wait_us=500 * SECOND)])
+    relay.step(2000, [api.Outcome(send.id, 0, "h1", api.Verdict.FULL, 1000, retry_after_us=500 * SECOND)])
     for number in range(1, 30):
         relay.step(2000 + number * 1000, [arrival(f"m{number}")])
     assert len(relay.due) <= 2
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -13,7 +13,7 @@
 
 from mallowlug.core.journal import SLACK_BYTES, Attempt, DueCare, Journal, JournalFullError, blocks
 from mallowlug.system import POSIX, PosixDisk
-from mossfront.interface import CareKind
+from mossfront.interface import OutageRecordKind
 
 DISK = 3_000_000
 
@@ -264,8 +264,8 @@
     assert {ref: message.notice for ref, message in again.recovered.items()} == {"a": ("dead", 0), "c": None}
 
 
-@pytest.mark.parametrize("kind", list(CareKind))
-def test_what_was_known_of_an_endpoint_comes_back(kind: CareKind, tmp_path: Path) -> None:
+@pytest.mark.parametrize("kind", list(OutageRecordKind))
+def test_what_was_known_of_an_endpoint_comes_back(kind: OutageRecordKind, tmp_path: Path) -> None:
     journal = Journal(tmp_path, DISK, POSIX.disk)
     due = DueCare(77_000_000, kind, 63)
     journal.care("h1", due)
@@ -279,4 +279,7 @@
     journal._note(["care", "h2", 78, 1])
     journal.close()
     found = reopened(tmp_path).cares
-    assert found == {"h1": DueCare(77, CareKind.OUTAGE), "h2": DueCare(78, CareKind.SUSPICION)}
+    assert found == {
+        "h1": DueCare(77, OutageRecordKind.OUTAGE),
+        "h2": DueCare(78, OutageRecordKind.SUSPICION),
+    }
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -31,16 +31,16 @@
 @pytest.mark.parametrize(
     ("field", "value"),
     [
-        ("slots", 0),
+        ("max_calls", 0),
         ("group_size", 0),
-        ("hold_cap", 0),
+        ("max_held_messages", 0),
         ("max_attempts", 0),
-        ("round_us", 0),
-        ("fall_us", 0),
-        ("warm_within_us", -1),
+        ("step_interval_us", 0),
+        ("collapse_window_us", 0),
+        ("warm_up_us", -1),
         ("drain_grace_us", -1),
-        ("cold_from", 0.0),
-        ("fall_multiple", 0.0),
+        ("cold_capacity_share", 0.0),
+        ("collapse_multiple", 0.0),
         ("classes", ()),
     ],
 )
@@ -55,5 +55,5 @@
 
 
 def test_a_kind_with_no_room_in_a_call_is_refused() -> None:
-    with pytest.raises(ValueError, match="batch"):
-        settings(kinds=(api.Kind("plain", batch=0),))
+    with pytest.raises(ValueError, match="batch_size"):
+        settings(kinds=(api.Kind("plain", batch_size=0),))
--- a/tests/test_listings.py
+++ b/tests/test_listings.py
@@ -22,10 +22,10 @@
 from mallowlug.directory.discovery import SLICE, slices
 from mallowlug.system import POSIX
 from mossfront import interface as api
-from mossfront.engine import Relay
+from mossfront.engine import DecisionEngine
 from tests.support import SAFE, SECOND, entry, roster, sends, settings
 
-KIND = api.RosterKind
+KIND = api.EndpointUpdateKind
 READY, DRAINING, GONE = api.Listing.READY, api.Listing.DRAINING, api.Listing.GONE
 
 
@@ -159,64 +159,64 @@
     assert held / 10_000 <= 600
 
 
-def told(relay: Relay, verdict: api.Verdict, wait_us: int = 0) -> None:
+def told(relay: DecisionEngine, verdict: api.Verdict, wait_us: int = 0) -> None:
     """A message to h1 and its outcome after 10 ms; what was given up or sent again is left as it stands."""
     [send] = sends(relay.step(0, [roster(entry("h1")), api.Arrival("m1", 1, SAFE.name, 2 * SECOND)]))
     relay.step(10_000, [api.Outcome("m1", 0, send.host, verdict, 10_000, verdict is api.Verdict.OK, wait_us)])
 
 
-def refused(relay: Relay) -> None:
+def refused(relay: DecisionEngine) -> None:
     told(relay, api.Verdict.FULL, 500 * SECOND)
 
 
-def out(relay: Relay) -> None:
+def out(relay: DecisionEngine) -> None:
     relay.step(0, [roster(entry("h1")), api.Arrival("m1", 1, SAFE.name, 3600 * SECOND)])
 
 
-def held(relay: Relay) -> None:
+def held(relay: DecisionEngine) -> None:
     relay.step(0, [api.Arrival("m1", 1, SAFE.name, 3600 * SECOND)])
 
 
-def lost(relay: Relay) -> None:
+def lost(relay: DecisionEngine) -> None:
     told(relay, api.Verdict.RESET)
 
 
-def cared(relay: Relay) -> None:
-    relay.step(0, [roster(entry("h1")), api.Care("h1", 400 * SECOND)])
+def cared(relay: DecisionEngine) -> None:
+    relay.step(0, [roster(entry("h1")), api.OutageRecord("h1", 400 * SECOND)])
 
 
-def moved(relay: Relay) -> None:
+def moved(relay: DecisionEngine) -> None:
     """A call is out at an endpoint that belongs to another destination by now."""
     out(relay)
-    relay.step(SECOND, [api.Roster(KIND.CHANGES, (entry("h1", dest=2),))])
+    relay.step(SECOND, [api.EndpointUpdate(KIND.CHANGES, (entry("h1", dest=2),))])
 
 
 @pytest.mark.parametrize("bind", [refused, out, held, lost, cared, moved])
-def test_what_binds_is_not_slept_away(bind: Callable[[Relay], None]) -> None:
+def test_what_binds_is_not_slept_away(bind: Callable[[DecisionEngine], None]) -> None:
     """A told wait, a call, a held message, an outage, the care of a former life."""
-    relay = Relay(settings(), 1)
+    relay = DecisionEngine(settings(), 1)
     bind(relay)
-    assert api.Asleep(1) not in relay.step(100 * SECOND, [api.Idle(1)])
+    assert api.DestinationDeactivated(1) not in relay.step(100 * SECOND, [api.DestinationIdle(1)])
     assert 1 in relay.dests
 
 
 def test_a_message_that_comes_with_the_question_keeps_its_destination() -> None:
-    relay = Relay(settings(), 1)
+    relay = DecisionEngine(settings(), 1)
     told(relay, api.Verdict.OK)
-    events: list[api.Event] = [api.Idle(1), api.Arrival("m2", 1, SAFE.name, 2 * SECOND)]
+    events: list[api.Event] = [api.DestinationIdle(1), api.Arrival("m2", 1, SAFE.name, 2 * SECOND)]
     actions = relay.step(100 * SECOND, events)
     assert [send.id for send in sends(actions)] == ["m2"]
-    assert api.Asleep(1) not in actions
+    assert api.DestinationDeactivated(1) not in actions
 
 
 def test_one_that_nothing_binds_sleeps_and_wakes_as_it_was_listed() -> None:
     """What was listed all along starts in full again; what came later is met as if it were new."""
-    relay = Relay(settings(), 1)
+    relay = DecisionEngine(settings(), 1)
     told(relay, api.Verdict.OK)
-    assert api.Asleep(1) in relay.step(100 * SECOND, [api.Idle(1)])
+    assert api.DestinationDeactivated(1) in relay.step(100 * SECOND, [api.DestinationIdle(1)])
     assert (relay.dests, relay.endpoints) == ({}, {})
-    relay.step(101 * SECOND, [api.Roster(KIND.AWAKE, (entry("h1"),))])
-    relay.step(101 * SECOND, [api.Roster(KIND.AWAKE, (entry("h2"),), later=True)])
+    relay.step(101 * SECOND, [api.EndpointUpdate(KIND.REACTIVATED, (entry("h1"),))])
+    relay.step(101 * SECOND, [api.EndpointUpdate(KIND.REACTIVATED, (entry("h2"),), added_later=True)])
     assert relay.endpoints["h1"].quota == relay.endpoints["h1"].start > 1
     assert relay.endpoints["h2"].quota == 1
 
--- a/tests/test_pushed.py
+++ b/tests/test_pushed.py
@@ -10,7 +10,7 @@
 from mallowlug.config import config_of
 from mallowlug.directory.discovery import FIRST_S, Watch
 from mallowlug.system import POSIX
-from mossfront import Relay
+from mossfront import DecisionEngine
 from mossfront import interface as api
 from tests.support import SECOND, entry, roster, settings
 from tests.world import HttpServer, Request, World, delivered, silent, soon
@@ -19,29 +19,29 @@
 LARGE = 200
 
 
-def asks(relay: Relay, now_us: int, *events: api.Event) -> bool:
+def asks(relay: DecisionEngine, now_us: int, *events: api.Event) -> bool:
     """Whether a step asks for the list."""
     return any(isinstance(action, api.Subscribe) for action in relay.step(now_us, events))
 
 
-def large(pushed: bool) -> Relay:
+def large(pushed: bool) -> DecisionEngine:
     """One of 200 relays."""
-    group = settings(group_size=LARGE, drain_grace_us=GRACE_US, ask_within_us=SECOND)
-    return Relay(replace(group, must_ask=True, pushed=pushed), 3)
+    group = settings(group_size=LARGE, drain_grace_us=GRACE_US, subscribe_within_us=SECOND)
+    return DecisionEngine(replace(group, must_subscribe=True, list_is_pushed=pushed), 3)
 
 
 def test_an_agent_is_asked_at_once_however_large_the_group() -> None:
     """From the first moment of a new process what the agent has counts as told."""
-    cached = roster(entry("h1"), kind=api.RosterKind.CACHED)
+    cached = roster(entry("h1"), kind=api.EndpointUpdateKind.CACHED)
     assert asks(large(True), 0, cached)
     assert not asks(large(False), 0, cached)  # one directory for all: their asks are spread
 
 
 def test_a_watch_that_ended_is_opened_anew_well_within_a_drains_grace_each_time() -> None:
     relay, now_us = large(True), 0
-    asks(relay, 0, roster(entry("h1"), kind=api.RosterKind.CACHED))
+    asks(relay, 0, roster(entry("h1"), kind=api.EndpointUpdateKind.CACHED))
     for _ in range(6):  # also while discovery stays down: its return is told at once
-        asks(relay, now_us, api.Roster(api.RosterKind.FAILED))
+        asks(relay, now_us, api.EndpointUpdate(api.EndpointUpdateKind.FAILED))
         assert relay.ask_us - now_us <= GRACE_US // 2
         now_us = relay.ask_us
         assert asks(relay, now_us, api.TimerDue())
--- a/tests/test_reasons.py
+++ b/tests/test_reasons.py
@@ -8,7 +8,7 @@
 import pytest
 
 from mallowlug.core.reasons import ClientClose, Event, HostClose, Reasons
-from mossfront import Relay
+from mossfront import DecisionEngine
 from mossfront import interface as api
 from tests.support import KEYED, SAFE, SECOND, UNSAFE, arrival, ended, entry, roster, sends, settings
 from tests.test_figures import scraped
@@ -33,15 +33,15 @@
     assert caplog.messages == ["retries: reset m1 h1"]
 
 
-def given_up(relay: Relay, at_us: int, *events: api.Event) -> list[api.GiveUp]:
+def given_up(relay: DecisionEngine, at_us: int, *events: api.Event) -> list[api.GiveUpReason]:
     """Why messages get their final answers in a step."""
     actions = relay.step(at_us, list(events))
     return [action.reason for action in actions if isinstance(action, api.Refuse | api.Fail)]
 
 
-def relay_with_a_host(**told: int) -> Relay:
+def relay_with_a_host(**told: int) -> DecisionEngine:
     """A relay that knows one host."""
-    relay = Relay(settings(**told), 1)
+    relay = DecisionEngine(settings(**told), 1)
     relay.step(0, [roster(entry("h1"))])
     return relay
 
@@ -50,21 +50,21 @@
     relay = relay_with_a_host()
     [send] = sends(relay.step(SECOND, [arrival("m1", UNSAFE)]))
     reasons = given_up(relay, 2 * SECOND, ended(send, api.Verdict.RESET))
-    assert reasons == [api.GiveUp.NOT_REPEATABLE]
+    assert reasons == [api.GiveUpReason.NOT_REPEATABLE]
 
 
 def test_a_wait_beyond_the_time_a_full_table_and_the_last_try_have_reasons_of_their_own() -> None:
     relay = relay_with_a_host()
     [send] = sends(relay.step(SECOND, [arrival("m1", SAFE)]))
     refusal = ended(send, api.Verdict.FULL, wait_us=3600 * SECOND)
-    assert given_up(relay, 2 * SECOND, refusal) == [api.GiveUp.TOLD_TO_WAIT]
-    full = Relay(settings(hold_cap=2), 1)
+    assert given_up(relay, 2 * SECOND, refusal) == [api.GiveUpReason.WAIT_EXCEEDS_DEADLINE]
+    full = DecisionEngine(settings(max_held_messages=2), 1)
     full.step(0, [])
     held = [arrival(f"m{number}", KEYED) for number in range(3)]
-    assert set(given_up(full, SECOND, *held)) == {api.GiveUp.TOO_MANY}
+    assert set(given_up(full, SECOND, *held)) == {api.GiveUpReason.BACKLOG_FULL}
     last = relay_with_a_host(max_attempts=1)
     [send] = sends(last.step(SECOND, [arrival("m1", SAFE)]))
-    assert given_up(last, 2 * SECOND, ended(send, api.Verdict.ERROR)) == [api.GiveUp.NO_TRY_LEFT]
+    assert given_up(last, 2 * SECOND, ended(send, api.Verdict.ERROR)) == [api.GiveUpReason.NO_ATTEMPTS_LEFT]
 
 
 async def closes(port: int, name: str) -> dict[str, float]:
--- a/tests/test_restart.py
+++ b/tests/test_restart.py
@@ -12,7 +12,7 @@
 from mallowlug.compose import serve
 from mallowlug.core.journal import Journal
 from mallowlug.system import POSIX, Posix
-from mossfront.engine import Relay
+from mossfront.engine import DecisionEngine
 from tests.world import ROOT, World, delivered, silent, soon
 
 
@@ -189,7 +189,7 @@
     def broken(*_args: object) -> None:
         raise RuntimeError("broken")
 
-    monkeypatch.setattr(Relay, "step", broken)
+    monkeypatch.setattr(DecisionEngine, "step", broken)
     monkeypatch.setattr(Posix, "environ", world.environment())
     assert await soon(serve(config.load(POSIX), POSIX)) == 1
     assert "the step loop broke" in caplog.text
--- a/tests/test_returns.py
+++ b/tests/test_returns.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 
 from mallowlug.rig.judge import cold
-from mossfront import Relay
+from mossfront import DecisionEngine
 from mossfront import interface as api
 from mossfront.engine import FURTHER_WEIGHT
 from tests.fleet import Fleet, Host
@@ -55,7 +55,13 @@
 
 
 def played(
-    relays: int, kind: str, how: V, out_s: float, load: float, seed: int, make: type[Relay] = Relay
+    relays: int,
+    kind: str,
+    how: V,
+    out_s: float,
+    load: float,
+    seed: int,
+    make: type[DecisionEngine] = DecisionEngine,
 ) -> tuple[Group, cold.Return]:
     """A group through an outage of its one destination, and how that came back.
 
@@ -82,7 +88,7 @@
     return worst
 
 
-class Trusting(Relay):
+class Trusting(DecisionEngine):
     """Planted: no failure is taken for an outage."""
 
     def _suspect_outage(self, *_: object) -> None:
@@ -128,7 +134,7 @@
     assert own_excess(*played(*draw)) <= ONE_CALL + 2 * (draw[1] == "lot")
 
 
-def over(make: type[Relay]) -> tuple[int, int]:
+def over(make: type[DecisionEngine]) -> tuple[int, int]:
     """Of 60 drawn outages of 3 relays: after how many a budget was overrun, and a relay's own part."""
     rng, budgets, parts = random.Random(5), 0, 0
     for seed in range(60):
@@ -139,7 +145,7 @@
 
 
 def test_a_relay_that_forgets_its_failures_is_found_by_both_counts() -> None:
-    (budgets, parts), (planted_budgets, planted_parts) = over(Relay), over(Trusting)
+    (budgets, parts), (planted_budgets, planted_parts) = over(DecisionEngine), over(Trusting)
     assert 3 * budgets < planted_budgets and parts == 0 < planted_parts
 
 
@@ -150,10 +156,10 @@
 
 def most_in_a_trial(size: int) -> int:
     """Messages in a call to a bank that has failed, with 30 of them waiting."""
-    relay = Relay(shared_by(size), 1)
+    relay = DecisionEngine(shared_by(size), 1)
     relay.step(0, [roster(entry("h", kind="split"))])
     (first,) = sends(relay.step(SECOND, [arrival("a", SAFE)]))
-    lost = api.Outcome(first.id, 0, "h", api.Verdict.TIMEOUT, SECOND, limit_left=0.5, limit_per_s=6.0)
+    lost = api.Outcome(first.id, 0, "h", api.Verdict.TIMEOUT, SECOND, limit_remaining=0.5, limit_per_s=6.0)
     now = 4 * SECOND
     found = sends(relay.step(now, [lost, *(arrival(f"m{n}", SAFE) for n in range(30))]))
     while not found:
@@ -165,5 +171,11 @@
 
 def shared_by(size: int) -> api.Settings:
     """A bank that takes ten messages in a call, shared by so many relays."""
-    kinds = (api.Kind("split", apart=True, batch=10),)
-    return usual(group_size=size, kinds=kinds, fall_us=FALL_US, cold_from=COLD_FROM, fall_multiple=MULTIPLE)
+    kinds = (api.Kind("split", separate_routes=True, batch_size=10),)
+    return usual(
+        group_size=size,
+        kinds=kinds,
+        collapse_window_us=FALL_US,
+        cold_capacity_share=COLD_FROM,
+        collapse_multiple=MULTIPLE,
+    )
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -23,7 +23,7 @@
 
 Listing = api.Listing
 Verdict = api.Verdict
-Kind = api.RosterKind
+Kind = api.EndpointUpdateKind
 
 
 def run_quiet(checker: Checker, start_us: int, until_us: int, gap_us: int = 20_000) -> list[api.Action]:
@@ -45,7 +45,7 @@
     checker = Checker(settings())
     assert not sends(checker.step(0, [roster(), arrival("m1")]))
     actions = run_quiet(checker, 20_000, 7 * SECOND)
-    assert [type(a) for a in actions if not isinstance(a, api.Wake)] == [api.Refuse]
+    assert [type(a) for a in actions if not isinstance(a, api.SetTimer)] == [api.Refuse]
 
 
 def test_an_endpoint_that_appears_gets_what_is_held() -> None:
@@ -102,7 +102,7 @@
     checker.step(50_000, [ended(send, Verdict.FULL, wait_us=SECOND), arrival("m2")])
     assert not sends(run_quiet(checker, 60_000, 1_050_000))
     # No limit is told there, so the wait may be an outage's: the next call is earned, at the latest by time.
-    assert sends(run_quiet(checker, 1_050_000, SECOND + checker.relay.budget.unit_us))
+    assert sends(run_quiet(checker, 1_050_000, SECOND + checker.relay.budget.time_per_call_us))
 
 
 def test_a_told_wait_on_a_separate_route_leaves_the_other_free() -> None:
@@ -144,7 +144,9 @@
 
 def returning_calls(group_size: int) -> int:
     """Calls in the first two seconds after a silent outage, with a backlog waiting."""
-    config = settings(group_size=group_size, rates_told=True, fall_multiple=2.0, cold_from=0.2)
+    config = settings(
+        group_size=group_size, rate_hints_given=True, collapse_multiple=2.0, cold_capacity_share=0.2
+    )
     checker = Checker(config)
     checker.step(0, [roster(entry("h1", rate=10.0))])
     out = sends(checker.step(0, [arrival("w", KEYED)]))
@@ -181,7 +183,7 @@
 
 
 def test_the_held_bound_refuses_the_least_worthy() -> None:
-    checker = Checker(settings(hold_cap=10))
+    checker = Checker(settings(max_held_messages=10))
     batch: list[api.Event] = [arrival(f"m{n}", KEYED if n % 2 else SAFE) for n in range(20)]
     refused = [a for a in checker.step(0, batch) if isinstance(a, api.Refuse)]
     assert len(refused) >= 10
@@ -190,10 +192,10 @@
 
 
 def test_ask_discovery_subscribes_and_asks_again_after_failures() -> None:
-    checker = Checker(settings(must_ask=True, ask_within_us=10 * SECOND))
+    checker = Checker(settings(must_subscribe=True, subscribe_within_us=10 * SECOND))
     assert api.Subscribe() in checker.step(0, [roster(entry("h1"), kind=Kind.CACHED)])
     for turn in range(1, 8):
-        actions = checker.step(turn * 10 * SECOND, [api.Roster(Kind.FAILED)])
+        actions = checker.step(turn * 10 * SECOND, [api.EndpointUpdate(Kind.FAILED)])
         actions += run_quiet(checker, turn * 10 * SECOND + 20_000, turn * 10 * SECOND + 4 * SECOND)
         assert [a for a in actions if isinstance(a, api.Subscribe)]
 
@@ -204,12 +206,12 @@
         0,
         [
             api.Outcome("x", 0, "nowhere", Verdict.OK, 5),
-            api.Withdrawn("y"),
+            api.MessageWithdrawn("y"),
             api.ProbeResult("nowhere", Verdict.OK, 5),
             api.Arrival("z", 1, "no class", 5),
         ],
     )
     [send] = sends(checker.step(10, [roster(entry("h1")), arrival("m1")]))
-    checker.step(20, [api.Withdrawn("m1")])
+    checker.step(20, [api.MessageWithdrawn("m1")])
     late = checker.step(30, [ended(send, Verdict.TIMEOUT)])
     assert not [a for a in late if isinstance(a, api.Fail | api.Refuse)]
--- a/tests/test_sequences.py
+++ b/tests/test_sequences.py
@@ -11,7 +11,7 @@
 from hypothesis import strategies as st
 
 from mossfront import interface as api
-from mossfront.engine import Relay
+from mossfront.engine import DecisionEngine
 from tests.checker import Checker
 from tests.support import KEYED, SAFE, SECOND, TURN, UNSAFE, ZONED, arrival, entry, roster, sends, settings
 
@@ -40,7 +40,7 @@
     """Turn a script into events that the wire could deliver and run it to the end."""
     checker = Checker(config, seed)
     entries = [entry(host, dest, kind, zone=zone, rate=5.0) for host, dest, kind, zone in HOSTS]
-    checker.step(0, [roster(*entries, kind=api.RosterKind.CACHED)])
+    checker.step(0, [roster(*entries, kind=api.EndpointUpdateKind.CACHED)])
     out: list[tuple[api.Send, int]] = []
     now_us, serial = 0, 0
 
@@ -54,7 +54,7 @@
         for send, attempt in list(out):
             if checker.cases[send.id].attempts[attempt].expires_us <= until_us:
                 out.remove((send, attempt))
-                events.append(api.Outcome(send.id, attempt, send.host, api.Verdict.TIMEOUT, send.limit_us))
+                events.append(api.Outcome(send.id, attempt, send.host, api.Verdict.TIMEOUT, send.timeout_us))
         return events
 
     for gap_us, new, ends, change, withdraw in script:
@@ -72,12 +72,12 @@
         if change is not None:
             host, dest, kind, zone = HOSTS[change[0]]
             news = entry(host, dest, kind, change[1], zone, 5.0)
-            events.append(roster(news, kind=api.RosterKind.CHANGES))
+            events.append(roster(news, kind=api.EndpointUpdateKind.CHANGES))
         for cls, dest, key in new:
             serial += 1
             events.append(arrival(f"m{serial}", cls, dest, key=key, tenant="small"))
         if withdraw and serial:
-            events.append(api.Withdrawn(f"m{(serial + 1) // 2}"))
+            events.append(api.MessageWithdrawn(f"m{(serial + 1) // 2}"))
         take(checker.step(now_us, events))
     while now_us < 200 * SECOND and not all(case.over for case in checker.cases.values()):
         now_us += 20_000
@@ -96,10 +96,10 @@
 @given(st.lists(STEP, min_size=1, max_size=12), st.booleans(), st.booleans(), st.integers(1, 4))
 def test_no_legal_sequence_breaks_a_rule(script: list[Step], ask: bool, told: bool, slots: int) -> None:
     config = settings(
-        must_ask=ask,
-        ask_within_us=10 * SECOND,
-        rates_told=told,
-        slots=slots,
+        must_subscribe=ask,
+        subscribe_within_us=10 * SECOND,
+        rate_hints_given=told,
+        max_calls=slots,
         may_probe=told,
         may_duplicate=ask,
     )
@@ -139,10 +139,10 @@
 
 def test_a_wake_that_comes_a_microsecond_early_is_asked_for_again() -> None:
     """The process's clock and the loop's differ: a held message was answered with the next event."""
-    relay = Relay(settings(), seed=1)
+    relay = DecisionEngine(settings(), seed=1)
     relay.step(0, [roster(entry("h1", listing=api.Listing.DRAINING)), arrival("m1")])
     [end_us] = [at_us for at_us, *_ in relay.ends]
     early = relay.step(end_us - 1, [api.TimerDue()])
-    [wake] = [action for action in early if isinstance(action, api.Wake)]
+    [wake] = [action for action in early if isinstance(action, api.SetTimer)]
     late = relay.step(end_us - 1 + wake.delay_us, [api.TimerDue()])
     assert [action.id for action in late if isinstance(action, api.Refuse)] == ["m1"]
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -14,7 +14,7 @@
 from mallowlug.core.journal import MOST_RULES, Journal
 from mallowlug.system import POSIX
 from mossfront import interface as api
-from mossfront.engine import Relay
+from mossfront.engine import DecisionEngine
 from tests.support import KEYED, SAFE, SECOND, arrival, ended, entry, roster, sends, settings
 from tests.world import CLASSES, TIMES, World, called, silent, soon
 
@@ -185,12 +185,12 @@
 
 
 def test_attempts_and_effect_are_those_of_the_arrival() -> None:
-    relay = Relay(settings(max_attempts=3), 1)
+    relay = DecisionEngine(settings(max_attempts=3), 1)
     relay.step(0, [roster(entry("h1"))])
     (first,) = sends(relay.step(SECOND, [arrival("a", SAFE)]))
     unsafe = api.MessageClass(SAFE.name, api.Effect.UNSAFE, SECOND, 6 * SECOND)
     fewer = settings(max_attempts=1, classes=(unsafe,))
-    relay.step(2 * SECOND, [api.Changed(fewer)])
+    relay.step(2 * SECOND, [api.SettingsChanged(fewer)])
     found = relay.step(2 * SECOND + 1, [ended(first, api.Verdict.ERROR)])
     now = 2 * SECOND
     while not (again := sends(found)):  # repeated: it came as safe, with three attempts
@@ -207,16 +207,16 @@
 
 
 def test_an_old_rule_of_a_former_life_needs_no_class_of_its_name() -> None:
-    relay = Relay(settings(classes=(SAFE,)), 1)
+    relay = DecisionEngine(settings(classes=(SAFE,)), 1)
     relay.step(0, [roster(entry("h1"))])
-    came = api.Arrival("a", 1, "gone", 9 * SECOND, rules=api.Rules(KEYED, 2))
+    came = api.Arrival("a", 1, "gone", 9 * SECOND, rules=api.DeliveryRules(KEYED, 2))
     assert len(sends(relay.step(SECOND, [came]))) == 1
     assert sends(relay.step(SECOND, [api.Arrival("b", 1, "gone", 9 * SECOND)])) == []
 
 
 def test_rules_in_the_module_do_not_grow_with_changes() -> None:
-    relay = Relay(settings(), 1)
+    relay = DecisionEngine(settings(), 1)
     for number in range(1000):
         cls = api.MessageClass(f"c{number}", api.Effect.SAFE, SECOND, 6 * SECOND)
-        relay.step(number, [api.Changed(settings(classes=(cls,)))])
+        relay.step(number, [api.SettingsChanged(settings(classes=(cls,)))])
     assert len(relay.manners) <= 66
--- a/tests/test_shared_calls.py
+++ b/tests/test_shared_calls.py
@@ -7,7 +7,7 @@
 import time
 
 from mallowlug.core.model import Call, Part, Told
-from mossfront import Relay
+from mossfront import DecisionEngine
 from mossfront import interface as api
 from mossfront.interface import Verdict
 from tests.calls import Calls, serving
@@ -17,18 +17,18 @@
 
 def together(*ours: api.Arrival, cls: tuple[api.MessageClass, ...] = (KEYED, UNSAFE)) -> list[api.Send]:
     """What goes out in one call of three to an endpoint of which nothing is known."""
-    relay = Relay(settings(classes=cls, may_duplicate=False), 1)
+    relay = DecisionEngine(settings(classes=cls, may_duplicate=False), 1)
     relay.step(0, [roster(entry("h1", kind="split"))])
     return sends(relay.step(SECOND, [api.TimerDue(), *ours]))
 
 
 def test_a_call_has_one_time_out_the_longest() -> None:
     """With one of its own, a message goes again while the call that carries it is out: a second copy."""
-    alone = {send.id: send.limit_us for ref in ("k", "u") for send in together(one(ref))}
+    alone = {send.id: send.timeout_us for ref in ("k", "u") for send in together(one(ref))}
     assert alone["k"] < alone["u"]
     sent = together(one("k"), one("u"))
     assert {send.id for send in sent} == {"u", "k"}
-    assert {send.limit_us for send in sent} == {alone["u"]}
+    assert {send.timeout_us for send in sent} == {alone["u"]}
 
 
 def one(ref: str, left_us: int | None = None) -> api.Arrival:
@@ -37,7 +37,7 @@
 
 
 def test_a_message_whose_time_is_up_before_the_calls_ends_by_itself() -> None:
-    limits = {send.id: send.limit_us for send in together(one("k1", 2 * SECOND), one("k2"))}
+    limits = {send.id: send.timeout_us for send in together(one("k1", 2 * SECOND), one("k2"))}
     assert limits["k1"] == 2 * SECOND < limits["k2"]
 
 
@@ -58,7 +58,7 @@
 
 
 def test_what_is_not_let_out_in_one_step_does_not_stay_for_the_next() -> None:
-    relay = Relay(settings(), 1)
+    relay = DecisionEngine(settings(), 1)
     relay.step(0, [roster(entry("h1"), entry("h2", 2))])
     first = sends(relay.step(SECOND, [arrival("a")]))
     assert [send.id for send in first] == ["a"]
