--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -118,7 +118,7 @@
         ("frame at_time_us=1\ntable ref=0 hosts=2\nhost host=a dest=1 health=1\ncommit\n", "host line"),
         ("frame at_time_us=1\ntable ref=99 hosts=0\ncommit\n", "out of range"),
         ("frame at_time_us=1\ninit who=1 init_seed=x\ncommit\n", "unreadable init_seed"),
-        (frame(1, init(1).replace("domain.calls_out=4", "domain.calls_out=0")), "slots"),
+        (frame(1, init(1).replace("domain.calls_out=4", "domain.calls_out=0")), "max_calls"),
         (frame(1, init(1).replace("effect=safe", "effect=odd")), "effect"),
         (frame(1, init(1).replace("batch_by_kind=1", "batch_by_kind=x")), "batch_by_kind"),
         (
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -16,7 +16,7 @@
 from mallowlug.operator.model import OperatorFile
 from mallowlug.system import POSIX
 from mallowlug.upgrade import handover_file
-from mossfront import Relay
+from mossfront import DecisionEngine
 from mossfront import interface as api
 from tests.support import SAFE, arrival, roster, sends, settings
 
@@ -89,8 +89,11 @@
 
 
 def test_a_list_of_so_many_hosts_is_kept_and_each_is_sent_to() -> None:
-    listings, relay = Listings(MANY, 60.0), Relay(settings(slots=4 * MANY, hold_cap=4 * MANY), 1)
-    entries = [api.Entry(host, n, "a", "plain", api.Listing.READY) for n, host in enumerate(HOSTS)]
+    listings, relay = (
+        Listings(MANY, 60.0),
+        DecisionEngine(settings(max_calls=4 * MANY, max_held_messages=4 * MANY), 1),
+    )
+    entries = [api.EndpointEntry(host, n, "a", "plain", api.Listing.READY) for n, host in enumerate(HOSTS)]
     rows = (Listed(entry, ("10.1.0.1", 6379)) for entry in entries)
     listings.follow(HostList(1, True, tuple(rows)), 0.0)
     assert listings.hosts == len(listings) == MANY + 1
--- a/tests/test_told.py
+++ b/tests/test_told.py
@@ -9,7 +9,7 @@
 import pytest
 
 from mallowlug.directory.discovery import FIRST_S, QUIET_S
-from mossfront import Relay
+from mossfront import DecisionEngine
 from mossfront import interface as api
 from mossfront.engine import LISTED_US
 from tests.support import SECOND, entry, roster, settings
@@ -26,7 +26,9 @@
     """One relay of a group that must ask: feed it ends, and it says when it asks."""
 
     def __init__(self, size: int, seed: int) -> None:
-        self.relay = Relay(settings(group_size=size, must_ask=True, ask_within_us=10 * SECOND), seed)
+        self.relay = DecisionEngine(
+            settings(group_size=size, must_subscribe=True, subscribe_within_us=10 * SECOND), seed
+        )
         self.now_us = 0
 
     def step(self, now_us: int, *events: api.Event) -> bool:
@@ -36,7 +38,7 @@
 
     def first_us(self) -> int:
         """When it asks first, with a list that it knew."""
-        return 0 if self.step(0, roster(entry("h1"), kind=api.RosterKind.CACHED)) else self.next_us()
+        return 0 if self.step(0, roster(entry("h1"), kind=api.EndpointUpdateKind.CACHED)) else self.next_us()
 
     def next_us(self) -> int:
         """Go on until it asks; when that is."""
@@ -54,7 +56,7 @@
         begun_us = asking.first_us()
         assert begun_us <= LISTED_US - ANSWER_US
         for took_us in rng.choices(ENDS_US, k=12):
-            asking.step(begun_us + took_us, api.Roster(api.RosterKind.FAILED))
+            asking.step(begun_us + took_us, api.EndpointUpdate(api.EndpointUpdateKind.FAILED))
             again_us = asking.next_us()
             assert again_us - begun_us <= LISTED_US - ANSWER_US + TICK_US
             begun_us = again_us
@@ -69,7 +71,7 @@
         asking.step(begun_us + SECOND, roster(entry("h1")))
         silent_us = begun_us + 60 * SECOND
         found_us = silent_us + int(QUIET_S * 1e6)
-        asking.step(found_us, api.Roster(api.RosterKind.FAILED))
+        asking.step(found_us, api.EndpointUpdate(api.EndpointUpdateKind.FAILED))
         assert asking.next_us() + ANSWER_US // 2 <= silent_us + LISTED_US
 
 
@@ -79,7 +81,9 @@
     It works through calls in turn, and turns away at once what would wait for longer than a second.
     """
     rng, group = random.Random(seed), [Asking(relays, n) for n in range(relays)]
-    inbox: dict[int, api.Event] = {n: roster(entry("h1"), kind=api.RosterKind.CACHED) for n in range(relays)}
+    inbox: dict[int, api.Event] = {
+        n: roster(entry("h1"), kind=api.EndpointUpdateKind.CACHED) for n in range(relays)
+    }
     heard, calls, free_us, back_us = dict[int, float](), 0, 0, 20 * SECOND
     due: dict[int, list[tuple[int, api.Event]]] = {}
     for now_us in range(0, back_us + 12 * SECOND, TICK_US):
@@ -89,7 +93,7 @@
             if not group[number].step(now_us, inbox.pop(number, api.TimerDue())):
                 continue
             calls += now_us >= back_us
-            answer: tuple[int, api.Event] = (number, api.Roster(api.RosterKind.FAILED))
+            answer: tuple[int, api.Event] = (number, api.EndpointUpdate(api.EndpointUpdateKind.FAILED))
             at_us = now_us + TICK_US
             if now_us >= back_us and (free_us := max(free_us, now_us)) <= now_us + SECOND:
                 free_us += SECOND // capacity
