--- a/mallowlug/compose.py
+++ b/mallowlug/compose.py
@@ -12,17 +12,17 @@
 from mallowlug import config
 from mallowlug.core.clock import clock_of
 from mallowlug.core.descriptors import Shares, shares_of
-from mallowlug.core.disabled_hosts import Outs
-from mallowlug.core.handover import Binds
+from mallowlug.core.disabled_hosts import DisabledHosts
+from mallowlug.core.handover import HandoverState
 from mallowlug.core.journal import Journal
 from mallowlug.core.listings import Listings, listed_of
-from mallowlug.core.metrics import Figures
-from mallowlug.core.model import HostList
-from mallowlug.core.operator_interface import Desk
-from mallowlug.core.ports import Intake, Plugs
+from mallowlug.core.metrics import Metrics
+from mallowlug.core.model import EndpointList
+from mallowlug.core.operator_interface import OperatorInterface
+from mallowlug.core.ports import Adapters, Intake
 from mallowlug.core.reasons import Reasons
-from mallowlug.core.relay import Driver
-from mallowlug.core.reserved_space import staff_room
+from mallowlug.core.relay import RelayCore
+from mallowlug.core.reserved_space import reserved_space
 from mallowlug.directory.discovery import FIRST_S, Watch
 from mallowlug.ends.notices import Notices
 from mallowlug.fronts.resp2 import Server
@@ -70,9 +70,9 @@
     return shares
 
 
-def plugs_of(cfg: config.Config, seq: int, system: System, calls: int, reasons: Reasons) -> Plugs:
+def plugs_of(cfg: config.Config, seq: int, system: System, calls: int, reasons: Reasons) -> Adapters:
     """The platform's adapters, bound to what the configuration tells."""
-    return Plugs(
+    return Adapters(
         partners=lambda settled, released: Hosts(
             cfg.settings.kinds,
             cfg.settings.keepalive_us,
@@ -87,7 +87,7 @@
         directory=lambda told, failed: Watch(
             cfg.discovery, seq, told, failed, system, most_line=cfg.memory_bytes // 8, answer_s=answer_s(cfg)
         ),
-        ends=lambda confirmed: Notices(cfg.discovery, confirmed, system),
+        notifier=lambda confirmed: Notices(cfg.discovery, confirmed, system),
     )
 
 
@@ -101,17 +101,17 @@
     return min(FIRST_S, least_s) if cfg.settings.list_is_pushed else FIRST_S
 
 
-def list_of(binds: Binds | None, known: HostList) -> HostList:
+def list_of(binds: HandoverState | None, known: EndpointList) -> EndpointList:
     """The newer one of the list that was handed over and the one that the configuration knows.
 
     A list too long to be handed over is asked for anew: the known one may lack a drain that was heard of.
     """
     if binds is not None and binds.seq < 0:
-        return HostList(0, True, ())
+        return EndpointList(0, True, ())
     if binds is None or binds.seq < known.seq or not binds.rows:
         return known
     hosts = tuple(listed_of(tuple(row), dest) for dest, rows in binds.rows.items() for row in rows)
-    return HostList(binds.seq, True, hosts)
+    return EndpointList(binds.seq, True, hosts)
 
 
 async def serve(cfg: config.Config, system: System, extras: config.Extras = config.NOTHING) -> int:
@@ -125,15 +125,15 @@
     """One process of a relay, from its start to its exit code."""
 
     def __init__(self, cfg: config.Config, system: System, extras: config.Extras) -> None:
-        self._known, self._cfg = cfg.known, replace(cfg, known=HostList(cfg.known.seq, True, ()))
+        self._known, self._cfg = cfg.known, replace(cfg, known=EndpointList(cfg.known.seq, True, ()))
         self._system, self._extras = system, extras
         self._loop = asyncio.get_running_loop()
         self._ended: asyncio.Future[int] = self._loop.create_future()
         self._terminated = asyncio.Event()
-        room = staff_room(cfg.disk_bytes)
-        self._figures = Figures(cls.name for cls in cfg.settings.classes)
-        self._outs = Outs(cfg.state, system.disk, extras.durable, most_bytes=room.outs)
-        self._desk = Desk(self._figures, self._outs)
+        room = reserved_space(cfg.disk_bytes)
+        self._figures = Metrics(cls.name for cls in cfg.settings.classes)
+        self._outs = DisabledHosts(cfg.state, system.disk, extras.durable, most_bytes=room.outs)
+        self._desk = OperatorInterface(self._figures, self._outs)
         self._desk.names = {listed.entry.host for listed in cfg.known.hosts} if cfg.console else set()
         self._journal: Journal | None = None
         self._fronts: list[Server] = []
@@ -145,7 +145,7 @@
         self._size = 0  # of the group, as it was counted; 0: as the settings tell
 
     @property
-    def driver(self) -> Driver | None:
+    def driver(self) -> RelayCore | None:
         """The relay's core, once the journal is taken up."""
         return self._desk.driver
 
@@ -189,7 +189,7 @@
 
         self._shift = Shift(
             cfg.state, self._system.disk, self, self._extras.durable,
-            most_binds=staff_room(cfg.disk_bytes).binds,
+            most_binds=reserved_space(cfg.disk_bytes).binds,
         )  # fmt: skip
         console = Console(self._desk, cfg.console, self._shares.callers - 1, self._system)
         await console.start()
@@ -241,18 +241,18 @@
             if self._shift is not None and self._shift.followed and not front.prevail():
                 LOG.warning("upgrade: new connections cannot be steered here; any process gets them")
 
-    def take_up(self, binds: Binds | None) -> Driver:
+    def take_up(self, binds: HandoverState | None) -> RelayCore:
         """Read the journal and go on from it."""
         cfg, system = self._cfg, self._system
-        disk_bytes = cfg.disk_bytes - (cfg.console is not None) * staff_room(cfg.disk_bytes).total
+        disk_bytes = cfg.disk_bytes - (cfg.console is not None) * reserved_space(cfg.disk_bytes).total
         self._journal = Journal(cfg.state, disk_bytes, system.disk, self._extras.durable)
-        known, self._known = list_of(binds, self._known), HostList(0, True, ())
+        known, self._known = list_of(binds, self._known), EndpointList(0, True, ())
 
         def crashed(_error: BaseException) -> None:
             if not self._ended.done():
                 self._ended.set_result(1)
 
-        driver = Driver(
+        driver = RelayCore(
             settings=self._within(cfg.settings),
             seed=cfg.seed,
             journal=self._journal,
@@ -265,7 +265,7 @@
         )
         driver.start(known, binds)
         if self.driver is not None:
-            driver.sent_before = self.driver.now.sends
+            driver.sent_before = self.driver.gauges.sends
         self._desk.driver, self._desk.names = driver, set()  # the list itself answers from now on
         if self._extras.fleet is not None:
             self._join(self._extras.fleet)
@@ -289,7 +289,7 @@
         """The group is of another size: through the module, as any setting is."""
         self._size = size
         if self.driver is not None:
-            self.driver.change(self._within(self._cfg.settings))
+            self.driver.change_settings(self._within(self._cfg.settings))
 
     def _within(self, settings: Settings) -> Settings:
         """Settings with the group as it was counted, where it is, and no more calls out than descriptors."""
@@ -341,8 +341,8 @@
         self._go_by(cfg)
         self._put_aside()
         if self.driver is not None:
-            self.driver.change(self._within(cfg.settings))
-            self.driver.move(cfg.discovery)
+            self.driver.change_settings(self._within(cfg.settings))
+            self.driver.change_discovery(cfg.discovery)
         return True
 
     def _go_by(self, cfg: config.Config) -> None:
@@ -358,15 +358,15 @@
         if (variable := self._cfg.aside) and not config.put_aside(self._system, variable):
             self._owing = self._loop.call_later(OWED_S, self._put_aside)
 
-    def binds(self) -> Binds:
+    def binds(self) -> HandoverState:
         """What binds a successor beside the journal: what the core knows, and what is in force here."""
         assert self.driver is not None
-        cfg, binds = self._cfg, self.driver.binds()
+        cfg, binds = self._cfg, self.driver.handover_state()
         binds.config, binds.aside = cfg.told.decode(), cfg.aside
         binds.discovery = "{}:{}".format(*cfg.discovery)
         return binds
 
-    def catch_up(self, binds: Binds | None) -> None:
+    def catch_up(self, binds: HandoverState | None) -> None:
         """Go by what counts at the take-over, not by what was read when this process started.
 
         The file as it is now counts, as at any start. Where it cannot be used, or lacks what the one in force
@@ -384,7 +384,7 @@
         self._put_aside()
         LOG.info("take-over: discovery at %s:%d", *cfg.discovery)
 
-    def _in_force(self, binds: Binds | None) -> config.Config | None:
+    def _in_force(self, binds: HandoverState | None) -> config.Config | None:
         """What the process before this one went by, as far as it has told."""
         if binds is None or not binds.config:
             return None
@@ -419,7 +419,7 @@
                 front.shut()
         await self._until(start_s + SERVE_S, parted, start_s + 0.5)
         for front in self._fronts:
-            front.end_clients()
+            front.drain_clients()
         await self._until(start_s + LAST_S, parted, start_s + (0.0 if followed else SERVE_S + 0.3))
         LOG.info("SIGTERM: shut down")
 
--- a/mallowlug/config.py
+++ b/mallowlug/config.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from mallowlug.core.model import Address, HostList, pair_of
+from mallowlug.core.model import Address, EndpointList, parse_address
 from mallowlug.directory.discovery import read_list
 from mallowlug.system import Disk, System, save
 from mossfront.interface import Settings
@@ -38,7 +38,7 @@
     disk_bytes: int
     memory_bytes: int
     sockets: int
-    known: HostList
+    known: EndpointList
     console: Address | None = None  # where on-call staff and their tools call
     shape: Any = ...  # the keys of the file, which a later one must have too
     told: bytes = b""  # the file as JSON without its list of hosts; kept only where there is a console
@@ -86,7 +86,7 @@
 def address_of(text: str) -> Address:
     """``host:port`` as the pair that sockets take; ``ConfigError`` where it is none."""
     try:
-        return pair_of(text)
+        return parse_address(text)
     except ValueError as error:
         raise ConfigError(str(error)) from None
 
@@ -261,7 +261,7 @@
             disk_bytes=int(float(limits.get("disk_mb", 3)) * 1_000_000),
             memory_bytes=int(float(limits.get("memory_mb", 64)) * 1_000_000),
             sockets=int(limits.get("sockets", 1024)),
-            known=read_list(raw["known"]) if raw.get("known") else HostList(0, True, ()),
+            known=read_list(raw["known"]) if raw.get("known") else EndpointList(0, True, ()),
             console=address_of(console) if console else None,
             shape=shape_of(raw | ({"known": ...} if "known" in raw else {})),
             told=without_list(raw) if console else b"",
--- a/mallowlug/console/calls.py
+++ b/mallowlug/console/calls.py
@@ -25,10 +25,10 @@
     def members(self) -> str:
         """The view of the fleet as JSON; empty where none is kept."""
 
-    def put_out(self, host: str) -> str:
+    def disable_host(self, host: str) -> str:
         """Leave a host out, kept for later lives; else why not (``unknown`` in front: no such host)."""
 
-    def put_back(self, host: str) -> str:
+    def enable_host(self, host: str) -> str:
         """The host may serve again; else why not."""
 
 
@@ -48,8 +48,8 @@
         "/ready": ("GET", lambda: ready(relay)),
         "/metrics": ("GET", lambda: Said(200, relay.figures(), FIGURES)),
         "/fleet": ("GET", lambda: fleet(relay)),
-        "/hosts/disable": ("POST", lambda: by_hand(query, relay.put_out)),
-        "/hosts/enable": ("POST", lambda: by_hand(query, relay.put_back)),
+        "/hosts/disable": ("POST", lambda: by_hand(query, relay.disable_host)),
+        "/hosts/enable": ("POST", lambda: by_hand(query, relay.enable_host)),
     }
     if path not in table:
         return Said(404, "no such call\n")
--- a/mallowlug/core/clock.py
+++ b/mallowlug/core/clock.py
@@ -23,15 +23,15 @@
 
     def __init__(self, offset_us: int, monotonic_s: Callable[[], float], keep: Callable[[], bool]) -> None:
         self._offset_us, self._monotonic_s, self._keep = offset_us, monotonic_s, keep
-        self.kept = keep()  # for the lives to come
+        self.saved = keep()  # for the lives to come
 
     def __call__(self) -> int:
         """Microseconds since the epoch."""
         return int(self._monotonic_s() * 1e6) + self._offset_us
 
-    def settle(self) -> None:
+    def retry_save(self) -> None:
         """Try again to keep it, where the disk did not take it."""
-        self.kept = self.kept or self._keep()
+        self.saved = self.saved or self._keep()
 
 
 def clock_of(system: System, folder: Path, monotonic_s: Callable[[], float]) -> Clock:
--- a/mallowlug/core/disabled_hosts.py
+++ b/mallowlug/core/disabled_hosts.py
@@ -41,7 +41,7 @@
     return found, whole
 
 
-class Outs:
+class DisabledHosts:
     """Which hosts are out. ``changed`` hears of every change, once it is kept."""
 
     def __init__(
@@ -75,12 +75,12 @@
     def _how(self, host: str) -> str:
         return "out by hand" if host in self.hosts else "back"
 
-    def put(self, host: str) -> str:
+    def disable(self, host: str) -> str:
         """Leave a host out; else why not. Twice is once."""
         self.refresh()
         return "" if host in self.hosts else self._keep({**self.hosts, host: None}, host)
 
-    def back(self, host: str) -> str:
+    def enable(self, host: str) -> str:
         """A host may serve again, however often it was put out; else why not."""
         self.refresh()
         if host not in self.hosts:
--- a/mallowlug/core/handover.py
+++ b/mallowlug/core/handover.py
@@ -7,15 +7,15 @@
 
 # Of one endpoint: host, wait until, quota, own pace (0: none), rate told for all (0: not told), since when it
 # is cold (-1: not), next call not before.
-Learnt = tuple[str, int, float, float, float, int, int]
+EndpointRow = tuple[str, int, float, float, float, int, int]
 
 
 @dataclass(slots=True)
-class Binds:
+class HandoverState:
     """What is handed over; times are wall time in microseconds."""
 
     waits: dict[str, int] = field(default_factory=dict)  # by route: until when it is to be left alone
-    learned: list[Learnt] = field(default_factory=list)
+    learned: list[EndpointRow] = field(default_factory=list)
     seq: int = -1  # of the list; -1: the list is not here
     rows: dict[int, list[Any]] = field(default_factory=dict)  # by destination: its endpoints as they are kept
     over: list[str] = field(default_factory=list)  # ids that are over, the last ones
--- a/mallowlug/core/journal.py
+++ b/mallowlug/core/journal.py
@@ -56,7 +56,7 @@
 
 
 @dataclass(slots=True)
-class Recovered:
+class RecoveredMessage:
     """A message that is not over, as the log tells it."""
 
     id: str
@@ -66,18 +66,18 @@
     notice: tuple[str, int] | None = None  # its end, not yet confirmed: result and wait
 
 
-def framed(head: list[Any], body: bytes = b"") -> bytes:
+def encode_record(head: list[Any], body: bytes = b"") -> bytes:
     """One record's bytes."""
     payload = msgspec.json.encode(head) + b"\n" + body
     return FRAME.pack(MARK, len(payload), zlib.crc32(payload)) + payload
 
 
-def blocks(size: int) -> int:
+def size_in_blocks(size: int) -> int:
     """A file's size as the deployment counts it."""
     return -(-size // BLOCK) * BLOCK
 
 
-def record_at(data: bytes, at: int) -> tuple[bytes, int] | None:
+def read_record(data: bytes, at: int) -> tuple[bytes, int] | None:
     """The payload of the whole record that starts there, and where the next one starts."""
     if at + FRAME.size > len(data):
         return None
@@ -89,14 +89,14 @@
     return (payload, end) if zlib.crc32(payload) == crc else None
 
 
-def scan(data: bytes) -> Iterator[tuple[bytes, int]]:
+def scan_records(data: bytes) -> Iterator[tuple[bytes, int]]:
     """Every whole record and its end; damage is skipped up to the next whole record."""
     at = 0
     while at < len(data):
-        found = record_at(data, at)
+        found = read_record(data, at)
         if found is None:
             start = at
-            while (at := data.find(MARK, at + 1)) >= 0 and (found := record_at(data, at)) is None:
+            while (at := data.find(MARK, at + 1)) >= 0 and (found := read_record(data, at)) is None:
                 pass
             if found is None:
                 return  # a torn tail
@@ -106,7 +106,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class DueCare:
+class StoredOutage:
     """An endpoint that the last life saw fail: until when (us) it may be down or cold."""
 
     until_us: int
@@ -126,7 +126,7 @@
         self._live_bytes = 0
         # What open messages may still come to at most: their own records, and room for all later ones.
         self._bound_bytes, self._bounds = 0, dict[str, int]()
-        self.most = 8  # attempts that a message may have
+        self.max_attempts = 8  # attempts that a message may have
         self._owed: list[bytes] = []  # notes that the disk did not take yet
         # What was written since the last sync; whether one has failed: after that nothing written before it
         # is known to be safe, and syncing again proves nothing (Rebello et al., USENIX ATC 2020).
@@ -137,8 +137,8 @@
         self._under: dict[str, int] = {}  # by message that is not over: the number of its rules
         self.spools: dict[str, int] = {}  # by a door's file: how far it was adopted
         self._spools: dict[str, bytes] = {}
-        self.cares: dict[str, DueCare] = {}  # by endpoint: the care that the last life owed it
-        self.recovered: dict[str, Recovered] = {}
+        self.outages: dict[str, StoredOutage] = {}  # by endpoint: the care that the last life owed it
+        self.recovered: dict[str, RecoveredMessage] = {}
         disk.unlink(self._spare)  # a compaction that did not end: the old log still counts
         self._fd = disk.open(self._path, APPEND)
         self._size = self._replay(disk.read(self._path))
@@ -155,7 +155,7 @@
     def _replay(self, data: bytes) -> int:
         """Read the log; the end of its last whole record."""
         end = 0
-        for payload, after in scan(data):
+        for payload, after in scan_records(data):
             raw = data[after - FRAME.size - len(payload) : after]
             end = after
             try:
@@ -173,12 +173,12 @@
         """Apply one record of the last life."""
         kind, ref = head[0], head[1]
         if kind == "in":
-            self.recovered[ref] = Recovered(ref, dict(head[2]), body)
+            self.recovered[ref] = RecoveredMessage(ref, dict(head[2]), body)
             return
         if kind == "care":
             code = int(head[3]) if len(head) > 3 else 0
             percent = int(head[4]) if len(head) > 4 else 100
-            self.cares[ref] = DueCare(int(head[2]), KINDS_BY_CODE[code], percent)
+            self.outages[ref] = StoredOutage(int(head[2]), KINDS_BY_CODE[code], percent)
             return
         if kind == "rules":
             self.rules[int(ref)] = dict(head[2])
@@ -207,7 +207,7 @@
         kind, ref = head[0], head[1]
         if kind == "in":
             self._live[ref] = [raw]
-            later = self.most * (EACH_ATTEMPT + 2 * len(ref)) + END + 2 * len(ref)
+            later = self.max_attempts * (EACH_ATTEMPT + 2 * len(ref)) + END + 2 * len(ref)
             self._bounds[ref] = len(raw) + later
             self._bound_bytes += self._bounds[ref]
             if "rules" in head[2]:
@@ -241,7 +241,7 @@
         Where the disk does not take them they are owed; until then the message stands in the door's file.
         """
         heads: list[list[Any]] = [["in", ref, fields], ["spool", *spool]]
-        records = [(heads[0], framed(heads[0], body)), (heads[1], framed(heads[1]))]
+        records = [(heads[0], encode_record(heads[0], body)), (heads[1], encode_record(heads[1]))]
         self.spools[spool[0]] = spool[1]
         try:
             self._append(records)
@@ -254,22 +254,26 @@
     def accept(self, ref: str, fields: dict[str, Any], body: bytes) -> None:
         """Take a message on, with room left for everything that may still be said of it."""
         head = ["in", ref, fields]
-        raw = framed(head, body)
+        raw = encode_record(head, body)
         # What is open has to fit twice, as old and new log stand side by side during a compaction. What may
         # come to it has to fit once: records of what is open are no garbage, and need no compaction.
-        later = self.most * (EACH_ATTEMPT + 2 * len(ref)) + END + 2 * len(ref)
+        later = self.max_attempts * (EACH_ATTEMPT + 2 * len(ref)) + END + 2 * len(ref)
         others = sum(map(len, (*self._rules.values(), *self._cares.values(), *self._spools.values())))
         most = self._bound_bytes + len(raw) + later + others
-        if max(2 * blocks(self._live_bytes + len(raw)), blocks(most)) > self._budget - 2 * BLOCK:
+        if (
+            max(2 * size_in_blocks(self._live_bytes + len(raw)), size_in_blocks(most))
+            > self._budget - 2 * BLOCK
+        ):
             raise JournalFullError("the budget is used up by open messages")
         self._append([(head, raw)])
         try:
             self.sync()
         except JournalFullError:
-            self.over(ref)  # it is refused; a record that may be on the disk must not bring it back
+            # It is refused; a record that may be on the disk must not bring it back.
+            self.record_completed(ref)
             raise
 
-    def rule(self, fields: dict[str, Any], keep: Collection[int]) -> int:
+    def rules_number(self, fields: dict[str, Any], keep: Collection[int]) -> int:
         """The number of a set of rules, which a later life will know.
 
         Of many, those that no message lives by are forgotten, but for those to ``keep``.
@@ -287,12 +291,12 @@
         self._note(["rules", number, fields])
         return number
 
-    def adopted(self, name: str, at: int) -> None:
+    def record_spool_position(self, name: str, at: int) -> None:
         """A door's file is read up to there."""
         self.spools[name] = at
         self._note(["spool", name, at])
 
-    def unspool(self, name: str) -> None:
+    def forget_spool(self, name: str) -> None:
         """A door's file is gone."""
         if self.spools.pop(name, None) is not None:
             self._note(["unspool", name])
@@ -316,27 +320,27 @@
             raise JournalFullError(f"not synced: {error}") from error
         self._unsynced = False
 
-    def tries(self, tries: list[tuple[str, Attempt]]) -> None:
+    def record_attempts(self, tries: list[tuple[str, Attempt]]) -> None:
         """Attempts that are about to be made, in one write."""
         heads = [["try", ref, a.number, a.host, a.zone, a.at_us] for ref, a in tries]
-        self._append([(head, framed(head)) for head in heads])
+        self._append([(head, encode_record(head)) for head in heads])
 
-    def never_ran(self, ref: str, number: int) -> None:
+    def record_never_ran(self, ref: str, number: int) -> None:
         """An attempt is proved not to have run."""
         self._note(["not", ref, number])
 
-    def end(self, ref: str, result: str, wait_ms: int) -> bool:
+    def record_end(self, ref: str, result: str, wait_ms: int) -> bool:
         """The message is given up; its notice is owed until ``over``. False: a later life may not know."""
         return self._note(["end", ref, result, wait_ms])
 
-    def failed(self, ref: str) -> None:
+    def replace_end_by_failure(self, ref: str) -> None:
         """Its end was told as a failure, since the disk had not taken it: later lives have to tell the same.
 
         In the place of the record that is owed still: behind it, a write that ends between the two would
         leave the first one alone.
         """
         head = ["end", ref, "dead", 0]
-        records, raw = self._live.get(ref, []), framed(head)
+        records, raw = self._live.get(ref, []), encode_record(head)
         if not records or records[-1] not in self._owed:
             self._note(head)
             return
@@ -344,26 +348,26 @@
         self._owed[self._owed.index(former)] = records[-1] = raw
         self._live_bytes += len(raw) - len(former)
 
-    def over(self, ref: str) -> None:
+    def record_completed(self, ref: str) -> None:
         """Nothing more is owed."""
         self._note(["over", ref])
 
-    def care(self, host: str, due: DueCare) -> None:
+    def record_outage(self, host: str, due: StoredOutage) -> None:
         """An endpoint is out, or back and perhaps cold: the next life must know."""
         self._note(["care", host, due.until_us, KINDS_BY_CODE.index(due.kind), due.served_percent])
 
-    def careless(self, now_us: int) -> None:
+    def drop_expired_outages(self, now_us: int) -> None:
         """Forget the care that is due no longer."""
-        for host in [host for host, due in self.cares.items() if due.until_us <= now_us]:
-            del self.cares[host]
+        for host in [host for host, due in self.outages.items() if due.until_us <= now_us]:
+            del self.outages[host]
             self._live_bytes -= len(self._cares.pop(host))
 
     @property
-    def owes(self) -> bool:
+    def has_pending(self) -> bool:
         """Whether there are notes that the disk did not take yet."""
         return bool(self._owed)
 
-    def settle(self) -> None:
+    def flush_pending(self) -> None:
         """Try again to write down what is owed; ``JournalFullError`` where the disk still takes nothing."""
         if self._owed:
             self._append([])
@@ -373,7 +377,7 @@
 
         Without it, a restart would give a message an end once more.
         """
-        raw = framed(head)
+        raw = encode_record(head)
         self._keep(head, raw)
         self._owed.append(raw)
         try:
@@ -388,11 +392,11 @@
         new = [raw for _, raw in records]
         data = b"".join((*self._owed, *new))
         if self._size + len(data) + self._live_bytes > min(
-            self._budget - blocks(len(data)) - 2 * BLOCK, 2 * self._live_bytes + SLACK_BYTES
+            self._budget - size_in_blocks(len(data)) - 2 * BLOCK, 2 * self._live_bytes + SLACK_BYTES
         ):
             self._compact()
             data = b"".join((*self._owed, *new))
-        if blocks(self._size + len(data)) > self._budget:
+        if size_in_blocks(self._size + len(data)) > self._budget:
             raise JournalFullError("the log has reached its budget")
         if self._torn:
             self._cut()
@@ -423,12 +427,12 @@
 
         A durable one is synced before it takes the old one's name, and the name before it is relied on.
         """
-        if blocks(self._size) + blocks(self._live_bytes) > self._budget and not forced:
+        if size_in_blocks(self._size) + size_in_blocks(self._live_bytes) > self._budget and not forced:
             return  # no room for both; what is open still fits, and its ends make room
         live = (raw for records in self._live.values() for raw in records)
         data = b"".join((*self._rules.values(), *live, *self._cares.values(), *self._spools.values()))
         small = len(data) < self._size or forced
-        if not small or blocks(self._size) + blocks(len(data)) > self._budget:
+        if not small or size_in_blocks(self._size) + size_in_blocks(len(data)) > self._budget:
             return
         try:
             fd = self._disk.open(self._spare, APPEND | FRESH)
--- a/mallowlug/core/listings.py
+++ b/mallowlug/core/listings.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from mallowlug.core.model import HostList, Listed
+from mallowlug.core.model import EndpointList, ResolvedEndpoint
 from mossfront.interface import EndpointEntry, Listing
 
 LOOKED_AT = 16  # destinations that are asked to sleep at once
@@ -22,16 +22,16 @@
 pack = msgspec.json.Encoder().encode
 
 
-def row_of(listed: Listed, later: bool) -> Row:
+def row_of(listed: ResolvedEndpoint, later: bool) -> Row:
     """An endpoint as it is kept; ``later``: it came after the first list, and may be new and cold."""
-    entry, (address, port) = listed.entry, listed.dial
+    entry, (address, port) = listed.entry, listed.address
     return entry.host, address, port, entry.zone, entry.kind, entry.listing.value, entry.rate_hint, later
 
 
-def listed_of(row: Row, dest: int) -> Listed:
+def listed_of(row: Row, dest: int) -> ResolvedEndpoint:
     """What ``row_of`` has kept."""
     host, address, port, zone, kind, listing, hint, _ = row
-    return Listed(EndpointEntry(host, dest, zone, kind, Listing(listing), hint), (address, port))
+    return ResolvedEndpoint(EndpointEntry(host, dest, zone, kind, Listing(listing), hint), (address, port))
 
 
 class Listings:
@@ -49,7 +49,7 @@
         rows = (row for packed in self._rows.values() if word in packed for row in ROWS.decode(packed))
         return any(row[0] == host for row in rows)
 
-    def told(self) -> dict[int, list[Row]]:
+    def all_rows(self) -> dict[int, list[Row]]:
         """All rows, for a successor to go on from."""
         return {dest: ROWS.decode(packed) for dest, packed in self._rows.items()}
 
@@ -60,32 +60,32 @@
         return len(self._rows)
 
     @property
-    def crowded(self) -> bool:
+    def over_limit(self) -> bool:
         """Whether more are awake than may stay so without being used."""
         return len(self._awake) > self._most
 
-    def follow(self, news: HostList, now_s: float) -> HostList:
+    def follow(self, news: EndpointList, now_s: float) -> EndpointList:
         """Take news in; the part of it that those who know only what is awake have to hear.
 
         A whole list stays one: it names every endpoint that is awake and listed.
         """
-        changed: dict[int, dict[str, Listed]] = {}
+        changed: dict[int, dict[str, ResolvedEndpoint]] = {}
         later = bool(self._rows)
         for listed in news.hosts:
             changed.setdefault(listed.entry.dest, {})[listed.entry.host] = listed
-        if news.whole:
+        if news.full:
             for dest in [dest for dest in self._rows if dest not in changed]:
                 self.hosts -= len(ROWS.decode(self._rows.pop(dest)))
         for dest, hosts in changed.items():
-            self._take(dest, hosts, news.whole, later)
+            self._take(dest, hosts, news.full, later)
         for dest in changed:
             if len(self._awake) >= self._most:
                 break
             self._awake.setdefault(dest, now_s)
         heard = tuple(listed for listed in news.hosts if listed.entry.dest in self._awake)
-        return HostList(news.seq, news.whole, heard)
+        return EndpointList(news.seq, news.full, heard)
 
-    def _take(self, dest: int, hosts: dict[str, Listed], whole: bool, later: bool) -> None:
+    def _take(self, dest: int, hosts: dict[str, ResolvedEndpoint], whole: bool, later: bool) -> None:
         """One destination's news."""
         former = {row[0]: row for row in ROWS.decode(self._rows[dest])} if dest in self._rows else {}
         rows = {} if whole else dict(former)
@@ -99,7 +99,7 @@
         else:
             self._rows.pop(dest, None)
 
-    def wake(self, dest: int, now_s: float) -> Iterator[tuple[bool, HostList]]:
+    def activate(self, dest: int, now_s: float) -> Iterator[tuple[bool, EndpointList]]:
         """A destination is used. Where it slept: its endpoints, with whether these came later."""
         slept = dest not in self._awake
         self._awake[dest] = now_s
@@ -108,9 +108,9 @@
             rows = ROWS.decode(self._rows[dest])
             for later in (False, True):
                 if found := tuple(listed_of(row, dest) for row in rows if row[-1] is later):
-                    yield later, HostList(0, False, found)
+                    yield later, EndpointList(0, False, found)
 
-    def tired(self, now_s: float) -> list[int]:
+    def idle_destinations(self, now_s: float) -> list[int]:
         """Destinations that may sleep now, if nothing binds them; each is asked about again only later."""
         found: list[int] = []
         while len(self._awake) - len(found) > self._most and len(found) < LOOKED_AT:
@@ -122,9 +122,9 @@
             found.append(dest)
         return found
 
-    def sleep(self, dest: int) -> HostList:
+    def deactivate(self, dest: int) -> EndpointList:
         """A destination sleeps: to the partners' side it is as if its endpoints were gone."""
         self._awake.pop(dest, None)
         rows = ROWS.decode(self._rows[dest]) if dest in self._rows else []
         gone = (listed_of((*row[:5], Listing.GONE.value, *row[6:]), dest) for row in rows)
-        return HostList(0, False, tuple(gone))
+        return EndpointList(0, False, tuple(gone))
--- a/mallowlug/core/metrics.py
+++ b/mallowlug/core/metrics.py
@@ -29,7 +29,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Now:
+class Gauges:
     """What is read off the relay at the moment of a scrape."""
 
     sends: int
@@ -39,7 +39,7 @@
     phases: Mapping[str, int] = field(default_factory=dict)  # hosts by phase
 
 
-class Figures:
+class Metrics:
     """The counts of one process."""
 
     def __init__(self, groups: Iterable[str]) -> None:
@@ -59,7 +59,7 @@
         if (group, state) in self.ends:
             self.ends[group, state] += 1
 
-    def text(self, now: Now) -> str:
+    def text(self, now: Gauges) -> str:
         """All figures."""
         plain = {
             "sends_total": now.sends,
--- a/mallowlug/core/model.py
+++ b/mallowlug/core/model.py
@@ -4,13 +4,13 @@
 
 from dataclasses import dataclass, field
 
-from mallowlug.core.reasons import DoorRefusal
+from mallowlug.core.reasons import RejectReason
 from mossfront.interface import EndpointEntry, Verdict
 
 Address = tuple[str, int]
 
 
-def pair_of(text: str) -> Address:
+def parse_address(text: str) -> Address:
     """``host:port`` as the pair that sockets take; ``ValueError`` where it is none."""
     host, sign, port = text.rpartition(":")
     if not sign or not host or not port.isdecimal() or not 0 < int(port) < 65536:
@@ -19,7 +19,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Handed:
+class Submission:
     """A message as a client hands it in; ``deadline_us`` is wall time."""
 
     id: str
@@ -32,7 +32,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Taken:
+class Accepted:
     """The message is journaled: the relay owes its end, and nobody is to hand it in again."""
 
 
@@ -41,7 +41,7 @@
     """Nothing was kept; handing it in again after so many milliseconds is harmless."""
 
     wait_ms: int
-    reason: DoorRefusal = field(default=DoorRefusal.ENDING, compare=False)
+    reason: RejectReason = field(default=RejectReason.ENDING, compare=False)
 
 
 @dataclass(frozen=True, slots=True)
@@ -51,39 +51,40 @@
     reason: str
 
 
-Answer = Taken | Refused | Failed
+Answer = Accepted | Refused | Failed
 
 
 @dataclass(frozen=True, slots=True)
-class Listed:
+class ResolvedEndpoint:
     """An endpoint with the address under which this relay reaches it."""
 
     entry: EndpointEntry
-    dial: Address
+    address: Address
 
 
 @dataclass(frozen=True, slots=True)
-class HostList:
+class EndpointList:
     """One piece of news: the whole list, or what changed."""
 
     seq: int
-    whole: bool
-    hosts: tuple[Listed, ...]
+    full: bool
+    hosts: tuple[ResolvedEndpoint, ...]
 
 
 @dataclass(slots=True, eq=False)
 class Part:
-    """One message's attempt within a call; ``limit_us`` is how long it may take from the call's ``sent_s``.
+    """One message's attempt within a call; ``timeout_us`` is how long it may take from the call's ``sent_s``.
 
-    ``by_us``: only within so long may its first byte go out, as a repeat is dropped no longer (0: any time).
+    ``start_within_us``: only within so long may its first byte go out, as a repeat is dropped no longer
+    (0: any time).
     """
 
     id: str
     attempt: int
     key: str
     body: bytes
-    limit_us: int
-    by_us: int = 0
+    timeout_us: int
+    start_within_us: int = 0
     settled: bool = False
 
 
@@ -106,20 +107,20 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Told:
+class PartOutcome:
     """How a part ended and what the partner said beside it."""
 
     verdict: Verdict
     complete: bool = False
-    wait_us: int = 0
-    report: dict[str, float] = field(default_factory=dict)
-    lasts: bool = False  # the call goes on for its other parts, and may yet run this one
+    retry_after_us: int = 0
+    load_report: dict[str, float] = field(default_factory=dict)
+    call_continues: bool = False  # the call goes on for its other parts, and may yet run this one
 
 
 @dataclass(frozen=True, slots=True)
 class Notice:
     """The end of a message that was not delivered: ``dead`` (failed) or ``bounced`` (refused)."""
 
-    ref: str
+    message_id: str
     result: str
     wait_ms: int = 0
--- a/mallowlug/core/operator_interface.py
+++ b/mallowlug/core/operator_interface.py
@@ -4,11 +4,11 @@
 
 from typing import Protocol
 
-from mallowlug.core.disabled_hosts import Outs
-from mallowlug.core.metrics import Figures, Now
-from mallowlug.core.relay import Driver
+from mallowlug.core.disabled_hosts import DisabledHosts
+from mallowlug.core.metrics import Gauges, Metrics
+from mallowlug.core.relay import RelayCore
 
-NOTHING = Now(0, 0, 0, 0)
+NOTHING = Gauges(0, 0, 0, 0)
 
 
 class FleetView(Protocol):
@@ -21,12 +21,12 @@
         """The members as JSON."""
 
 
-class Desk:
+class OperatorInterface:
     """The process as the console sees it."""
 
-    def __init__(self, figures: Figures, outs: Outs) -> None:
+    def __init__(self, figures: Metrics, outs: DisabledHosts) -> None:
         self._figures, self._outs = figures, outs
-        self.driver: Driver | None = None  # once the journal is taken up
+        self.driver: RelayCore | None = None  # once the journal is taken up
         self.names: set[str] = set()  # hosts that are known before the journal is taken up
         self.fleet: FleetView | None = None  # where this relay keeps a view of the others
         self.serving = False  # listening for clients, and not told to end
@@ -38,20 +38,20 @@
 
     def figures(self) -> str:
         """All figures as text."""
-        text = self._figures.text(self.driver.now if self.driver is not None else NOTHING)
+        text = self._figures.text(self.driver.gauges if self.driver is not None else NOTHING)
         return text + (self.fleet.figures() if self.fleet is not None else "")
 
     def members(self) -> str:
         """The view of the fleet as JSON; empty where none is kept."""
         return self.fleet.table() if self.fleet is not None else ""
 
-    def put_out(self, host: str) -> str:
+    def disable_host(self, host: str) -> str:
         """Leave a host out; else why not. One that is out stays so, whether or not it is listed now."""
-        return self._outs.put(host) if self._known(host) else f"unknown host: {host}"
+        return self._outs.disable(host) if self._known(host) else f"unknown host: {host}"
 
-    def put_back(self, host: str) -> str:
+    def enable_host(self, host: str) -> str:
         """The host may serve again; else why not."""
-        return self._outs.back(host) if self._known(host) else f"unknown host: {host}"
+        return self._outs.enable(host) if self._known(host) else f"unknown host: {host}"
 
     def _known(self, host: str) -> bool:
         if host in self._outs.hosts:
--- a/mallowlug/core/ports.py
+++ b/mallowlug/core/ports.py
@@ -11,11 +11,21 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from mallowlug.core.model import Address, Answer, Call, Handed, HostList, Notice, Part, Refused, Told
+from mallowlug.core.model import (
+    Address,
+    Answer,
+    Call,
+    EndpointList,
+    Notice,
+    Part,
+    PartOutcome,
+    Refused,
+    Submission,
+)
 from mossfront.interface import Kind
 
-Settled = Callable[[Call, Part, Told], None]
-Released = Callable[[Part], None]
+PartSettled = Callable[[Call, Part, PartOutcome], None]
+PartReleased = Callable[[Part], None]
 
 
 class Intake(Protocol):
@@ -28,22 +38,22 @@
     def refusal(self) -> Refused:
         """What a front says where it cannot take a request on, as while it parts from its clients."""
 
-    def hand_in(self, handed: Handed, body: bytes) -> Answer:
+    def submit(self, handed: Submission, body: bytes) -> Answer:
         """Take a message on, refuse it with a wait, or fail it; never raises for what a client sent.
 
-        ``Taken`` is said only once the journal has the message. An id that is known already, open or over,
-        is the same request once more and is ``Taken``.
+        ``Accepted`` is said only once the journal has the message. An id that is known already, open or over,
+        is the same request once more and is ``Accepted``.
         """
 
 
 class Front(Protocol):
     """Takes messages from clients and gives each of them the core's answer.
 
-    - Every whole request gets exactly one answer, in the order of its connection; ``Taken``, ``Refused`` and
-      ``Failed`` differ on the wire, and a refusal tells its wait where the protocol has room for one.
+    - Every whole request gets exactly one answer, in the order of its connection; ``Accepted``, ``Refused``
+      and ``Failed`` differ on the wire, and a refusal tells its wait where the protocol has room for one.
     - What cannot be read gets an error or a close, within a stated time, and never reaches the core.
     - Connections, bytes held for one of them, and the time that one may stay half-said are bounded.
-    - After ``end_clients`` no request is taken on; those that are under way still get an answer.
+    - After ``drain_clients`` no request is taken on; those that are under way still get an answer.
     """
 
     @property
@@ -53,7 +63,7 @@
     async def start(self) -> None:
         """Listen, once the journal has been replayed; ``OSError`` where the address cannot be had."""
 
-    def end_clients(self) -> None:
+    def drain_clients(self) -> None:
         """Part from every client between two of its requests."""
 
     def close(self) -> None:
@@ -81,28 +91,28 @@
         """Whether a call is out."""
 
     @property
-    def written(self) -> int:
+    def messages_written(self) -> int:
         """Messages whose calls were written whole, since the start."""
 
-    def apply(self, news: HostList) -> None:
+    def apply(self, news: EndpointList) -> None:
         """Follow the list at once."""
 
-    def change(self, kinds: Iterable[Kind]) -> None:
+    def set_kinds(self, kinds: Iterable[Kind]) -> None:
         """Go by these kinds of endpoints from now on."""
 
-    def bar(self, host: str, out: bool) -> None:
+    def set_disabled(self, host: str, out: bool) -> None:
         """Begin no call to a host that is out by hand, whatever the list says, until it is back."""
 
-    def waits(self) -> dict[str, int]:
+    def remaining_waits(self) -> dict[str, int]:
         """By route: how long (us) it is still to be left alone."""
 
-    def wait(self, waits: dict[str, int]) -> None:
+    def restore_waits(self, waits: dict[str, int]) -> None:
         """Heed waits that a process before this one was told, as ``waits`` names them."""
 
-    def batch(self, host: str) -> int:
+    def batch_size(self, host: str) -> int:
         """How many messages a call there may carry."""
 
-    def zone(self, host: str) -> str:
+    def zone_of(self, host: str) -> str:
         """Where the endpoint stands; empty where it is not known."""
 
     def send(self, call: Call) -> object:
@@ -130,14 +140,14 @@
     def subscribe(self) -> None:
         """Follow the list from the version held; one that works is kept."""
 
-    def move(self, address: Address) -> None:
+    def change_address(self, address: Address) -> None:
         """Follow it at another address, with no change lost between."""
 
     def close(self) -> None:
         """Stop following."""
 
 
-class Ends(Protocol):
+class Notifier(Protocol):
     """Brings the ends of messages to those who wait for them.
 
     - An end that was handed in is owed until it is confirmed, and is told again until then, in any order.
@@ -146,13 +156,13 @@
     """
 
     @property
-    def owed(self) -> int:
+    def unconfirmed(self) -> int:
         """Ends that are not confirmed."""
 
     def start(self) -> None:
         """Begin to tell."""
 
-    def move(self, address: Address) -> None:
+    def change_address(self, address: Address) -> None:
         """Tell them at another address, also those that are owed."""
 
     def send(self, notice: Notice) -> None:
@@ -163,9 +173,9 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Plugs:
+class Adapters:
     """How the composition root fills the ports behind the core; a factory is given the core's callbacks."""
 
-    partners: Callable[[Settled, Released], Partners]
-    directory: Callable[[Callable[[HostList], None], Callable[[], None]], Directory]
-    ends: Callable[[Callable[[str], None]], Ends]
+    partners: Callable[[PartSettled, PartReleased], Partners]
+    directory: Callable[[Callable[[EndpointList], None], Callable[[], None]], Directory]
+    notifier: Callable[[Callable[[str], None]], Notifier]
--- a/mallowlug/core/reasons.py
+++ b/mallowlug/core/reasons.py
@@ -52,7 +52,7 @@
     ENDING = "the relay ends"
 
 
-class DoorRefusal(StrEnum):
+class RejectReason(StrEnum):
     """Why a request was answered without being taken on."""
 
     UNKNOWN_CLASS = "unknown class"
@@ -63,12 +63,12 @@
     ENDING = "the relay ends"
 
 
-UNKNOWN_END = "unknown, of a former process"  # how an attempt ended that a restart found
+UNKNOWN_OUTCOME = "unknown, of a former process"  # how an attempt ended that a restart found
 REASONS: dict[Event, tuple[str, ...]] = {
     Event.CLIENT_CLOSE: tuple(reason.value for reason in ClientClose),
     Event.HOST_CLOSE: tuple(reason.value for reason in HostClose),
-    Event.RETRY: (*(verdict.value for verdict in Verdict), UNKNOWN_END),
-    Event.REFUSAL: (*(reason.value for reason in DoorRefusal), *(reason.value for reason in GiveUpReason)),
+    Event.RETRY: (*(verdict.value for verdict in Verdict), UNKNOWN_OUTCOME),
+    Event.REFUSAL: (*(reason.value for reason in RejectReason), *(reason.value for reason in GiveUpReason)),
 }
 
 
--- a/mallowlug/core/relay.py
+++ b/mallowlug/core/relay.py
@@ -15,26 +15,26 @@
 from typing import Any
 
 from mallowlug.core.clock import Clock
-from mallowlug.core.disabled_hosts import Outs
-from mallowlug.core.handover import Binds, Learnt
-from mallowlug.core.journal import Attempt, DueCare, Journal, JournalFullError, Recovered
+from mallowlug.core.disabled_hosts import DisabledHosts
+from mallowlug.core.handover import EndpointRow, HandoverState
+from mallowlug.core.journal import Attempt, Journal, JournalFullError, RecoveredMessage, StoredOutage
 from mallowlug.core.listings import Listings
-from mallowlug.core.metrics import Figures, Now
+from mallowlug.core.metrics import Gauges, Metrics
 from mallowlug.core.model import (
+    Accepted,
     Address,
     Answer,
     Call,
+    EndpointList,
     Failed,
-    Handed,
-    HostList,
     Notice,
     Part,
+    PartOutcome,
     Refused,
-    Taken,
-    Told,
+    Submission,
 )
-from mallowlug.core.ports import Plugs
-from mallowlug.core.reasons import UNKNOWN_END, DoorRefusal, Event
+from mallowlug.core.ports import Adapters
+from mallowlug.core.reasons import UNKNOWN_OUTCOME, Event, RejectReason
 from mossfront import DecisionEngine
 from mossfront import interface as api
 
@@ -46,7 +46,7 @@
 NEAR_US = 50_000  # us: the protocol's slack; so near its end an answer may have come behind a message's time
 UNKNOWN_US = 1 << 60  # us: an attempt so old that no window covers it
 DROPPED_S = 2.0  # s in which a class that is dropped is still taken on, by its rules
-FIELDS = [field.name for field in fields(Handed)]
+FIELDS = [field.name for field in fields(Submission)]
 
 
 def told_of(cls: api.MessageClass, most: int) -> dict[str, Any]:
@@ -62,17 +62,17 @@
 
 
 @dataclass(slots=True)
-class Held:
+class HeldMessage:
     """A message that owes its end, and how many attempts it had."""
 
-    handed: Handed
+    handed: Submission
     body: bytes
     effect: api.Effect
     attempts: int = 0
-    last_end: str = UNKNOWN_END  # how its last attempt ended
+    last_end: str = UNKNOWN_OUTCOME  # how its last attempt ended
 
 
-class Driver:
+class RelayCore:
     """One relay's loop of steps between its ports and the module."""
 
     def __init__(
@@ -81,11 +81,11 @@
         settings: api.Settings,
         seed: int,
         journal: Journal,
-        plugs: Plugs,
+        plugs: Adapters,
         clock: Clock,
         listings: Listings,
-        figures: Figures,
-        outs: Outs,
+        figures: Metrics,
+        outs: DisabledHosts,
         crashed: Callable[[BaseException], None],
     ) -> None:
         self._set, self._journal, self._crashed, self._figures = settings, journal, crashed, figures
@@ -94,8 +94,8 @@
         self._module = DecisionEngine(settings, seed)
         self._partners = plugs.partners(self._settled, self._released)
         self._directory = plugs.directory(self._listed, self._unlisted)
-        self._ends = plugs.ends(self._confirmed)
-        self._held: dict[str, Held] = {}  # messages that owe their end to the module
+        self._ends = plugs.notifier(self._confirmed)
+        self._held: dict[str, HeldMessage] = {}  # messages that owe their end to the module
         self._over: OrderedDict[str, None] = OrderedDict()
         self._inbox: list[api.Event] = []
         self._timer: asyncio.TimerHandle | None = None
@@ -104,19 +104,21 @@
         self._stepped_s = 0.0  # the loop's time of the present step, from which its times count
         self._stop_s: float | None = None  # once shutting down: when the last call must have ended
         self._classes = {cls.name: cls for cls in settings.classes}
-        journal.most = settings.max_attempts
+        journal.max_attempts = settings.max_attempts
         self._dropped: dict[str, api.MessageClass] = {}  # classes that clients may still name for a moment
         self._numbers: dict[str, int] = {}
         self._numbers = self._numbered(settings)
         self._chore: asyncio.TimerHandle | None = None  # when what is owed to the disk is tried again
         self._listings, self._outs = listings, outs
-        self._learned: dict[str, Learnt] = {}  # handed over, of endpoints that the module does not know yet
+        self._learned: dict[
+            str, EndpointRow
+        ] = {}  # handed over, of endpoints that the module does not know yet
         self.sent_before = 0  # messages that a core before this one, in the same process, has written whole
         self._retired, self._seq = False, -1  # version of the list that is held
         self.listed = False  # whether a list is known, be it an old one
         self._rest: asyncio.TimerHandle | None = None  # when idle destinations are asked to sleep
 
-    def start(self, known: HostList, binds: Binds | None = None) -> None:
+    def start(self, known: EndpointList, binds: HandoverState | None = None) -> None:
         """Take up what the last life left, then follow the list; called before clients are answered.
 
         ``binds``: what a process that has handed over wrote down beside the journal.
@@ -132,20 +134,20 @@
         if count := len(self._journal.recovered):
             LOG.info("journal: %d unfinished messages taken up", count)
         self._journal.recovered.clear()
-        self._journal.careless(now_us)
+        self._journal.drop_expired_outages(now_us)
         for listed in known.hosts:
-            if listed.entry.host in self._journal.cares:
+            if listed.entry.host in self._journal.outages:
                 self._use(listed.entry.dest)
-        for host, due in self._journal.cares.items():
+        for host, due in self._journal.outages.items():
             left_us, served = due.until_us - now_us, due.served_percent / 100
             self._inbox.append(api.OutageRecord(host, left_us, due.kind, served))
         if binds is not None:
             self._bind(binds, now_us)
         self._step()
 
-    def _bind(self, binds: Binds, now_us: int) -> None:
+    def _bind(self, binds: HandoverState, now_us: int) -> None:
         """Go on from where the process before this one stood."""
-        self._partners.wait({route: until_us - now_us for route, until_us in binds.waits.items()})
+        self._partners.restore_waits({route: until_us - now_us for route, until_us in binds.waits.items()})
         for ref in binds.over:
             self._remember(ref)
         self._learned = {row[0]: row for row in binds.learned}
@@ -162,7 +164,7 @@
                 cold = max(0, now_us - cold_us) if cold_us >= 0 else -1
                 self._post(api.EndpointSnapshot(host, *left, cold, max(0, spaced_us - now_us)))
 
-    def binds(self) -> Binds:
+    def handover_state(self) -> HandoverState:
         """What binds a successor beside the journal."""
         now_us = self.clock()
         learned = [
@@ -170,9 +172,9 @@
              now_us - e.cold_for_us if e.cold_for_us >= 0 else -1, now_us + e.next_call_in_us)
             for e in self._module.learned()
         ]  # fmt: skip
-        waits = {route: now_us + left_us for route, left_us in self._partners.waits().items()}
+        waits = {route: now_us + left_us for route, left_us in self._partners.remaining_waits().items()}
         over = list(self._over)[-REMEMBERED_ON:]
-        return Binds(waits, learned, self._seq, self._listings.told(), over)
+        return HandoverState(waits, learned, self._seq, self._listings.all_rows(), over)
 
     def retire(self) -> None:
         """Let go of everything for a successor; calls that are out end here."""
@@ -181,7 +183,7 @@
         self._held.clear()
         self._retired = True
 
-    def knew(self, ref: str) -> bool:
+    def knows(self, ref: str) -> bool:
         """Whether a message is, or was not long ago, taken on."""
         return ref in self._held or ref in self._over
 
@@ -192,43 +194,43 @@
 
     def forget_spool(self, name: str) -> None:
         """A door's file is gone."""
-        self._journal.unspool(name)
+        self._journal.forget_spool(name)
 
     def pause(self, on: bool) -> None:
         """Start no call, or start them again."""
         self._post(api.DispatchPaused(on))
 
-    def settled(self) -> bool:
+    def flush_journal(self) -> bool:
         """Whether the disk has taken all that the journal owes it."""
         try:
-            self._journal.settle()
+            self._journal.flush_pending()
             self._journal.sync()
         except JournalFullError:
             return False
         return True
 
-    def adopt(self, handed: Handed, body: bytes, rules: dict[str, Any], spool: tuple[str, int]) -> None:
+    def adopt(self, handed: Submission, body: bytes, rules: dict[str, Any], spool: tuple[str, int]) -> None:
         """Take on what a door has taken on already."""
-        if self.knew(handed.id):
-            self._journal.adopted(*spool)
+        if self.knows(handed.id):
+            self._journal.record_spool_position(*spool)
             return
-        number = self._journal.rule(rules, self._numbers.values())
+        number = self._journal.rules_number(rules, self._numbers.values())
         if (own := self._rules(number)) is None:  # of another version
-            self._journal.adopted(*spool)
+            self._journal.record_spool_position(*spool)
             self._ends.send(Notice(handed.id, "dead"))
             return
         fields = {name: getattr(handed, name) for name in FIELDS}
         self._journal.adopt(handed.id, fields | {"rules": number}, body, spool)
         self._tend()
-        self._held[handed.id] = Held(handed, body, own.cls.effect)
+        self._held[handed.id] = HeldMessage(handed, body, own.cls.effect)
         self._use(handed.dest)
         self._post(self._arrival(handed, self.clock(), rules=own))
 
-    def rules_told(self, name: str) -> dict[str, Any]:
+    def rules_record(self, name: str) -> dict[str, Any]:
         """A class's rules as the journal keeps them."""
         return told_of(self._class(name), self._set.max_attempts)
 
-    def count(self, handed: Handed, answer: Refused | Failed) -> None:
+    def count_rejected(self, handed: Submission, answer: Refused | Failed) -> None:
         """What is not taken on has ended at the door."""
         self._figures.ended(handed.cls, "deferred" if isinstance(answer, Refused) else "errored")
         self._reasons.count(Event.REFUSAL, answer.reason, message_id=handed.id)
@@ -237,17 +239,19 @@
         """By class: the number of its rules in the journal; classes that are dropped keep theirs."""
         numbers = dict(self._numbers)
         for cls in settings.classes:
-            numbers[cls.name] = self._journal.rule(told_of(cls, settings.max_attempts), numbers.values())
+            numbers[cls.name] = self._journal.rules_number(
+                told_of(cls, settings.max_attempts), numbers.values()
+            )
         return numbers
 
-    def change(self, settings: api.Settings) -> None:
+    def change_settings(self, settings: api.Settings) -> None:
         """Other settings count from now on; what is open keeps its rules, and so does, for a moment, what
         clients who have not heard of the change yet bring of a class that is dropped.
         """
         if settings == self._set:
             return
         before, self._set = self._classes, settings
-        self._journal.most = settings.max_attempts
+        self._journal.max_attempts = settings.max_attempts
         self._classes = {cls.name: cls for cls in settings.classes}
         self._dropped = {name: cls for name, cls in before.items() if name not in self._classes}
         if not self._retired:
@@ -256,7 +260,7 @@
         self._figures.know(self._classes)
         if self._retired:
             return
-        self._partners.change(settings.kinds)
+        self._partners.set_kinds(settings.kinds)
         self._post(api.SettingsChanged(settings))
         asyncio.get_running_loop().call_later(DROPPED_S, self._drop, settings)
 
@@ -265,12 +269,12 @@
         if self._set is settings:
             self._dropped = {}
 
-    def move(self, discovery: Address) -> None:
+    def change_discovery(self, discovery: Address) -> None:
         """The platform is to be found at another address from now on."""
         if self._retired:
             return
-        self._directory.move(discovery)
-        self._ends.move(discovery)
+        self._directory.change_address(discovery)
+        self._ends.change_address(discovery)
 
     def shut_down(self, stop_s: float) -> None:
         """From now on only calls are started that end by then; the rest stays in the journal."""
@@ -293,14 +297,14 @@
     @property
     def idle(self) -> bool:
         """Whether no call is out and no notice is unconfirmed."""
-        return self._retired or (not self.busy and not self._ends.owed and not self._inbox)
+        return self._retired or (not self.busy and not self._ends.unconfirmed and not self._inbox)
 
     @property
     def refusal(self) -> Refused:
         """A refusal at the door, with when to come back."""
-        return self.refused(DoorRefusal.ENDING)
+        return self.refused(RejectReason.ENDING)
 
-    def refused(self, reason: DoorRefusal) -> Refused:
+    def refused(self, reason: RejectReason) -> Refused:
         """A refusal for that reason."""
         return Refused(self._set.max_retry_after_us // 1000, reason)
 
@@ -312,59 +316,59 @@
         """A host is out or back: that binds calls at once and the module with its next step."""
         if self._retired:
             return
-        self._partners.bar(host, out)
+        self._partners.set_disabled(host, out)
         self._post(api.HostOverride(host, out))
 
     @property
-    def now(self) -> Now:
+    def gauges(self) -> Gauges:
         """What a scrape reads."""
-        size, sent = self._listings.hosts, self.sent_before + self._partners.written
+        size, sent = self._listings.hosts, self.sent_before + self._partners.messages_written
         asleep = (host for host in self._outs.hosts if host not in self._module.endpoints)
         avoided = self._module.avoided() + sum(self._listings.lists(host) for host in asleep)
-        return Now(sent, len(self._held), size, min(size, avoided), self._module.phases())
+        return Gauges(sent, len(self._held), size, min(size, avoided), self._module.phases())
 
-    def hand_in(self, handed: Handed, body: bytes) -> Answer:
+    def submit(self, handed: Submission, body: bytes) -> Answer:
         """Take a message on, or say why not; what is not taken on has ended here."""
-        answer = self.misfit(handed) or self._take_on(handed, body)
-        if not isinstance(answer, Taken):
-            self.count(handed, answer)
+        answer = self.reject_reason(handed) or self._take_on(handed, body)
+        if not isinstance(answer, Accepted):
+            self.count_rejected(handed, answer)
         return answer
 
-    def misfit(self, handed: Handed) -> Answer | None:
+    def reject_reason(self, handed: Submission) -> Answer | None:
         """Why there is no place for a message, which the module would drop unseen or hold in vain; else None.
 
         A destination that nobody lists is refused: the list is seconds late, so it may be known when the
         client comes again. Without any list all are known.
         """
         if (cls := self._classes.get(handed.cls) or self._dropped.get(handed.cls)) is None:
-            return Failed(DoorRefusal.UNKNOWN_CLASS.value)
+            return Failed(RejectReason.UNKNOWN_CLASS.value)
         if cls.effect is api.Effect.KEYED and not handed.key:
-            return Failed(DoorRefusal.NO_KEY.value)
+            return Failed(RejectReason.NO_KEY.value)
         if len(self._listings) and handed.dest not in self._listings:
-            return self.refused(DoorRefusal.UNKNOWN_DESTINATION)
+            return self.refused(RejectReason.UNKNOWN_DESTINATION)
         return None
 
-    def _take_on(self, handed: Handed, body: bytes) -> Answer:
+    def _take_on(self, handed: Submission, body: bytes) -> Answer:
         """Take a message on, journaled, or say why not; then nothing was kept.
 
         An id that is known is the same request once more, on a new connection: it is taken on already.
         """
-        if self.knew(handed.id):
-            return Taken()
+        if self.knows(handed.id):
+            return Accepted()
         if len(self._held) >= self._set.max_held_messages:
-            return self.refused(DoorRefusal.FULL)
+            return self.refused(RejectReason.FULL)
         try:
             fields = {name: getattr(handed, name) for name in FIELDS}
             number = self._numbers[handed.cls]
             self._journal.accept(handed.id, fields | {"rules": number}, body)
         except JournalFullError as error:
             LOG.warning("a message was refused: %s", error, extra={"message_id": handed.id})
-            return self.refused(DoorRefusal.DISK)
-        self._held[handed.id] = Held(handed, body, self._class(handed.cls).effect)
+            return self.refused(RejectReason.DISK)
+        self._held[handed.id] = HeldMessage(handed, body, self._class(handed.cls).effect)
         self._use(handed.dest)
         rules = self._rules(number) if handed.cls in self._dropped else None
         self._post(self._arrival(handed, self.clock(), rules=rules))
-        return Taken()
+        return Accepted()
 
     def _class(self, name: str) -> api.MessageClass:
         return self._classes.get(name) or self._dropped[name]
@@ -379,7 +383,7 @@
             LOG.error("journal: rules %d cannot be read: %s", number, error)
             return None
 
-    def _arrival(self, handed: Handed, now_us: int, **former: Any) -> api.Arrival:
+    def _arrival(self, handed: Submission, now_us: int, **former: Any) -> api.Arrival:
         left_us = handed.deadline_us - now_us
         return api.Arrival(
             handed.id,
@@ -392,7 +396,7 @@
             **former,
         )
 
-    def _resume(self, message: Recovered, now_us: int) -> None:
+    def _resume(self, message: RecoveredMessage, now_us: int) -> None:
         """Give a message of the last life back to the module, or send its notice once more.
 
         An attempt without a proof that it never ran may have run, also one that was out at the end.
@@ -402,7 +406,7 @@
             return
         rules = self._rules(message.fields.pop("rules", 0))
         try:
-            handed = Handed(**message.fields)
+            handed = Submission(**message.fields)
         except TypeError as error:
             LOG.error(
                 "journal: message %s cannot be read: %s", message.id, error, extra={"message_id": message.id}
@@ -411,11 +415,11 @@
         if rules is None and handed is not None and handed.cls in self._classes:  # of a version without rules
             rules = self._rules(self._numbers[handed.cls])
         if handed is None or rules is None:  # another version's or another site's
-            self._journal.end(message.id, "dead", 0)
+            self._journal.record_end(message.id, "dead", 0)
             self._ends.send(Notice(message.id, "dead"))
             return
         attempts = 1 + max((a.number for a in message.attempts), default=-1)
-        self._held[message.id] = Held(handed, message.body, rules.cls.effect, attempts)
+        self._held[message.id] = HeldMessage(handed, message.body, rules.cls.effect, attempts)
         self._use(handed.dest)
         former: dict[str, Any] = {"attempts": attempts, "rules": rules, "recovered_untried": not attempts}
         if risky := [a for a in message.attempts if not a.never_ran]:
@@ -425,14 +429,14 @@
             former |= {"in_doubt_age_us": age_us, "in_doubt_zone": first.zone}
         self._inbox.append(self._arrival(handed, now_us, **former))
 
-    def _listed(self, news: HostList, kind: api.EndpointUpdateKind | None = None) -> None:
+    def _listed(self, news: EndpointList, kind: api.EndpointUpdateKind | None = None) -> None:
         """News of the list binds calls at once and the module with its next step."""
         heard, self._seq = self._listings.follow(news, self._now_s()), news.seq
         self.listed |= kind is None or len(self._listings) > 0
-        kind = kind or (api.EndpointUpdateKind.FULL if news.whole else api.EndpointUpdateKind.CHANGES)
+        kind = kind or (api.EndpointUpdateKind.FULL if news.full else api.EndpointUpdateKind.CHANGES)
         self._tell(heard, kind)
 
-    def _tell(self, news: HostList, kind: api.EndpointUpdateKind, later: bool = False) -> None:
+    def _tell(self, news: EndpointList, kind: api.EndpointUpdateKind, later: bool = False) -> None:
         self._partners.apply(news)
         self._post(api.EndpointUpdate(kind, tuple(listed.entry for listed in news.hosts), later))
         if self._learned:
@@ -440,27 +444,27 @@
 
     def _use(self, dest: int) -> None:
         """A destination gets a message: where it slept, all sides hear of it first."""
-        for later, news in self._listings.wake(dest, self._now_s()):
+        for later, news in self._listings.activate(dest, self._now_s()):
             self._tell(news, api.EndpointUpdateKind.REACTIVATED, later)
-        if self._rest is None and self._listings.crowded:
+        if self._rest is None and self._listings.over_limit:
             self._rest = asyncio.get_running_loop().call_later(REST_S, self._rested)
 
     def _rested(self) -> None:
         """Ask the module to let go of what is not used."""
         self._rest = None
-        for dest in self._listings.tired(self._now_s()):
+        for dest in self._listings.idle_destinations(self._now_s()):
             self._post(api.DestinationIdle(dest))
-        if self._listings.crowded:
+        if self._listings.over_limit:
             self._rest = asyncio.get_running_loop().call_later(REST_S, self._rested)
 
     def _unlisted(self) -> None:
         self._post(api.EndpointUpdate(api.EndpointUpdateKind.FAILED))
 
     def _confirmed(self, ref: str) -> None:
-        self._journal.over(ref)
+        self._journal.record_completed(ref)
         self._tend()
 
-    def _settled(self, call: Call, part: Part, told: Told) -> None:
+    def _settled(self, call: Call, part: Part, told: PartOutcome) -> None:
         """An attempt is over: journal what it proves, then tell the module."""
         complete = told.complete
         if not complete and (held := self._held.get(part.id)) is not None:
@@ -468,7 +472,7 @@
         if complete:
             self._end(part.id, told.verdict is api.Verdict.OK)
         elif told.verdict.never_ran:
-            self._journal.never_ran(part.id, part.attempt)
+            self._journal.record_never_ran(part.id, part.attempt)
         self._post(
             api.Outcome(
                 part.id,
@@ -477,10 +481,10 @@
                 told.verdict,
                 int((self._now_s() - call.sent_s) * 1e6),
                 complete,
-                told.wait_us,
-                told.report.get("x0"),
-                told.report.get("x1"),
-                call_continues=told.lasts,
+                told.retry_after_us,
+                told.load_report.get("x0"),
+                told.load_report.get("x1"),
+                call_continues=told.call_continues,
             )
         )
         if complete:  # also for a part whose own time ran out before: the module must not send it again
@@ -504,10 +508,10 @@
         if delivered:
             self._figures.ended(held.handed.cls, "answered" if left_us >= 0 else "errored")
         if delivered and left_us < NEAR_US:
-            self._journal.end(ref, "dead", 0)
+            self._journal.record_end(ref, "dead", 0)
             self._ends.send(Notice(ref, "dead"))
         else:
-            self._journal.over(ref)
+            self._journal.record_completed(ref)
 
     def _remember(self, ref: str) -> None:
         self._over[ref] = None
@@ -563,11 +567,11 @@
                         self._wake.cancel()
                     self._wake = loop.call_later(action.delay_us / 1e6, self._post, api.TimerDue())
                 case api.DestinationDeactivated():
-                    self._partners.apply(self._listings.sleep(action.dest))
+                    self._partners.apply(self._listings.deactivate(action.dest))
                 case api.OutageRecord():
                     percent = round(100 * action.served_share)
-                    due = DueCare(self.clock() + action.valid_for_us, action.kind, percent)
-                    self._journal.care(action.host, due)
+                    due = StoredOutage(self.clock() + action.valid_for_us, action.kind, percent)
+                    self._journal.record_outage(action.host, due)
                 case api.Log():
                     LOG.info("%s", action.line)
                 case api.Probe():
@@ -575,9 +579,9 @@
         calls = [call for host, batch in sends.items() for call in self._calls(host, batch)]
         safe = self._synced() if calls or ends else True
         for notice, kept in ends:  # out at once, and again until it is confirmed, whatever the disk says
-            told = notice if kept and safe else Notice(notice.ref, "dead")
+            told = notice if kept and safe else Notice(notice.message_id, "dead")
             if told.result != notice.result:
-                self._journal.failed(notice.ref)
+                self._journal.replace_end_by_failure(notice.message_id)
             self._ends.send(told)
         for call in calls:
             if safe:
@@ -588,15 +592,15 @@
     def _settle(self) -> None:
         """Write down what is owed to the disk until it is taken: there may be no next record to bring it."""
         self._chore = None
-        self.clock.settle()
+        self.clock.retry_save()
         try:
-            self._journal.settle()
+            self._journal.flush_pending()
         except JournalFullError as error:
             LOG.debug("journal: still owed: %s", error)
         self._tend()
 
     def _tend(self) -> None:
-        if self._chore is None and (self._journal.owes or not self.clock.kept):
+        if self._chore is None and (self._journal.has_pending or not self.clock.saved):
             self._chore = asyncio.get_running_loop().call_later(OWED_S, self._settle)
 
     def _synced(self) -> bool:
@@ -614,23 +618,23 @@
         Where the disk does not take it, a later life may try the message, beside the retry that a refusal
         invites: then only a failure is told, which promises nothing. What may be repeated is safe from that.
         """
-        if (held := self._held.pop(notice.ref, None)) is None:
+        if (held := self._held.pop(notice.message_id, None)) is None:
             return []
-        self._reasons.count(Event.REFUSAL, reason.value, message_id=notice.ref)
-        kept = self._journal.end(notice.ref, notice.result, notice.wait_ms)
+        self._reasons.count(Event.REFUSAL, reason.value, message_id=notice.message_id)
+        kept = self._journal.record_end(notice.message_id, notice.result, notice.wait_ms)
         self._figures.ended(held.handed.cls, "deferred" if notice.result == "bounced" else "errored")
-        self._remember(notice.ref)
+        self._remember(notice.message_id)
         return [(notice, kept or held.effect is api.Effect.SAFE)]
 
     def _not_made(self, call: Call) -> None:
         """A call whose attempts could not be journaled is not made."""
         for part in call.parts:
-            self._settled(call, part, Told(api.Verdict.NOT_SENT))
+            self._settled(call, part, PartOutcome(api.Verdict.NOT_SENT))
 
     def _calls(self, host: str, batch: list[api.Send]) -> Iterator[Call]:
         """Sends of one step to one host share calls up to the kind's bound, journaled before any byte."""
         rest = iter(batch)
-        while chunk := list(islice(rest, self._partners.batch(host))):
+        while chunk := list(islice(rest, self._partners.batch_size(host))):
             chunk = [send for send in chunk if send.id in self._held]
             if self._stop_s is not None:
                 chunk = [send for send in chunk if self._can_end(send, self._stop_s)]
@@ -643,12 +647,12 @@
                 parts.append(
                     Part(send.id, number, held.handed.key, held.body, send.timeout_us, send.start_within_us)
                 )
-                tries.append((send.id, Attempt(number, host, self._partners.zone(host), now_us)))
+                tries.append((send.id, Attempt(number, host, self._partners.zone_of(host), now_us)))
             if not parts:
                 continue
             call = Call(host, parts, self._stepped_s)
             try:
-                self._journal.tries(tries)
+                self._journal.record_attempts(tries)
             except JournalFullError as error:
                 LOG.error("a call was not made: %s", error)
                 self._not_made(call)
--- a/mallowlug/core/reserved_space.py
+++ b/mallowlug/core/reserved_space.py
@@ -10,7 +10,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class StaffRoom:
+class ReservedSpace:
     """Bytes: in all, of the file that is handed over, of the hosts that are out by hand."""
 
     total: int
@@ -19,10 +19,10 @@
 
 
 ROOMY_BYTES = 3_000_000  # of a folder that is roomy: the deployment's usual one
-ROOMY = StaffRoom(384 * 1024, 96 * 1024, 32 * 1024)
-SMALL = StaffRoom(192 * 1024, 24 * 1024, 2 * 1024)
+ROOMY = ReservedSpace(384 * 1024, 96 * 1024, 32 * 1024)
+SMALL = ReservedSpace(192 * 1024, 24 * 1024, 2 * 1024)
 
 
-def staff_room(disk_bytes: int) -> StaffRoom:
+def reserved_space(disk_bytes: int) -> ReservedSpace:
     """The part of a folder of so many bytes."""
     return ROOMY if disk_bytes >= ROOMY_BYTES else SMALL
--- a/mallowlug/directory/discovery.py
+++ b/mallowlug/directory/discovery.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from mallowlug.core.model import Address, HostList, Listed
+from mallowlug.core.model import Address, EndpointList, ResolvedEndpoint
 from mallowlug.net.http import FAULTS, Connection
 from mallowlug.system import System
 from mossfront.interface import EndpointEntry, Listing
@@ -24,7 +24,7 @@
 STATES = {"SERVING": Listing.READY, "DRAINING": Listing.DRAINING, "DELETED": Listing.GONE}
 
 
-def read_host(raw: Any) -> Listed | None:
+def read_host(raw: Any) -> ResolvedEndpoint | None:
     """One host; one that cannot be read is left out, for the others' sake."""
     try:
         address, _, port = str(raw["dial"]).rpartition(":")
@@ -38,27 +38,27 @@
         )
         if not address or not 0 < int(port) < 65536:
             raise ValueError(f"no address: {raw['dial']!r}")
-        return Listed(entry, (address, int(port)))
+        return ResolvedEndpoint(entry, (address, int(port)))
     except (KeyError, TypeError, ValueError, AttributeError) as error:
         LOG.warning("discovery: a host that cannot be read was left out: %r", error)
         return None
 
 
-def slices(raw: Any) -> Iterator[HostList]:
+def slices(raw: Any) -> Iterator[EndpointList]:
     """A list in discovery's form, as far as it is read, then whole; ``ValueError`` where it is none."""
     try:
         seq, whole, items = int(raw["seq"]), bool(raw["whole"]), list(raw["hosts"])
     except (KeyError, TypeError) as error:
         raise ValueError(f"not a list of hosts: {error!r}") from None
-    hosts: list[Listed] = []
+    hosts: list[ResolvedEndpoint] = []
     for start in range(0, max(1, len(items)), SLICE):
         if start:
-            yield HostList(seq, whole, ())
+            yield EndpointList(seq, whole, ())
         hosts += filter(None, map(read_host, items[start : start + SLICE]))
-    yield HostList(seq, whole, tuple(hosts))
+    yield EndpointList(seq, whole, tuple(hosts))
 
 
-def read_list(raw: Any) -> HostList:
+def read_list(raw: Any) -> EndpointList:
     """A list in discovery's form; ``ValueError`` where it is none."""
     *_, whole = slices(raw)
     return whole
@@ -71,7 +71,7 @@
         self,
         address: Address,
         seq: int,
-        told: Callable[[HostList], None],
+        told: Callable[[EndpointList], None],
         failed: Callable[[], None],
         system: System,
         *,
@@ -94,7 +94,7 @@
             self._task.cancel()
         self._start()
 
-    def move(self, address: Address) -> None:
+    def change_address(self, address: Address) -> None:
         """Watch at another address from the version that is held, so that no change is lost.
 
         The old watch tells on until the new one has spoken: the new address may not be up yet.
@@ -181,7 +181,7 @@
                 raise ValueError("a list without end")
 
     @staticmethod
-    async def _read(line: bytes) -> HostList | None:
+    async def _read(line: bytes) -> EndpointList | None:
         """A list's news, None where more of it has to come; a long one is read in slices, so that no client
         waits for it.
         """
@@ -198,13 +198,13 @@
             await asyncio.sleep(0)
         return news
 
-    def _line(self, news: HostList) -> None:
+    def _line(self, news: EndpointList) -> None:
         if asyncio.current_task() is self._task:
             self._answered = True
             self._leave(self._former)
             self._former = None
         if news.seq < self._seq:  # older than what is held: applied, it would undo a drain
             LOG.warning("discovery: version %d after %d left out", news.seq, self._seq)
-            news = HostList(self._seq, False, ())
+            news = EndpointList(self._seq, False, ())
         self._seq = news.seq
         self._told(news)
--- a/mallowlug/ends/notices.py
+++ b/mallowlug/ends/notices.py
@@ -22,7 +22,7 @@
 
 def line_of(notice: Notice) -> bytes:
     """The notice as the platform reads it: one JSON object and a newline."""
-    told: dict[str, str | int] = {"ref": notice.ref, "result": notice.result}
+    told: dict[str, str | int] = {"ref": notice.message_id, "result": notice.result}
     if notice.wait_ms > 0:
         told["wait_ms"] = notice.wait_ms
     return json.dumps(told, separators=(",", ":")).encode() + b"\n"
@@ -35,19 +35,19 @@
         self._address, self._confirmed, self._system = address, confirmed, system
         self._queue: asyncio.Queue[Notice] = asyncio.Queue()
         self._tasks: list[asyncio.Task[None]] = []
-        self.owed = 0
+        self.unconfirmed = 0
 
     def start(self) -> None:
         """Begin to post."""
         self._tasks = [asyncio.create_task(self._work()) for _ in range(WORKERS)]
 
-    def move(self, address: Address) -> None:
+    def change_address(self, address: Address) -> None:
         """Post to another address from now on, also what the old one has not confirmed."""
         self._address = address
 
     def send(self, notice: Notice) -> None:
         """Post it as soon as may be."""
-        self.owed += 1
+        self.unconfirmed += 1
         self._queue.put_nowait(notice)
 
     def close(self) -> None:
@@ -74,15 +74,15 @@
                     batch = batch[:1]
                 else:
                     if status == 400:
-                        ref = batch[0].ref
+                        ref = batch[0].message_id
                         LOG.error("notice for %s was not understood", ref, extra={"message_id": ref})
                     await asyncio.sleep(again_s)
                     again_s, post_s = min(2 * again_s, AGAIN_S[1]), min(2 * post_s, POST_S[1])
 
     def _done(self, batch: list[Notice]) -> None:
         for notice in batch:
-            self.owed -= 1
-            self._confirmed(notice.ref)
+            self.unconfirmed -= 1
+            self._confirmed(notice.message_id)
 
     async def _post(
         self, connection: Connection | None, batch: list[Notice], post_s: float
--- a/mallowlug/fleet/agent.py
+++ b/mallowlug/fleet/agent.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from mallowlug.core.model import Address, pair_of
+from mallowlug.core.model import Address, parse_address
 from mallowlug.fleet import records as rec
 from mallowlug.fleet.quota_shares import Parts
 from mallowlug.fleet.records import Rumour
@@ -137,7 +137,7 @@
         out, self.swim.out = self.swim.out, []
         for address, frame in out:
             try:
-                pair = pair_of(address)
+                pair = parse_address(address)
             except ValueError as error:
                 LOG.debug("fleet: %s", error)
                 continue
--- a/mallowlug/fronts/resp2.py
+++ b/mallowlug/fronts/resp2.py
@@ -8,7 +8,7 @@
 import socket
 from collections import OrderedDict
 
-from mallowlug.core.model import Address, Answer, Handed, Refused, Taken
+from mallowlug.core.model import Accepted, Address, Answer, Refused, Submission
 from mallowlug.core.ports import Intake
 from mallowlug.core.reasons import ClientClose, Event, Reasons
 from mallowlug.system import System
@@ -50,7 +50,7 @@
     return int(text)
 
 
-def handed_of(args: list[bytes], now_us: int) -> tuple[Handed, bytes]:
+def handed_of(args: list[bytes], now_us: int) -> tuple[Submission, bytes]:
     """The message in an ENQUEUE request; its time counts from ``now_us``."""
     if len(args) != 5:
         raise BadRequestError("ENQUEUE takes a key, an id, a list and a body")
@@ -64,7 +64,7 @@
             raise BadRequestError("the list holds no name=value pair")
         pairs[name.strip()] = value
     left_ms = min(number(pairs, b"d"), LONGEST_MS)
-    handed = Handed(
+    handed = Submission(
         id=token(ref, "the id"),
         dest=number(pairs, b"dest"),
         cls=token(pairs.get(b"c", b""), "c"),
@@ -409,7 +409,7 @@
                 self.left(client)
                 client.drop(reason, answer)
 
-    def end_clients(self) -> None:
+    def drain_clients(self) -> None:
         """Close every connection between requests; new ones get answers and are closed behind them."""
         self.refusing = True
         for client in [*self.silent, *self.asking, *self.idle]:
@@ -437,12 +437,12 @@
             refusal = self.core.refusal
             self.reasons.count(Event.REFUSAL, refusal.reason, message_id=handed.id)
             return said(refusal)
-        return said(self.core.hand_in(handed, body))
+        return said(self.core.submit(handed, body))
 
 
 def said(answer: Answer) -> bytes:
     """The core's answer in a client's words."""
-    if isinstance(answer, Taken):
+    if isinstance(answer, Accepted):
         return b"+OK\r\n"
     if isinstance(answer, Refused):
         return b"-BUSY %d\r\n" % answer.wait_ms
--- a/mallowlug/partners/http_calls.py
+++ b/mallowlug/partners/http_calls.py
@@ -13,8 +13,8 @@
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass, field
 
-from mallowlug.core.model import Call, HostList, Listed, Part, Told
-from mallowlug.core.ports import Released, Settled
+from mallowlug.core.model import Call, EndpointList, Part, PartOutcome, ResolvedEndpoint
+from mallowlug.core.ports import PartReleased, PartSettled
 from mallowlug.core.reasons import Event, HostClose, Reasons
 from mallowlug.net.answers import Answer, SpoiltError
 from mallowlug.net.http import FAULTS, Connection, Headers
@@ -114,11 +114,11 @@
     return (table | unsent).get(answer.status, Verdict.ERROR)
 
 
-def told_of(answer: Answer, end: str | None, wait_us: int, report: dict[str, float]) -> Told:
+def told_of(answer: Answer, end: str | None, wait_us: int, report: dict[str, float]) -> PartOutcome:
     """What a whole answer says of a message: its own end in a batch, else the answer's."""
     if end is not None:
-        return Told(ENDS[end], end in ("delivered", "over"), wait_us, report)
-    return Told(verdict_of(answer), answer.status in (DELIVERED, OVER), wait_us, report)
+        return PartOutcome(ENDS[end], end in ("delivered", "over"), wait_us, report)
+    return PartOutcome(verdict_of(answer), answer.status in (DELIVERED, OVER), wait_us, report)
 
 
 def ends_of(body: bytes, parts: Sequence[Part]) -> dict[str, str]:
@@ -143,8 +143,8 @@
         connect_us: int,
         most_idle: int,
         *,
-        settled: Settled,
-        released: Released,
+        settled: PartSettled,
+        released: PartReleased,
         system: System,
         most_open: int = 1 << 16,
         reasons: Reasons | None = None,
@@ -155,18 +155,18 @@
         self._idle_s, self._connect_s = keepalive_us / 1e6 * IDLE_SHARE, connect_us / 1e6
         self._most_open, self._reasons = most_open, reasons or Reasons()
         self._most_idle, self._settled, self._released = most_idle, settled, released
-        self._listed: dict[str, Listed] = {}
+        self._listed: dict[str, ResolvedEndpoint] = {}
         self._idle: dict[str, list[tuple[Connection, asyncio.TimerHandle]]] = {}
         self._waits: dict[str, float] = {}  # by route: the loop's time until which it is to be left alone
-        self.written = 0
+        self.messages_written = 0
         self._out: set[str] = set()  # by hand, listed or not
         self.exchanges: dict[Exchange, None] = {}  # in order, so that what is given up goes in order too
 
-    def apply(self, news: HostList) -> None:
+    def apply(self, news: EndpointList) -> None:
         """Follow the list at once: what drains or goes gets no call that is still to be written."""
         now_s = self._now_s()  # hosts come and go all day: a wait that is over is forgotten
         self._waits = {route: until_s for route, until_s in self._waits.items() if until_s > now_s}
-        if news.whole:
+        if news.full:
             gone = self._listed.keys() - {listed.entry.host for listed in news.hosts}
             for host in gone:
                 del self._listed[host]
@@ -178,14 +178,14 @@
                 self._listed.pop(host, None)
             else:
                 self._listed[host] = listed
-            if listed.entry.listing is not Listing.READY or (known and known.dial != listed.dial):
+            if listed.entry.listing is not Listing.READY or (known and known.address != listed.address):
                 self.close_idle(host, HostClose.UNWANTED)
 
-    def change(self, kinds: Iterable[Kind]) -> None:
+    def set_kinds(self, kinds: Iterable[Kind]) -> None:
         """Go by these kinds from now on."""
         self._kinds = {kind.name: kind for kind in kinds}
 
-    def bar(self, host: str, out: bool) -> None:
+    def set_disabled(self, host: str, out: bool) -> None:
         """A host is out by hand, or back: then as a new process, which no old connection reaches."""
         (self._out.add if out else self._out.discard)(host)
         self.close_idle(host, HostClose.UNWANTED)
@@ -195,7 +195,7 @@
         listed = self._listed.get(host)
         return listed is not None and listed.entry.listing is Listing.READY and host not in self._out
 
-    def zone(self, host: str) -> str:
+    def zone_of(self, host: str) -> str:
         """The zone of a host."""
         return self._listed[host].entry.zone if host in self._listed else ""
 
@@ -205,20 +205,20 @@
         apart = listed is None or self._kind(listed).separate_routes
         return host if listed is None or apart else f"dest {listed.entry.dest}"
 
-    def _kind(self, listed: Listed) -> Kind:
+    def _kind(self, listed: ResolvedEndpoint) -> Kind:
         return self._kinds.get(listed.entry.kind, Kind(listed.entry.kind))
 
-    def batch(self, host: str) -> int:
+    def batch_size(self, host: str) -> int:
         """How many messages a call to the host may carry."""
         listed = self._listed.get(host)
         return 1 if listed is None else self._kind(listed).batch_size
 
-    def waits(self) -> dict[str, int]:
+    def remaining_waits(self) -> dict[str, int]:
         """By route: how long (us) it is still to be left alone."""
         left = {route: int((until_s - self._now_s()) * 1e6) for route, until_s in self._waits.items()}
         return {route: left_us for route, left_us in left.items() if left_us > 0}
 
-    def wait(self, waits: dict[str, int]) -> None:
+    def restore_waits(self, waits: dict[str, int]) -> None:
         """Heed waits that a process before this one was told."""
         now_s = self._now_s()
         for route, left_us in waits.items():
@@ -229,11 +229,11 @@
         """How long the host is still to be left alone."""
         return max(0, int((self._waits.get(self._route(host), 0.0) - self._now_s()) * 1e6))
 
-    def barred(self, host: str) -> Told | None:
+    def barred(self, host: str) -> PartOutcome | None:
         """Why nothing may be written there now: decided before, a call must still obey newer news."""
         wait_us = self.wait_left_us(host)
         if wait_us or not self._serves(host):
-            return Told(Verdict.NOT_SENT, wait_us=wait_us)
+            return PartOutcome(Verdict.NOT_SENT, retry_after_us=wait_us)
         return None
 
     @property
@@ -251,12 +251,12 @@
         self.exchanges[exchange] = None
         start_s, most_us = call.sent_s, 0
         for part in call.parts:
-            most_us = max(most_us, part.limit_us)
+            most_us = max(most_us, part.timeout_us)
         exchange.until_s = start_s + most_us / 1e6
         exchange.timer = loop.call_at(exchange.until_s, self._time_out, exchange)
         for part in call.parts:
-            if part.limit_us < most_us:
-                end_s = start_s + part.limit_us / 1e6
+            if part.timeout_us < most_us:
+                end_s = start_s + part.timeout_us / 1e6
                 exchange.timers[part] = loop.call_at(end_s, self._stop, exchange, part, Verdict.TIMEOUT)
         exchange.task = loop.create_task(self._run(exchange))
         return exchange
@@ -293,7 +293,7 @@
         for host in list(self._idle):
             self.close_idle(host, HostClose.ENDING)
 
-    def _settle(self, exchange: Exchange, part: Part, told: Told | None) -> None:
+    def _settle(self, exchange: Exchange, part: Part, told: PartOutcome | None) -> None:
         part.settled = True
         if part in exchange.timers:
             exchange.timers.pop(part).cancel()
@@ -311,7 +311,7 @@
         begun = connection is not None and connection.begun
         ran = exchange.written if last else begun  # others' bytes that follow may complete the call
         lasts = begun and not last
-        told = Told(verdict if ran else Verdict.CONNECT_FAILED, lasts=lasts)
+        told = PartOutcome(verdict if ran else Verdict.CONNECT_FAILED, call_continues=lasts)
         if lasts:
             exchange.left.append(part)
         self._settle(exchange, part, self._proved(exchange) or told)
@@ -320,23 +320,23 @@
 
     async def _run(self, exchange: Exchange) -> None:
         """Connect, write, read: every way out settles what is open and leaves no connection behind."""
-        told, keep, host = Told(Verdict.RESET), False, exchange.call.host
+        told, keep, host = PartOutcome(Verdict.RESET), False, exchange.call.host
         reason = HostClose.FAILED
         try:
             keep = await self._exchange(exchange)
             reason = HostClose.NOT_KEPT
         except SpoiltError as error:  # not a reset: the connection held, and the host has answered
             LOG.debug("hosts: %s: a spoilt answer: %s", host, str(error)[:80], extra={"host": host})
-            told = Told(Verdict.ERROR)
+            told = PartOutcome(Verdict.ERROR)
         except (*FAULTS, TimeoutError) as error:
             LOG.debug("hosts: %s: %r", host, error, extra={"host": host})
         except Exception:
             LOG.exception("hosts: call to %s broke", host, extra={"host": host})
         finally:
             if not exchange.written:
-                told = Told(Verdict.CONNECT_FAILED)
+                told = PartOutcome(Verdict.CONNECT_FAILED)
             elif exchange.late:  # it answers without an end: no silence of a lost host
-                told = Told(Verdict.ERROR if exchange.answering else Verdict.TIMEOUT)
+                told = PartOutcome(Verdict.ERROR if exchange.answering else Verdict.TIMEOUT)
             if exchange.timer is not None:
                 exchange.timer.cancel()
             if exchange.connection is not None and not keep:
@@ -348,11 +348,11 @@
                 self._released(part)
 
     @staticmethod
-    def _proved(exchange: Exchange) -> Told | None:
+    def _proved(exchange: Exchange) -> PartOutcome | None:
         """A first line that says 200 is true for the one message of a call, however the answer went on."""
         connection = exchange.connection
         if len(exchange.sent) == 1 and exchange.written and connection and connection.says_delivered:
-            return Told(Verdict.OK, complete=True)
+            return PartOutcome(Verdict.OK, complete=True)
         return None
 
     async def _exchange(self, exchange: Exchange) -> bool:
@@ -363,20 +363,20 @@
         # Connecting takes time, in which a wait or a drain may have been told: it binds this write too.
         barred, parts = self.barred(host), exchange.call.open
         if len(parts) > 1:  # the one that lasts longest first: who reckons a call's time by one takes that
-            parts.sort(key=lambda part: -part.limit_us)
+            parts.sort(key=lambda part: -part.timeout_us)
         if barred is not None:
             for part in parts:
                 self._settle(exchange, part, barred)
             return self._keep(host, connection)
         for part in list(parts):  # its window may have passed as well
-            if part.by_us and self._now_s() > exchange.call.sent_s + part.by_us / 1e6:
-                self._settle(exchange, part, Told(Verdict.NOT_SENT))
+            if part.start_within_us and self._now_s() > exchange.call.sent_s + part.start_within_us / 1e6:
+                self._settle(exchange, part, PartOutcome(Verdict.NOT_SENT))
                 parts.remove(part)
         if not parts:
             return self._keep(host, connection)
         exchange.sent = parts
         await connection.send(request_of(connection, parts, exchange.until_s - self._now_s()))
-        self.written += len(parts)
+        self.messages_written += len(parts)
         answer = await connection.answer()
         wait_us, report = wait_of(answer), report_of(answer)
         if wait_us:
@@ -384,7 +384,7 @@
             until = self._now_s() + wait_us / 1e6
             self._waits[route] = max(self._waits.get(route, 0.0), until)
         if answer.status == DELIVERED and len(parts) == 1:
-            self._tell(exchange, parts[0], Told(Verdict.OK, True, wait_us, report))
+            self._tell(exchange, parts[0], PartOutcome(Verdict.OK, True, wait_us, report))
             parts = []
         # Any other answer counts when it is whole: a head that says "never ran" proves nothing if the
         # body shows that the answer is spoilt, for the request has run then.
@@ -394,7 +394,7 @@
             self._tell(exchange, part, told_of(answer, ends.get(part.id), wait_us, report))
         return self._keep(host, connection)
 
-    def _tell(self, exchange: Exchange, part: Part, told: Told) -> None:
+    def _tell(self, exchange: Exchange, part: Part, told: PartOutcome) -> None:
         """Settle a part; where its own time ran out within the call, only a final end is still news."""
         if not part.settled or told.complete:
             self._settle(exchange, part, told)
@@ -405,7 +405,7 @@
             raise ConnectionError("no longer listed")
         self._make_room()
         async with asyncio.timeout(self._connect_s):
-            return await Connection.open(listed.dial, self._system)
+            return await Connection.open(listed.address, self._system)
 
     def _take(self, host: str) -> Connection | None:
         """The idle connection that was used last, if the host has not ended it."""
--- a/mallowlug/upgrade/coordinator.py
+++ b/mallowlug/upgrade/coordinator.py
@@ -11,10 +11,10 @@
 from pathlib import Path
 from typing import Protocol
 
-from mallowlug.core.handover import Binds
-from mallowlug.core.model import Answer, Handed, Refused
+from mallowlug.core.handover import HandoverState
+from mallowlug.core.model import Answer, Refused, Submission
 from mallowlug.core.ports import Intake
-from mallowlug.core.relay import Driver
+from mallowlug.core.relay import RelayCore
 from mallowlug.core.reserved_space import ROOMY
 from mallowlug.system import APPEND, Disk
 from mallowlug.upgrade import handover_file
@@ -32,16 +32,16 @@
     """What the process does for its places."""
 
     @property
-    def driver(self) -> Driver | None:
+    def driver(self) -> RelayCore | None:
         """The relay's core, while this process owns the messages; then as it was."""
 
-    def catch_up(self, binds: Binds | None) -> None:
+    def catch_up(self, binds: HandoverState | None) -> None:
         """Go by what is in force at the take-over."""
 
-    def take_up(self, binds: Binds | None) -> Driver:
+    def take_up(self, binds: HandoverState | None) -> RelayCore:
         """Read the journal and go on from it."""
 
-    def binds(self) -> Binds:
+    def binds(self) -> HandoverState:
         """What binds a successor beside the journal."""
 
     def retire(self) -> None:
@@ -64,7 +64,7 @@
 class Beside:
     """The owner's intake: what a door took on before comes first, where order is kept."""
 
-    def __init__(self, driver: Driver, adoption: Adoption) -> None:
+    def __init__(self, driver: RelayCore, adoption: Adoption) -> None:
         self._driver, self._adoption = driver, adoption
         self.clock = driver.clock
 
@@ -73,11 +73,11 @@
         """A refusal at the door, with when to come back."""
         return self._driver.refusal
 
-    def hand_in(self, handed: Handed, body: bytes) -> Answer:
+    def submit(self, handed: Submission, body: bytes) -> Answer:
         """As the core does."""
         if handed.order:
             self._adoption.look(self._driver)
-        return self._driver.hand_in(handed, body)
+        return self._driver.submit(handed, body)
 
 
 class Shift:
@@ -93,7 +93,7 @@
         self._adoption = Adoption(folder, disk, durable)
         self._heard = 0  # of the SIGHUPs that either process got: how many this one goes by
         self._heard = self._count_hups()
-        self._kept: Binds | None = None  # what this process has handed over
+        self._kept: HandoverState | None = None  # what this process has handed over
         self._owed = False  # whether this process got one that the other cannot have heard of yet
         self._beside_s = 0.0  # loop's time until which another process is counted on
         self.door: Door | None = None
@@ -170,7 +170,9 @@
         self._adoption.look(driver)
         self._share()  # the last moment: from here to the end nothing else runs in this process
         binds = self._staff.binds()
-        if not (driver.settled() and handover_file.keep(self._folder, self._disk, binds, self._most_binds)):
+        if not (
+            driver.flush_journal() and handover_file.keep(self._folder, self._disk, binds, self._most_binds)
+        ):
             LOG.warning("upgrade: the disk is full or failing; serving on")
             driver.pause(False)
             await asyncio.sleep(REST_S)
--- a/mallowlug/upgrade/handover_file.py
+++ b/mallowlug/upgrade/handover_file.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from mallowlug.core.handover import Binds
+from mallowlug.core.handover import HandoverState
 from mallowlug.core.reserved_space import ROOMY
 from mallowlug.system import Disk, swap
 
@@ -21,7 +21,7 @@
 MOST_PLAIN = 16 << 20  # bytes of what a file may hold; one that claims more is absurd
 
 
-def keep(folder: Path, disk: Disk, binds: Binds, most: int = ROOMY.binds) -> bool:
+def keep(folder: Path, disk: Disk, binds: HandoverState, most: int = ROOMY.binds) -> bool:
     """Write it down in one piece; of what does not fit into ``most`` bytes the ids that are over go first,
     then the list, and the directory's is waited for.
 
@@ -47,7 +47,7 @@
         return False
 
 
-def packed(binds: Binds, most: int) -> bytes:
+def packed(binds: HandoverState, most: int) -> bytes:
     """The file's bytes."""
     data = msgspec.json.encode(binds)
     return data if len(data) <= most else zlib.compress(data)
@@ -64,10 +64,10 @@
     return found
 
 
-def take(folder: Path, disk: Disk) -> Binds | None:
+def take(folder: Path, disk: Disk) -> HandoverState | None:
     """What the one before has left."""
     try:
-        return msgspec.json.decode(unpacked(disk.read(folder / FILE)), type=Binds)
+        return msgspec.json.decode(unpacked(disk.read(folder / FILE)), type=HandoverState)
     except FileNotFoundError:
         return None
     except (OSError, zlib.error, msgspec.MsgspecError) as error:
--- a/mallowlug/upgrade/spool.py
+++ b/mallowlug/upgrade/spool.py
@@ -16,10 +16,10 @@
 
 import msgspec
 
-from mallowlug.core.journal import framed, record_at
-from mallowlug.core.model import Answer, Failed, Handed, Refused, Taken
-from mallowlug.core.reasons import DoorRefusal
-from mallowlug.core.relay import FIELDS, Driver
+from mallowlug.core.journal import encode_record, read_record
+from mallowlug.core.model import Accepted, Answer, Failed, Refused, Submission
+from mallowlug.core.reasons import RejectReason
+from mallowlug.core.relay import FIELDS, RelayCore
 from mallowlug.system import APPEND, Disk
 from mallowlug.upgrade.locks import Lock
 
@@ -32,7 +32,7 @@
 class Door:
     """Takes messages on for the owner; what a front talks to once its process owns nothing any more."""
 
-    def __init__(self, folder: Path, disk: Disk, former: Driver, durable: bool = False) -> None:
+    def __init__(self, folder: Path, disk: Disk, former: RelayCore, durable: bool = False) -> None:
         self._folder, self._disk, self._former, self._durable = folder, disk, former, durable
         self._lock: Lock | None = None
         self._fd, self._size, self._name = -1, 0, ""
@@ -47,25 +47,25 @@
         """A refusal at the door, with when to come back."""
         return self._former.refusal
 
-    def hand_in(self, handed: Handed, body: bytes) -> Answer:
+    def submit(self, handed: Submission, body: bytes) -> Answer:
         """Write the message down for the owner, or say why not."""
-        if handed.id in self._taken or self._former.knew(handed.id):
-            return Taken()
-        answer = self._former.misfit(handed) or self._spool(handed, body)
-        if not isinstance(answer, Taken):
-            self._former.count(handed, answer)
+        if handed.id in self._taken or self._former.knows(handed.id):
+            return Accepted()
+        answer = self._former.reject_reason(handed) or self._spool(handed, body)
+        if not isinstance(answer, Accepted):
+            self._former.count_rejected(handed, answer)
         return answer
 
-    def _spool(self, handed: Handed, body: bytes) -> Answer:
+    def _spool(self, handed: Submission, body: bytes) -> Answer:
         fields, written = {name: getattr(handed, name) for name in FIELDS}, 0
-        record = framed(["in", handed.id, fields, self._former.rules_told(handed.cls)], body)
+        record = encode_record(["in", handed.id, fields, self._former.rules_record(handed.cls)], body)
         try:
             if not self._room(len(record)):
-                return self._former.refused(DoorRefusal.DISK)
+                return self._former.refused(RejectReason.DISK)
             written = self._disk.write(self._fd, record)
             if written < len(record):
                 self._disk.truncate(self._fd, self._size)
-                return self._former.refused(DoorRefusal.DISK)
+                return self._former.refused(RejectReason.DISK)
             self._size += written
             if self._durable:
                 self._disk.sync(self._fd)
@@ -74,9 +74,9 @@
             LOG.warning("door: a message is not kept: %s", error, extra={"message_id": handed.id})
             self.close()
             whole = written >= len(record)
-            return Failed("not kept") if whole else self._former.refused(DoorRefusal.DISK)
+            return Failed("not kept") if whole else self._former.refused(RejectReason.DISK)
         self._taken.add(handed.id)
-        return Taken()
+        return Accepted()
 
     def _room(self, size: int) -> bool:
         """Whether there is a file to write to; a full one is left to the owner, and the next one begun."""
@@ -115,7 +115,7 @@
 class Spooled:
     """One message of a file, and where the next one begins."""
 
-    handed: Handed
+    handed: Submission
     body: bytes
     rules: dict[str, Any]
     end: int
@@ -123,13 +123,13 @@
 
 def spooled_at(data: bytes, at: int) -> Spooled | None:
     """The message that begins there, once it is whole; ``ValueError`` where what is there is no message."""
-    if (found := record_at(data, at)) is None:
+    if (found := read_record(data, at)) is None:
         return None
     payload, end = found
     line, _, body = payload.partition(b"\n")
     try:
         _kind, _ref, fields, rules = msgspec.json.decode(line)
-        return Spooled(Handed(**fields), body, dict(rules), end)
+        return Spooled(Submission(**fields), body, dict(rules), end)
     except (msgspec.MsgspecError, TypeError) as error:
         raise ValueError(f"not a message: {error}") from None
 
@@ -148,7 +148,7 @@
                 self._disk.unlink(self._folder / name)
                 lock.free()
 
-    def look(self, driver: Driver) -> bool:
+    def look(self, driver: RelayCore) -> bool:
         """Adopt what is there now; whether any file was there, or nobody can tell."""
         try:
             names = sorted(name for name in self._disk.names(self._folder) if name.startswith(PREFIX))
@@ -164,7 +164,7 @@
             driver.forget_spool(name)
         return bool(names)
 
-    def _adopt(self, name: str, driver: Driver) -> None:
+    def _adopt(self, name: str, driver: RelayCore) -> None:
         """Read a file on from where the journal says; first look whether its writer lives, then read."""
         lock = Lock(self._folder / name, self._disk)
         ended = lock.take()
@@ -176,7 +176,7 @@
                     at = message.end
             except ValueError as error:
                 LOG.error("door: %s is damaged at %d: %s", name, at, error)
-            if ended and driver.settled():  # else the file alone may hold what was adopted
+            if ended and driver.flush_journal():  # else the file alone may hold what was adopted
                 if (torn := len(data) - at) > 0:
                     LOG.warning("door: a torn tail of %d bytes in %s, never taken on", torn, name)
                 self._disk.unlink(self._folder / name)
--- a/mossfront/engine.py
+++ b/mossfront/engine.py
@@ -108,14 +108,10 @@
         self.arrivals = DecayingCounter(MEMORY_US)
         # Calls lost on connections that had been idle, and on others; the idle age that is trusted.
         self.cut, self.kept = DecayingCounter(MEMORY_US, 1 - WEIGHT), DecayingCounter(MEMORY_US, 1 - WEIGHT)
-        self.stale_us, self.crowd = (
-            float(settings.keepalive_us),
-            DecayingCounter(MEMORY_US),
-        )  # crowd: no connection
-        self.trials = (
-            DecayingCounter(MEMORY_US, 1 - WEIGHT),
-            DecayingCounter(MEMORY_US, 1 - WEIGHT),
-        )  # failed, refused again
+        # Crowd: no connection.
+        self.stale_us, self.crowd = float(settings.keepalive_us), DecayingCounter(MEMORY_US)
+        # Failed, refused again.
+        self.trials = DecayingCounter(MEMORY_US, 1 - WEIGHT), DecayingCounter(MEMORY_US, 1 - WEIGHT)
         self.open, self.calls_out, self.wake_us, self.serial = 0, 0, -1, 0
         self.made = list[Call]()  # in this step, and not let out yet
         self._change(settings)
--- a/mossfront/state.py
+++ b/mossfront/state.py
@@ -79,10 +79,8 @@
         self.wait_us, self.next_us = 0, NEVER_US  # told to wait until; own pause until
         self.rate, self.pace, self.pace_us = 0.0, math.inf, 0  # calls/s: told for all (0: not); own pace
         self.told, self.told_us = (0.0, 0.0), NEVER_US  # rate and share left as told last; when
-        self.demand, self.served = (
-            DecayingCounter(memory_us),
-            DecayingCounter(memory_us),
-        )  # own messages that came, own successes
+        # Own messages that came, own successes.
+        self.demand, self.served = DecayingCounter(memory_us), DecayingCounter(memory_us)
 
     @property
     def ok_us(self) -> int:
--- a/tests/calls.py
+++ b/tests/calls.py
@@ -6,7 +6,7 @@
 import time
 from typing import Any
 
-from mallowlug.core.model import Call, HostList, Listed, Part, Told
+from mallowlug.core.model import Call, EndpointList, Part, PartOutcome, ResolvedEndpoint
 from mallowlug.partners.http_calls import Exchange, Hosts
 from mallowlug.system import POSIX
 from mossfront.interface import EndpointEntry, Kind, Listing
@@ -19,7 +19,7 @@
     """Hosts with one host on the list, and the outcomes that came of it."""
 
     def __init__(self, port: int, connect_us: int = 10_000_000) -> None:
-        self.told: dict[str, Told] = {}
+        self.told: dict[str, PartOutcome] = {}
         self.ended = asyncio.Event()
         self.released: list[Part] = []
         ends: Any = {"settled": self._settled, "released": self.released.append}
@@ -29,9 +29,9 @@
     def list(self, port: int, listing: Listing = Listing.READY) -> None:
         """The host as the directory lists it."""
         entry = EndpointEntry("h1", 1, "a", "banks", listing)
-        self.hosts.apply(HostList(1, False, (Listed(entry, ("127.0.0.1", port)),)))
+        self.hosts.apply(EndpointList(1, False, (ResolvedEndpoint(entry, ("127.0.0.1", port)),)))
 
-    def _settled(self, _call: Call, part: Part, told: Told) -> None:
+    def _settled(self, _call: Call, part: Part, told: PartOutcome) -> None:
         self.told[part.id] = told
         self.ended.set()
 
@@ -40,7 +40,7 @@
         call = Call("h1", [Part(ref, 0, "", body, limit_us) for ref in refs], time.monotonic())
         return self.hosts.send(call)
 
-    async def outcome(self, ref: str) -> Told:
+    async def outcome(self, ref: str) -> PartOutcome:
         """How a message's attempt ended."""
         while ref not in self.told:
             self.ended.clear()
--- a/tests/contracts/directory.py
+++ b/tests/contracts/directory.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from mallowlug.core.model import Address, HostList
+from mallowlug.core.model import Address, EndpointList
 from mallowlug.core.ports import Directory
 from mossfront.interface import Listing
 from tests.world import soon
@@ -42,11 +42,11 @@
     """What a directory told."""
 
     def __init__(self) -> None:
-        self.lists: list[HostList] = []
+        self.lists: list[EndpointList] = []
         self.failures = 0
         self.changed = asyncio.Event()
 
-    def told(self, news: HostList) -> None:
+    def told(self, news: EndpointList) -> None:
         """The core's callback for news."""
         self.lists.append(news)
         self.changed.set()
@@ -67,7 +67,7 @@
         """The list as the news adds up."""
         view: dict[str, Listing] = {}
         for news in self.lists:
-            view = {} if news.whole else view
+            view = {} if news.full else view
             view |= {listed.entry.host: listed.entry.listing for listed in news.hosts}
         return view
 
@@ -147,7 +147,7 @@
         for _ in range(3):
             other.change("h1", Listing.READY)
         other.change("h1", Listing.DRAINING)
-        directory.move(other.address)
+        directory.change_address(other.address)
         await news.until(lambda: news.view["h1"] is Listing.DRAINING)
         peer.lose()
         other.change("h2", Listing.READY)
--- a/tests/contracts/ends.py
+++ b/tests/contracts/ends.py
@@ -8,7 +8,7 @@
 import pytest
 
 from mallowlug.core.model import Address, Notice
-from mallowlug.core.ports import Ends
+from mallowlug.core.ports import Notifier
 from tests.world import soon
 
 
@@ -53,7 +53,7 @@
 class EndsContract:
     """Subclass, name it ``Test...`` and supply ``ends`` and ``peer``."""
 
-    def ends(self, address: Address, confirmed: Confirmed) -> Ends:
+    def ends(self, address: Address, confirmed: Confirmed) -> Notifier:
         """The port's implementation, not started."""
         raise NotImplementedError
 
@@ -71,29 +71,29 @@
         ends.close()
         peer.stop()
 
-    async def test_an_end_is_told_as_it_is(self, rig: tuple[Ends, Confirmed, EndsPeer]) -> None:
+    async def test_an_end_is_told_as_it_is(self, rig: tuple[Notifier, Confirmed, EndsPeer]) -> None:
         ends, confirmed, peer = rig
         ends.send(Notice("m1", "dead"))
         ends.send(Notice("m2", "bounced", 1500))
         await confirmed.all("m1", "m2")
         assert sorted(peer.heard) == [("m1", "dead", 0), ("m2", "bounced", 1500)]
-        assert ends.owed == 0
+        assert ends.unconfirmed == 0
 
     @pytest.mark.parametrize("how", ["fail", "reset", "hang"])
     async def test_it_is_owed_until_it_is_confirmed_and_confirmed_once(
-        self, rig: tuple[Ends, Confirmed, EndsPeer], how: str
+        self, rig: tuple[Notifier, Confirmed, EndsPeer], how: str
     ) -> None:
         ends, confirmed, peer = rig
         peer.then(how, how)
         ends.send(Notice("m1", "dead"))
         await peer.came(2)
-        assert (ends.owed, confirmed.refs) == (1, [])
+        assert (ends.unconfirmed, confirmed.refs) == (1, [])
         await confirmed.all("m1")
-        assert (ends.owed, confirmed.refs) == (0, ["m1"])
+        assert (ends.unconfirmed, confirmed.refs) == (0, ["m1"])
         assert set(peer.heard) == {("m1", "dead", 0)}
 
     async def test_a_delivery_that_hangs_holds_up_no_other(
-        self, rig: tuple[Ends, Confirmed, EndsPeer]
+        self, rig: tuple[Notifier, Confirmed, EndsPeer]
     ) -> None:
         ends, confirmed, peer = rig
         peer.then("hang")
@@ -104,18 +104,20 @@
         await confirmed.all("m1")
         assert sorted(confirmed.refs) == ["m1", "m2"]
 
-    async def test_what_is_owed_moves_with_the_address(self, rig: tuple[Ends, Confirmed, EndsPeer]) -> None:
+    async def test_what_is_owed_moves_with_the_address(
+        self, rig: tuple[Notifier, Confirmed, EndsPeer]
+    ) -> None:
         ends, confirmed, peer = rig
         peer.then(*["fail"] * 1000)
         ends.send(Notice("m1", "dead"))
         await peer.came(1)
         other = await self.peer()
-        ends.move(other.address)
+        ends.change_address(other.address)
         await confirmed.all("m1")
         assert other.heard == [("m1", "dead", 0)]
         other.stop()
 
-    async def test_after_close_nothing_is_confirmed(self, rig: tuple[Ends, Confirmed, EndsPeer]) -> None:
+    async def test_after_close_nothing_is_confirmed(self, rig: tuple[Notifier, Confirmed, EndsPeer]) -> None:
         ends, confirmed, peer = rig
         peer.then(*["hang"] * 10)
         ends.send(Notice("m1", "dead"))
@@ -123,4 +125,4 @@
         ends.close()
         for _ in range(20):
             await asyncio.sleep(0)
-        assert (ends.owed, confirmed.refs) == (1, [])
+        assert (ends.unconfirmed, confirmed.refs) == (1, [])
--- a/tests/contracts/front.py
+++ b/tests/contracts/front.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from mallowlug.core.model import Answer, Failed, Handed, Refused, Taken
+from mallowlug.core.model import Accepted, Answer, Failed, Refused, Submission
 from mallowlug.core.ports import Front
 from tests.world import soon
 
@@ -18,17 +18,17 @@
 
     def __init__(self) -> None:
         self.answers: dict[str, Answer] = {}
-        self.seen: list[tuple[Handed, bytes]] = []
+        self.seen: list[tuple[Submission, bytes]] = []
         self.refusal = Refused(777)
 
     def clock(self) -> int:
         """Wall time in microseconds."""
         return time.time_ns() // 1000
 
-    def hand_in(self, handed: Handed, body: bytes) -> Answer:
+    def submit(self, handed: Submission, body: bytes) -> Answer:
         """The answer that was set for the id, else taken."""
         self.seen.append((handed, body))
-        return self.answers.get(handed.id, Taken())
+        return self.answers.get(handed.id, Accepted())
 
 
 class FrontPeer(Protocol):
@@ -109,7 +109,7 @@
         core, front, port = served
         old = await self.peer(port)
         assert await old.hand_in("m1") == ["taken"]
-        front.end_clients()
+        front.drain_clients()
         await soon(old.ended())
         told = await (await self.peer(port)).hand_in("m2")
         assert told in (["refused 777"], [None])
--- a/tests/contracts/partners.py
+++ b/tests/contracts/partners.py
@@ -8,8 +8,8 @@
 
 import pytest
 
-from mallowlug.core.model import Address, Call, HostList, Listed, Part, Told
-from mallowlug.core.ports import Partners, Settled
+from mallowlug.core.model import Address, Call, EndpointList, Part, PartOutcome, ResolvedEndpoint
+from mallowlug.core.ports import Partners, PartSettled
 from mossfront.interface import EndpointEntry, Kind, Listing, Verdict
 from tests.world import soon
 
@@ -41,19 +41,19 @@
     """What a transport settled."""
 
     def __init__(self) -> None:
-        self.told: list[tuple[str, Told]] = []
+        self.told: list[tuple[str, PartOutcome]] = []
         self.changed = asyncio.Event()
 
-    def settled(self, _call: Call, part: Part, told: Told) -> None:
+    def settled(self, _call: Call, part: Part, told: PartOutcome) -> None:
         """The core's callback."""
         self.told.append((part.id, told))
         self.changed.set()
 
-    def of(self, ref: str) -> list[Told]:
+    def of(self, ref: str) -> list[PartOutcome]:
         """All that was settled for a message."""
         return [told for known, told in self.told if known == ref]
 
-    async def first(self, ref: str) -> Told:
+    async def first(self, ref: str) -> PartOutcome:
         """How a message fared."""
         while not self.of(ref):
             self.changed.clear()
@@ -64,7 +64,7 @@
 class PartnersContract:
     """Subclass, name it ``Test...`` and supply ``partners`` and ``peer``."""
 
-    def partners(self, settled: Settled) -> Partners:
+    def partners(self, settled: PartSettled) -> Partners:
         """The transport, with ``KIND`` as the one kind."""
         raise NotImplementedError
 
@@ -109,7 +109,7 @@
         partners.send(call("m1", "m2", "m3"))
         told = [(await books.first(ref)).verdict for ref in ("m1", "m2", "m3")]
         assert told == [Verdict.OK, Verdict.FULL, Verdict.OK]
-        assert partners.batch("h1") == 4
+        assert partners.batch_size("h1") == 4
 
     async def test_a_refused_connection_never_ran(self, rig: tuple[Partners, Books, PartnerPeer]) -> None:
         partners, books, peer = rig
@@ -123,7 +123,7 @@
         partners, books, peer = rig
         peer.then("silent")
         sent = call("m1")
-        sent.parts[0].limit_us = 300_000
+        sent.parts[0].timeout_us = 300_000
         partners.send(sent)
         assert (await books.first("m1")).verdict is Verdict.TIMEOUT
         assert not (await books.first("m1")).verdict.never_ran
@@ -150,11 +150,11 @@
         partners.send(call("m1"))
         first = await books.first("m1")
         assert first.verdict is Verdict.FULL
-        assert first.wait_us == 60_000_000
+        assert first.retry_after_us == 60_000_000
         partners.send(call("m2"))
         later = await books.first("m2")
         assert later.verdict is Verdict.NOT_SENT
-        assert 0 < later.wait_us <= 60_000_000
+        assert 0 < later.retry_after_us <= 60_000_000
         assert peer.calls == [["m1"]]
 
     @pytest.mark.parametrize("listing", [Listing.DRAINING, Listing.GONE])
@@ -171,7 +171,7 @@
         partners, books, _ = rig
         partners.send(Call("h9", [Part("m1", 0, "", b"x", LIMIT_US)], time.monotonic()))
         assert (await books.first("m1")).verdict.never_ran
-        assert partners.zone("h9") == ""
+        assert partners.zone_of("h9") == ""
 
     async def test_close_settles_nothing(self, rig: tuple[Partners, Books, PartnerPeer]) -> None:
         partners, books, peer = rig
@@ -192,4 +192,6 @@
 
 def listed(partners: Partners, address: Address, listing: Listing = Listing.READY) -> None:
     """The endpoint ``h1`` as the directory lists it."""
-    partners.apply(HostList(1, False, (Listed(EndpointEntry("h1", 1, "a", "banks", listing), address),)))
+    partners.apply(
+        EndpointList(1, False, (ResolvedEndpoint(EndpointEntry("h1", 1, "a", "banks", listing), address),))
+    )
--- a/tests/sim/test_upgrades.py
+++ b/tests/sim/test_upgrades.py
@@ -9,8 +9,8 @@
 import pytest
 
 from mallowlug.compose import Node
-from mallowlug.core.disabled_hosts import Outs
-from mallowlug.core.relay import Driver
+from mallowlug.core.disabled_hosts import DisabledHosts
+from mallowlug.core.relay import RelayCore
 from mallowlug.core.reserved_space import SMALL as SMALL_ROOM
 from mallowlug.rig.judge import record as rec
 from mallowlug.rig.sim import exhaust
@@ -97,14 +97,14 @@
 
 def waits_left_behind(monkey: pytest.MonkeyPatch) -> None:
     """Told waits are not handed over."""
-    real = Driver.binds
+    real = RelayCore.handover_state
 
-    def telling(self: Driver) -> Any:
+    def telling(self: RelayCore) -> Any:
         binds = real(self)
         binds.waits, binds.learned = {}, []
         return binds
 
-    monkey.setattr(Driver, "binds", telling)
+    monkey.setattr(RelayCore, "handover_state", telling)
 
 
 def door_unread(monkey: pytest.MonkeyPatch) -> None:
@@ -114,13 +114,13 @@
 
 def read_anew(monkey: pytest.MonkeyPatch) -> None:
     """How far a door's file is adopted is forgotten with the life, and so is what is over."""
-    monkey.setattr(Driver, "spools", property(lambda self: {}))
-    monkey.setattr(Driver, "knew", lambda self, ref: False)
+    monkey.setattr(RelayCore, "spools", property(lambda self: {}))
+    monkey.setattr(RelayCore, "knows", lambda self, ref: False)
 
 
 def ban_lost(monkey: pytest.MonkeyPatch) -> None:
     """Which hosts are out is not read at a start."""
-    monkey.setattr(Outs, "_read", lambda self: self.hosts)
+    monkey.setattr(DisabledHosts, "_read", lambda self: self.hosts)
 
 
 def banned() -> Scenario:
@@ -262,7 +262,9 @@
 def test_a_journal_that_takes_more_than_its_part_of_the_folder_is_found(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr("mallowlug.compose.staff_room", lambda _bytes: replace(SMALL_ROOM, total=-600_000))
+    monkeypatch.setattr(
+        "mallowlug.compose.reserved_space", lambda _bytes: replace(SMALL_ROOM, total=-600_000)
+    )
     assert folder(tmp_path, monkeypatch)[0] > 600_000
 
 
--- a/tests/sim/worlds.py
+++ b/tests/sim/worlds.py
@@ -11,7 +11,7 @@
 
 from mallowlug.core.clock import Clock
 from mallowlug.core.journal import Journal
-from mallowlug.core.relay import Driver
+from mallowlug.core.relay import RelayCore
 from mallowlug.directory import discovery
 from mallowlug.ends.notices import Notices
 from mallowlug.net.http import Connection
@@ -75,9 +75,9 @@
 
 def tried_after_the_bytes(monkey: MonkeyPatch) -> None:
     """An attempt is journaled after its first byte."""
-    tries, send = Journal.tries, Connection.send
+    tries, send = Journal.record_attempts, Connection.send
     late: list[Any] = []
-    monkey.setattr(Journal, "tries", lambda self, found: late.append((self, found)))
+    monkey.setattr(Journal, "record_attempts", lambda self, found: late.append((self, found)))
 
     async def sending(self: Connection, data: bytes) -> None:
         await send(self, data)
@@ -132,12 +132,12 @@
 
 def wake_lost(monkey: MonkeyPatch) -> None:
     """A wake-up that was asked for does not come."""
-    carry = Driver._carry_out
+    carry = RelayCore._carry_out
 
-    def carrying(self: Driver, actions: list[api.Action]) -> None:
+    def carrying(self: RelayCore, actions: list[api.Action]) -> None:
         carry(self, [action for action in actions if not isinstance(action, api.SetTimer)])
 
-    monkey.setattr(Driver, "_carry_out", carrying)
+    monkey.setattr(RelayCore, "_carry_out", carrying)
 
 
 def wall_believed(monkey: MonkeyPatch) -> None:
@@ -147,15 +147,15 @@
 
 def clock_tried_once(monkey: MonkeyPatch) -> None:
     """A clock that the disk did not take is not written again, and an attempt from the future is new."""
-    monkey.setattr(Clock, "settle", lambda self: None)
+    monkey.setattr(Clock, "retry_save", lambda self: None)
     monkey.setattr("mallowlug.core.relay.UNKNOWN_US", 0)
 
 
 def refused_unkept(monkey: MonkeyPatch) -> None:
     """A refusal is told also where its end is not on the disk."""
-    real = Journal.end
-    monkey.setattr(Journal, "end", lambda *args: bool(real(*args)) or True)
-    monkey.setattr("mallowlug.core.relay.Driver._synced", lambda self: True)
+    real = Journal.record_end
+    monkey.setattr(Journal, "record_end", lambda *args: bool(real(*args)) or True)
+    monkey.setattr("mallowlug.core.relay.RelayCore._synced", lambda self: True)
 
 
 def slept_away(monkey: MonkeyPatch) -> None:
@@ -192,15 +192,15 @@
 
 def finds_given_up(monkey: MonkeyPatch) -> None:
     """What a restart finds untried is handed back without a call."""
-    resume = Driver._resume
+    resume = RelayCore._resume
 
-    def resuming(self: Driver, message: Any, now_us: int) -> None:
+    def resuming(self: RelayCore, message: Any, now_us: int) -> None:
         if message.notice is None and not message.attempts:
-            self._journal.end(message.id, "bounced", 0)
+            self._journal.record_end(message.id, "bounced", 0)
             message.notice = ("bounced", 0)
         resume(self, message, now_us)
 
-    monkey.setattr(Driver, "_resume", resuming)
+    monkey.setattr(RelayCore, "_resume", resuming)
 
 
 RULES: dict[str, Patch] = {
--- a/tests/test_by_hand.py
+++ b/tests/test_by_hand.py
@@ -7,8 +7,8 @@
 
 import pytest
 
-from mallowlug.core.disabled_hosts import Outs
-from mallowlug.core.model import Told
+from mallowlug.core.disabled_hosts import DisabledHosts
+from mallowlug.core.model import PartOutcome
 from mallowlug.system import POSIX, PosixDisk
 from mossfront import interface as api
 from mossfront.engine import DecisionEngine
@@ -126,8 +126,8 @@
     host = await serving()
     calls = Calls(host.port)
     calls.send("m1")
-    calls.hosts.bar("h1", True)
-    assert await calls.outcome("m1") == Told(api.Verdict.NOT_SENT)
+    calls.hosts.set_disabled("h1", True)
+    assert await calls.outcome("m1") == PartOutcome(api.Verdict.NOT_SENT)
     assert host.seen == []
     host.stop()
 
@@ -145,10 +145,10 @@
 )
 def test_what_can_be_read_of_a_damaged_file_counts(tmp_path: Path, data: bytes, want: list[str]) -> None:
     (tmp_path / "out").write_bytes(data)
-    outs = Outs(tmp_path, POSIX.disk)
+    outs = DisabledHosts(tmp_path, POSIX.disk)
     assert list(outs.hosts) == want
-    assert outs.put("h3") == ""
-    assert list(Outs(tmp_path, POSIX.disk).hosts) == [*want, "h3"]
+    assert outs.disable("h3") == ""
+    assert list(DisabledHosts(tmp_path, POSIX.disk).hosts) == [*want, "h3"]
 
 
 class FullDisk(PosixDisk):
@@ -160,25 +160,25 @@
 
 
 def test_there_is_no_yes_for_what_was_not_kept(tmp_path: Path) -> None:
-    kept = Outs(tmp_path, POSIX.disk)
-    kept.put("h1")
-    full, heard = Outs(tmp_path, FullDisk()), list[str]()
+    kept = DisabledHosts(tmp_path, POSIX.disk)
+    kept.disable("h1")
+    full, heard = DisabledHosts(tmp_path, FullDisk()), list[str]()
     full.changed = lambda host, _out: heard.append(host)
-    assert "No space" in full.put("h2")
-    assert "No space" in full.back("h1")
+    assert "No space" in full.disable("h2")
+    assert "No space" in full.enable("h1")
     assert (list(full.hosts), heard) == (["h1"], [])
-    assert list(Outs(tmp_path, POSIX.disk).hosts) == ["h1"]
+    assert list(DisabledHosts(tmp_path, POSIX.disk).hosts) == ["h1"]
 
 
 def test_the_file_is_bounded_and_a_host_can_always_come_back(tmp_path: Path) -> None:
-    outs = Outs(tmp_path, POSIX.disk)
+    outs = DisabledHosts(tmp_path, POSIX.disk)
     number = 0
-    while not (why := outs.put(f"host-{number:08}")):
+    while not (why := outs.disable(f"host-{number:08}")):
         number += 1
     assert "too many" in why and number > 1024
     assert (tmp_path / "out").stat().st_size <= 32 * 1024
-    assert outs.back("host-00000000") == ""
-    assert outs.put("again") == ""
+    assert outs.enable("host-00000000") == ""
+    assert outs.disable("again") == ""
 
 
 def test_back_means_cold_and_what_was_learned_of_the_old_process_is_gone() -> None:
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -28,11 +28,11 @@
     def members(self) -> str:
         return ""
 
-    def put_out(self, host: str) -> str:
+    def disable_host(self, host: str) -> str:
         self.done.append(f"out {host}")
         return self.why
 
-    def put_back(self, host: str) -> str:
+    def enable_host(self, host: str) -> str:
         self.done.append(f"back {host}")
         return self.why
 
--- a/tests/test_contracts.py
+++ b/tests/test_contracts.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from mallowlug.core.model import Address
-from mallowlug.core.ports import Directory, Ends, Front, Partners, Settled
+from mallowlug.core.ports import Directory, Front, Notifier, Partners, PartSettled
 from mallowlug.directory.discovery import Watch
 from mallowlug.ends.notices import Notices
 from mallowlug.fronts.resp2 import Server
@@ -94,7 +94,7 @@
 
 
 class TestHttpCalls(PartnersContract):
-    def partners(self, settled: Settled) -> Partners:
+    def partners(self, settled: PartSettled) -> Partners:
         ends: Any = {"settled": settled, "released": lambda _part: None}
         return Hosts([KIND], 15_000_000, 10_000_000, 10, **ends, system=POSIX)
 
@@ -159,7 +159,7 @@
 
 
 class TestNotices(EndsContract):
-    def ends(self, address: Address, confirmed: Confirmed) -> Ends:
+    def ends(self, address: Address, confirmed: Confirmed) -> Notifier:
         return Notices(address, confirmed, POSIX)
 
     async def peer(self) -> HttpPeer:
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from mallowlug.core.model import Call, HostList, Part
+from mallowlug.core.model import Call, EndpointList, Part
 from mallowlug.fronts.resp2 import MOST_ERRORS, REQUEST_S
 from mossfront import DecisionEngine
 from mossfront import interface as api
@@ -177,7 +177,7 @@
     calls.hosts.apply(gone := calls_gone())
     gate.set()
     assert (await calls.outcome("m1")).verdict.never_ran
-    assert (gone.whole, host.seen) == (True, [])
+    assert (gone.full, host.seen) == (True, [])
     host.stop()
 
 
@@ -186,7 +186,10 @@
     host = await serving()
     calls = Calls(host.port)
     gate = gated(calls)
-    parts = [Part("k1", 1, "key", b"x", 60_000_000, by_us=100_000), Part("m2", 0, "", b"x", 60_000_000)]
+    parts = [
+        Part("k1", 1, "key", b"x", 60_000_000, start_within_us=100_000),
+        Part("m2", 0, "", b"x", 60_000_000),
+    ]
     loop = asyncio.get_running_loop()
     exchange = calls.hosts.send(Call("h1", parts, loop.time()))
     while loop.time() <= exchange.call.sent_s + 0.1:
@@ -205,9 +208,9 @@
     assert [send.start_within_us for send in again] == [KEYED.window_us - SECOND - 5_000]
 
 
-def calls_gone() -> HostList:
+def calls_gone() -> EndpointList:
     """A whole list that names nobody."""
-    return HostList(2, True, ())
+    return EndpointList(2, True, ())
 
 
 async def test_a_wait_told_while_another_message_connects_binds_its_write(world: World) -> None:
--- a/tests/test_deadlines.py
+++ b/tests/test_deadlines.py
@@ -11,13 +11,13 @@
 import pytest
 
 from mallowlug.core.clock import Clock
-from mallowlug.core.disabled_hosts import Outs
+from mallowlug.core.disabled_hosts import DisabledHosts
 from mallowlug.core.journal import Journal
 from mallowlug.core.listings import Listings
-from mallowlug.core.metrics import Figures
-from mallowlug.core.model import Call, Handed, HostList, Listed, Notice, Part, Told
-from mallowlug.core.ports import Plugs
-from mallowlug.core.relay import NEAR_US, Driver
+from mallowlug.core.metrics import Metrics
+from mallowlug.core.model import Call, EndpointList, Notice, Part, PartOutcome, ResolvedEndpoint, Submission
+from mallowlug.core.ports import Adapters
+from mallowlug.core.relay import NEAR_US, RelayCore
 from mallowlug.system import POSIX
 from mossfront import DecisionEngine
 from mossfront import interface as api
@@ -76,12 +76,12 @@
         self.calls: list[Call] = []
         self.notices: list[Notice] = []
         self.slow = Slow(lag_us)
-        self.settled: Callable[[Call, Part, Told], None]
+        self.settled: Callable[[Call, Part, PartOutcome], None]
         self.confirmed: Callable[[str], None]
-        partners = Mock(batch=lambda _host: 1, zone=lambda _host: "a", send=self.calls.append)
+        partners = Mock(batch_size=lambda _host: 1, zone_of=lambda _host: "a", send=self.calls.append)
         ends = Mock(send=self.notices.append)
 
-        def partners_of(settled: Callable[[Call, Part, Told], None], _released: object) -> Mock:
+        def partners_of(settled: Callable[[Call, Part, PartOutcome], None], _released: object) -> Mock:
             self.settled = settled
             return partners
 
@@ -90,11 +90,11 @@
             return ends
 
         self.journal = Journal(folder, 1_000_000, POSIX.disk)
-        self.driver = Driver(
+        self.driver = RelayCore(
             settings=settings(), seed=1, journal=self.journal,
-            plugs=Plugs(partners_of, lambda *_: Mock(), ends_of),
-            clock=Clock(0, self.slow, lambda: True), listings=Listings(1024, 60.0), figures=Figures(()),
-            outs=Outs(folder, POSIX.disk), crashed=lambda error: pytest.fail(repr(error)),
+            plugs=Adapters(partners_of, lambda *_: Mock(), ends_of),
+            clock=Clock(0, self.slow, lambda: True), listings=Listings(1024, 60.0), figures=Metrics(()),
+            outs=DisabledHosts(folder, POSIX.disk), crashed=lambda error: pytest.fail(repr(error)),
         )  # fmt: skip
         self.steps: list[int] = []  # when each step was, by the module's clock
         module = self.driver._module
@@ -108,7 +108,7 @@
 
     def start(self) -> None:
         """With one host on the list."""
-        self.driver.start(HostList(1, True, (Listed(entry("h1"), ("127.0.0.1", 1)),)))
+        self.driver.start(EndpointList(1, True, (ResolvedEndpoint(entry("h1"), ("127.0.0.1", 1)),)))
 
     async def called(self) -> Call:
         """The first call, once it is let out."""
@@ -122,8 +122,8 @@
         self.journal.close()
 
 
-def handed(left_us: int) -> Handed:
-    return Handed("m1", 1, UNSAFE.name, NOW_US + left_us)
+def handed(left_us: int) -> Submission:
+    return Submission("m1", 1, UNSAFE.name, NOW_US + left_us)
 
 
 @pytest.mark.parametrize("restarted", [False, True])
@@ -133,13 +133,13 @@
     """An answer came 6 ms behind the message's time, within a call that had 13 ms too many: lost."""
     core = Core(tmp_path, LAG_US)
     core.start()
-    core.driver.hand_in(handed(2 * SECOND), b"x")
+    core.driver.submit(handed(2 * SECOND), b"x")
     if restarted:  # before its step
         core.close()
         core = Core(tmp_path, LAG_US)
         core.start()
     call = await core.called()
-    assert core.steps[-1] + call.parts[0].limit_us == NOW_US + 2 * SECOND
+    assert core.steps[-1] + call.parts[0].timeout_us == NOW_US + 2 * SECOND
     core.close()
 
 
@@ -153,10 +153,10 @@
     """Whether it was written in time nobody here can know; a notice for what is over does no harm."""
     core = Core(tmp_path)
     core.start()
-    core.driver.hand_in(handed(2 * SECOND), b"x")
+    core.driver.submit(handed(2 * SECOND), b"x")
     call = await core.called()
     core.slow.now_us = NOW_US + 2 * SECOND - left_us
-    core.settled(call, call.parts[0], Told(api.Verdict.OK, complete=True))
+    core.settled(call, call.parts[0], PartOutcome(api.Verdict.OK, complete=True))
     assert core.notices == [Notice("m1", "dead")] * told
     core.close()
     again = Core(tmp_path)
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -10,7 +10,7 @@
 import pytest
 
 from mallowlug.core.descriptors import LEAST, shares_of
-from mallowlug.core.model import Call, HostList, Listed, Part
+from mallowlug.core.model import Call, EndpointList, Part, ResolvedEndpoint
 from mossfront.interface import EndpointEntry, Listing, Verdict
 from tests.calls import Calls, serving
 from tests.world import World, silent
@@ -39,10 +39,10 @@
     calls = Calls(hosts[0].port)
     calls.hosts._most_open = 2
     rows = [
-        Listed(EndpointEntry(f"h{n}", n, "a", "banks", Listing.READY), ("127.0.0.1", host.port))
+        ResolvedEndpoint(EndpointEntry(f"h{n}", n, "a", "banks", Listing.READY), ("127.0.0.1", host.port))
         for n, host in enumerate(hosts)
     ]
-    calls.hosts.apply(HostList(2, True, tuple(rows)))
+    calls.hosts.apply(EndpointList(2, True, tuple(rows)))
     for number in (0, 1, 2, 1):
         ref = f"m{number}-{time.monotonic_ns()}"
         calls.hosts.send(Call(f"h{number}", [Part(ref, 0, "", b"x", 60_000_000)], time.monotonic()))
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -221,11 +221,8 @@
 
 def test_no_burst_when_the_errors_end() -> None:
     """What went out before the last error can't weigh on the return; what comes behind it is spaced."""
-    end_us, window_us, capacity = (
-        18 * SECOND,
-        SETTINGS.collapse_window_us,
-        12.0,
-    )  # calls/s: a little over the demand
+    # Calls/s: a little over the demand.
+    end_us, window_us, capacity = 18 * SECOND, SETTINGS.collapse_window_us, 12.0
     checker = Checker(settings(max_held_messages=500, max_attempts=8, group_size=1))
     checker.step(0, [roster(entry("h1"))])
     log = drive(checker, 26 * SECOND, steady(100_000, KEYED), leaking(0.9, 6 * SECOND, end_us))
--- a/tests/test_figures.py
+++ b/tests/test_figures.py
@@ -7,7 +7,7 @@
 import pytest
 from prometheus_client.parser import text_string_to_metric_families
 
-from mallowlug.core.metrics import Figures, Now
+from mallowlug.core.metrics import Gauges, Metrics
 from tests.world import Reply, Request, World, called, delivered, enqueue, packed, silent, soon
 
 Samples = dict[tuple[str, str, str], float]
@@ -29,10 +29,10 @@
 
 def test_the_format_holds_for_any_name_of_a_class() -> None:
     odd = 'a"b\\c\nd'
-    figures = Figures(["plain", odd])
+    figures = Metrics(["plain", odd])
     figures.ended(odd, "errored")
     figures.ended("nobody knows it", "answered")
-    samples = parsed(figures.text(Now(7, 3, 2, 1)))
+    samples = parsed(figures.text(Gauges(7, 3, 2, 1)))
     assert samples["relay_transactions_total", odd, "errored"] == 1
     assert samples["relay_transactions_total", "plain", "answered"] == 0
     assert samples["relay_sends_total", "", ""] == 7
@@ -43,7 +43,7 @@
 
 
 def test_classes_without_end_do_not_grow_the_process() -> None:
-    figures = Figures(["first"])
+    figures = Metrics(["first"])
     for number in range(10_000):
         figures.know([f"c{number}"])
     assert len(figures.ends) <= 3 * 65
@@ -64,10 +64,10 @@
 def test_a_double_count_and_a_miss_are_found() -> None:
     """The comparison that the test below rests on can fail."""
     key = ("relay_sends_total", "", "")
-    figures = Figures(["safe"])
+    figures = Metrics(["safe"])
     for planted in (2, 0):
-        assert differences(parsed(figures.text(Now(planted, 0, 0, 0))), {key: 1.0})
-    assert differences(parsed(figures.text(Now(1, 0, 0, 0))), {key: 1.0}) == []
+        assert differences(parsed(figures.text(Gauges(planted, 0, 0, 0))), {key: 1.0})
+    assert differences(parsed(figures.text(Gauges(1, 0, 0, 0))), {key: 1.0}) == []
 
 
 def failing(status: int) -> Reply:
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -4,7 +4,7 @@
 
 from typing import Any
 
-from mallowlug.core.model import HostList, Listed
+from mallowlug.core.model import EndpointList, ResolvedEndpoint
 from mallowlug.partners.http_calls import Hosts
 from mallowlug.system import POSIX
 from mossfront import interface as api
@@ -88,5 +88,5 @@
     hosts = Hosts([], 15_000_000, 1_000_000, 10, **ends, system=POSIX)
     hosts._waits = {f"h{number}": 0.0 for number in range(100)}
     hosts._waits["h100"] = float("inf")
-    hosts.apply(HostList(1, False, (Listed(entry("h1"), ("127.0.0.1", 1)),)))
+    hosts.apply(EndpointList(1, False, (ResolvedEndpoint(entry("h1"), ("127.0.0.1", 1)),)))
     assert list(hosts._waits) == ["h100"]
--- a/tests/test_hosts.py
+++ b/tests/test_hosts.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from mallowlug.core.model import Told
+from mallowlug.core.model import PartOutcome
 from mallowlug.net.answers import Answer, Answers
 from mallowlug.net.http import Connection
 from mallowlug.partners.http_calls import report_of, verdict_of, wait_of
@@ -23,7 +23,7 @@
     calls = Calls(host.port)
     calls.send("m1")
     calls.list(host.port, Listing.DRAINING)
-    assert await calls.outcome("m1") == Told(Verdict.NOT_SENT)
+    assert await calls.outcome("m1") == PartOutcome(Verdict.NOT_SENT)
     assert host.seen == []
     host.stop()
 
@@ -36,7 +36,7 @@
     calls.send("m2")
     told = await calls.outcome("m2")
     assert told.verdict is Verdict.NOT_SENT
-    assert 0 < told.wait_us <= 60_000_000
+    assert 0 < told.retry_after_us <= 60_000_000
     assert len(host.seen) == 1
     host.stop()
 
@@ -126,10 +126,10 @@
     call = calls.send("m1", "m2")
     request = await host.call(0)
     calls.hosts._stop(call, call.call.parts[0], Verdict.TIMEOUT)
-    assert calls.told["m1"] == Told(Verdict.TIMEOUT, lasts=True)
+    assert calls.told["m1"] == PartOutcome(Verdict.TIMEOUT, call_continues=True)
     delivered(request)
     assert (await calls.outcome("m2")).verdict is Verdict.OK
-    assert calls.told["m1"] == Told(Verdict.OK, complete=True)
+    assert calls.told["m1"] == PartOutcome(Verdict.OK, complete=True)
     assert [part.id for part in calls.released] == ["m1"]  # only now is its call off the wire
     host.stop()
 
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -11,7 +11,14 @@
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
 
-from mallowlug.core.journal import SLACK_BYTES, Attempt, DueCare, Journal, JournalFullError, blocks
+from mallowlug.core.journal import (
+    SLACK_BYTES,
+    Attempt,
+    Journal,
+    JournalFullError,
+    StoredOutage,
+    size_in_blocks,
+)
 from mallowlug.system import POSIX, PosixDisk
 from mossfront.interface import OutageRecordKind
 
@@ -32,10 +39,10 @@
 def test_every_record_comes_back(tmp_path: Path) -> None:
     journal = Journal(tmp_path, DISK, POSIX.disk)
     accept(journal, "a", "b", "c", "d")
-    journal.tries([("a", Attempt(0, "h1", "z", 5)), ("b", Attempt(0, "h2", "y", 6))])
-    journal.never_ran("a", 0)
-    journal.end("c", "bounced", 500)
-    journal.over("d")
+    journal.record_attempts([("a", Attempt(0, "h1", "z", 5)), ("b", Attempt(0, "h2", "y", 6))])
+    journal.record_never_ran("a", 0)
+    journal.record_end("c", "bounced", 500)
+    journal.record_completed("d")
     journal.close()
     found = reopened(tmp_path).recovered
     assert list(found) == ["a", "b", "c"]
@@ -76,10 +83,10 @@
 def test_compaction_keeps_what_is_open_and_bounds_the_log(tmp_path: Path) -> None:
     journal = Journal(tmp_path, DISK, POSIX.disk)
     accept(journal, "kept")
-    journal.tries([("kept", Attempt(0, "h", "z", 1))])
+    journal.record_attempts([("kept", Attempt(0, "h", "z", 1))])
     for number in range(3000):
         accept(journal, f"m{number}", size=50)
-        journal.over(f"m{number}")
+        journal.record_completed(f"m{number}")
     assert (tmp_path / "journal").stat().st_size < 2 * SLACK_BYTES
     found = reopened(tmp_path).recovered
     assert list(found) == ["kept"]
@@ -103,13 +110,13 @@
     assert refs
     for ref in refs:  # everything that can still be said of them fits
         for number in range(6):
-            journal.tries([(ref, Attempt(number, "s-0123456789", "floor-2", 1 << 50))])
-            journal.never_ran(ref, number)
-        journal.end(ref, "bounced", 2000)
-        assert sum(blocks(path.stat().st_size) for path in tmp_path.iterdir()) <= disk
+            journal.record_attempts([(ref, Attempt(number, "s-0123456789", "floor-2", 1 << 50))])
+            journal.record_never_ran(ref, number)
+        journal.record_end(ref, "bounced", 2000)
+        assert sum(size_in_blocks(path.stat().st_size) for path in tmp_path.iterdir()) <= disk
     assert {r.notice for r in reopened(tmp_path, disk).recovered.values()} == {("bounced", 2000)}
     for ref in refs:
-        journal.over(ref)
+        journal.record_completed(ref)
     accept(journal, "again")
 
 
@@ -118,7 +125,7 @@
     journal.close()  # writes fail from here on
     with pytest.raises(JournalFullError):
         accept(journal, "a")
-    journal.over("a")  # told, not raised: it must not stop the relay
+    journal.record_completed("a")  # told, not raised: it must not stop the relay
 
 
 STEPS = st.lists(
@@ -148,18 +155,18 @@
             journal.accept(ref, {}, body)
             now[ref] = (body, 0, None)
         elif word == "over":
-            journal.over(ref)
+            journal.record_completed(ref)
             del now[ref]
         else:
             _, tries, notice = now[ref]
             if word == "try":
-                journal.tries([(ref, Attempt(tries, "h", "z", 1))])
+                journal.record_attempts([(ref, Attempt(tries, "h", "z", 1))])
                 now[ref] = (body, tries + 1, notice)
             elif word == "end":
-                journal.end(ref, "dead", 0)
+                journal.record_end(ref, "dead", 0)
                 now[ref] = (body, tries, ("dead", 0))
             else:
-                journal.never_ran(ref, 0)
+                journal.record_never_ran(ref, 0)
         states.append((path.stat().st_size, dict(now)))
     journal.close()
     end = max(0, path.stat().st_size - cut)
@@ -176,7 +183,7 @@
     """
     disk, rng = 120_000, random.Random(seed)
     journal, left = Journal(in_memory, disk, POSIX.disk), dict[str, int]()
-    journal.most = 6
+    journal.max_attempts = 6
     taken = refused = 0
     for number in range(4000):
         ref = f"{number:016x}"
@@ -187,27 +194,29 @@
         except JournalFullError:
             refused += 1
         for open_ref in rng.sample(sorted(left), min(len(left), rng.randrange(6))):
-            if left[open_ref] < journal.most and rng.random() < 0.8:
-                journal.tries([(open_ref, Attempt(left[open_ref], "s-5be2a07c9", "floor-2", 1 << 50))])
-                journal.never_ran(open_ref, left[open_ref])
+            if left[open_ref] < journal.max_attempts and rng.random() < 0.8:
+                journal.record_attempts(
+                    [(open_ref, Attempt(left[open_ref], "s-5be2a07c9", "floor-2", 1 << 50))]
+                )
+                journal.record_never_ran(open_ref, left[open_ref])
                 left[open_ref] += 1
             elif rng.random() < 0.7:
-                assert journal.end(open_ref, "bounced", 2000)
-                journal.over(open_ref)
+                assert journal.record_end(open_ref, "bounced", 2000)
+                journal.record_completed(open_ref)
                 del left[open_ref]
-        assert not journal.owes
-        assert sum(blocks(path.stat().st_size) for path in in_memory.iterdir()) <= disk
+        assert not journal.has_pending
+        assert sum(size_in_blocks(path.stat().st_size) for path in in_memory.iterdir()) <= disk
     assert refused > 100 and taken > 500
     assert set(reopened(in_memory, disk).recovered) == set(left)
     for ref in left:
-        journal.over(ref)
+        journal.record_completed(ref)
     accept(journal, "again", size=600)
 
 
 def test_room_for_what_may_come_is_counted_once(tmp_path: Path) -> None:
     """Counted twice, and for records that are written already, it left room for fewer than 800 of them."""
     journal, count = Journal(tmp_path, 3_000_000, POSIX.disk), 0
-    journal.most = 6
+    journal.max_attempts = 6
     with pytest.raises(JournalFullError):
         while True:
             accept(journal, f"{count:016x}", size=12)
@@ -236,12 +245,12 @@
     accept(journal, "a")
     accept(journal, "b")
     disk.full = True
-    assert not journal.end("a", "bounced", 2000)
-    assert not journal.end("b", "bounced", 2000)
-    journal.failed("a")
+    assert not journal.record_end("a", "bounced", 2000)
+    assert not journal.record_end("b", "bounced", 2000)
+    journal.replace_end_by_failure("a")
     disk.full = False
-    journal.settle()
-    journal.failed("b")  # its own record was taken meanwhile
+    journal.flush_pending()
+    journal.replace_end_by_failure("b")  # its own record was taken meanwhile
     journal.close()
     again = Journal(tmp_path, 100_000, POSIX.disk)
     assert {ref: found.notice for ref, found in again.recovered.items()} == dict.fromkeys("ab", ("dead", 0))
@@ -253,7 +262,7 @@
     journal = Journal(tmp_path, 100_000, disk)
     accept(journal, "a")
     disk.full = disk.uncut = True
-    assert not journal.end("a", "dead", 0)  # it was an OSError once, which ended a reload half way
+    assert not journal.record_end("a", "dead", 0)  # it was an OSError once, which ended a reload half way
     disk.full = False
     with pytest.raises(JournalFullError, match="cannot be cut off"):
         accept(journal, "b")
@@ -267,10 +276,10 @@
 @pytest.mark.parametrize("kind", list(OutageRecordKind))
 def test_what_was_known_of_an_endpoint_comes_back(kind: OutageRecordKind, tmp_path: Path) -> None:
     journal = Journal(tmp_path, DISK, POSIX.disk)
-    due = DueCare(77_000_000, kind, 63)
-    journal.care("h1", due)
+    due = StoredOutage(77_000_000, kind, 63)
+    journal.record_outage("h1", due)
     journal.close()
-    assert reopened(tmp_path).cares == {"h1": due}
+    assert reopened(tmp_path).outages == {"h1": due}
 
 
 def test_care_records_of_older_versions_are_read(tmp_path: Path) -> None:
@@ -278,8 +287,8 @@
     journal._note(["care", "h1", 77])
     journal._note(["care", "h2", 78, 1])
     journal.close()
-    found = reopened(tmp_path).cares
+    found = reopened(tmp_path).outages
     assert found == {
-        "h1": DueCare(77, OutageRecordKind.OUTAGE),
-        "h2": DueCare(78, OutageRecordKind.SUSPICION),
+        "h1": StoredOutage(77, OutageRecordKind.OUTAGE),
+        "h2": StoredOutage(78, OutageRecordKind.SUSPICION),
     }
--- a/tests/test_listings.py
+++ b/tests/test_listings.py
@@ -12,13 +12,13 @@
 from hypothesis import strategies as st
 
 from mallowlug.core.clock import Clock
-from mallowlug.core.disabled_hosts import Outs
-from mallowlug.core.journal import DueCare, Journal
+from mallowlug.core.disabled_hosts import DisabledHosts
+from mallowlug.core.journal import Journal, StoredOutage
 from mallowlug.core.listings import Listings
-from mallowlug.core.metrics import Figures
-from mallowlug.core.model import HostList, Listed
-from mallowlug.core.ports import Plugs
-from mallowlug.core.relay import Driver
+from mallowlug.core.metrics import Metrics
+from mallowlug.core.model import EndpointList, ResolvedEndpoint
+from mallowlug.core.ports import Adapters
+from mallowlug.core.relay import RelayCore
 from mallowlug.directory.discovery import SLICE, slices
 from mallowlug.system import POSIX
 from mossfront import interface as api
@@ -29,19 +29,19 @@
 READY, DRAINING, GONE = api.Listing.READY, api.Listing.DRAINING, api.Listing.GONE
 
 
-def listed(host: str, dest: int, listing: api.Listing = READY, port: int = 80) -> Listed:
+def listed(host: str, dest: int, listing: api.Listing = READY, port: int = 80) -> ResolvedEndpoint:
     """An endpoint of the list."""
-    return Listed(entry(host, dest, listing=listing), ("10.0.0.1", port))
+    return ResolvedEndpoint(entry(host, dest, listing=listing), ("10.0.0.1", port))
 
 
 class Follower:
     """What the partners' side makes of the news that it hears."""
 
     def __init__(self) -> None:
-        self.known: dict[str, Listed] = {}
+        self.known: dict[str, ResolvedEndpoint] = {}
 
-    def hear(self, news: HostList) -> None:
-        if news.whole:
+    def hear(self, news: EndpointList) -> None:
+        if news.full:
             self.known.clear()
         for one in news.hosts:
             self.known.pop(one.entry.host, None)
@@ -49,7 +49,7 @@
                 self.known[one.entry.host] = one
 
 
-def numbered(number: int, listing: api.Listing, port: int) -> Listed:
+def numbered(number: int, listing: api.Listing, port: int) -> ResolvedEndpoint:
     """One of twelve endpoints, two to a destination."""
     return listed(f"h{number}", number // 2, listing, port)
 
@@ -78,17 +78,17 @@
     for at_s, (what, told) in enumerate(steps):
         now_s = 0.6 * at_s
         if isinstance(told, list):
-            news = HostList(at_s, what == "whole", tuple(told))
+            news = EndpointList(at_s, what == "whole", tuple(told))
             truth.hear(news)
             follower.hear(listings.follow(news, now_s))
         elif what == "use" and isinstance(told, int):
-            for _, news in listings.wake(told, now_s):
+            for _, news in listings.activate(told, now_s):
                 follower.hear(news)
             used.add(told)
             assert dests_of(follower, told) == dests_of(truth, told)
         else:
-            for dest in listings.tired(now_s):
-                follower.hear(listings.sleep(dest))
+            for dest in listings.idle_destinations(now_s):
+                follower.hear(listings.deactivate(dest))
                 used.discard(dest)
                 assert dests_of(follower, dest) == {}
         for dest in range(6):
@@ -97,22 +97,22 @@
             assert known == dests_of(truth, dest) or (known == {} and dest not in used)
 
 
-def dests_of(follower: Follower, dest: int) -> dict[str, Listed]:
+def dests_of(follower: Follower, dest: int) -> dict[str, ResolvedEndpoint]:
     """What is known of one destination."""
     return {host: one for host, one in follower.known.items() if one.entry.dest == dest}
 
 
 def test_only_what_is_unused_and_crowds_is_asked_to_sleep() -> None:
     listings = Listings(2, 60.0)
-    listings.follow(HostList(1, True, tuple(listed(f"h{n}", n) for n in range(6))), 0.0)
+    listings.follow(EndpointList(1, True, tuple(listed(f"h{n}", n) for n in range(6))), 0.0)
     for dest in (2, 3, 4):
-        list(listings.wake(dest, 10.0 + dest))
-    assert listings.tired(59.0) == []
-    assert listings.tired(61.0) == [0, 1]  # awake since the list came, and never used
-    assert listings.tired(61.0) == []
-    assert list(listings.wake(2, 62.0)) == []  # still awake: nobody has let go of it
-    listings.sleep(0)
-    assert [later for later, _ in listings.wake(0, 63.0)] == [False]
+        list(listings.activate(dest, 10.0 + dest))
+    assert listings.idle_destinations(59.0) == []
+    assert listings.idle_destinations(61.0) == [0, 1]  # awake since the list came, and never used
+    assert listings.idle_destinations(61.0) == []
+    assert list(listings.activate(2, 62.0)) == []  # still awake: nobody has let go of it
+    listings.deactivate(0)
+    assert [later for later, _ in listings.activate(0, 63.0)] == [False]
 
 
 @pytest.mark.parametrize(("cared", "heard"), [(("h1", "h2", "nobody"), {1, 3}), ((), {1})])
@@ -123,22 +123,22 @@
     clock_us = 10 * SECOND
     former = Journal(tmp_path, 1_000_000, POSIX.disk)
     for host in cared:
-        former.care(host, DueCare(clock_us + 20 * SECOND))
+        former.record_outage(host, StoredOutage(clock_us + 20 * SECOND))
     former.close()
     follower, journal = Follower(), Journal(tmp_path, 1_000_000, POSIX.disk)
     partners = Mock(apply=follower.hear)
-    driver = Driver(
+    driver = RelayCore(
         settings=settings(),
         seed=1,
         journal=journal,
-        plugs=Plugs(lambda *_: partners, lambda *_: Mock(), lambda *_: Mock()),
+        plugs=Adapters(lambda *_: partners, lambda *_: Mock(), lambda *_: Mock()),
         clock=Clock(clock_us, lambda: 0.0, lambda: True),
         listings=Listings(1, 60.0),
-        figures=Figures(()),
-        outs=Outs(tmp_path, POSIX.disk),
+        figures=Metrics(()),
+        outs=DisabledHosts(tmp_path, POSIX.disk),
         crashed=lambda error: pytest.fail(repr(error)),
     )
-    driver.start(HostList(1, True, (listed("h1", 1), listed("h11", 2), listed("h2", 3))))
+    driver.start(EndpointList(1, True, (listed("h1", 1), listed("h11", 2), listed("h2", 3))))
     driver.close()
     journal.close()
     assert {one.entry.dest for one in follower.known.values()} == heard
@@ -150,8 +150,10 @@
     tracemalloc.start()
     try:
         listings, before = Listings(1, 60.0), tracemalloc.get_traced_memory()[0]
-        hosts = (Listed(entry(host, dest, zone="floor-2"), ("10.1.0.18", 6379)) for host, dest in names)
-        listings.follow(HostList(1, True, tuple(hosts)), 0.0)
+        hosts = (
+            ResolvedEndpoint(entry(host, dest, zone="floor-2"), ("10.1.0.18", 6379)) for host, dest in names
+        )
+        listings.follow(EndpointList(1, True, tuple(hosts)), 0.0)
         held = tracemalloc.get_traced_memory()[0] - before
     finally:
         tracemalloc.stop()
--- a/tests/test_power.py
+++ b/tests/test_power.py
@@ -59,15 +59,15 @@
             accept(journal, ref := f"{life}-{number}", rng.randint(0, 20_000))
             taken[ref] = 0
             for known in rng.sample(sorted(set(taken) - set(ended)), min(2, len(set(taken) - set(ended)))):
-                journal.tries([(known, Attempt(taken[known], "h", "z", 5))])
+                journal.record_attempts([(known, Attempt(taken[known], "h", "z", 5))])
                 journal.sync()
                 taken[known] += 1
                 if rng.random() < 0.6:
-                    journal.end(known, "dead", 0)
+                    journal.record_end(known, "dead", 0)
                     journal.sync()
                     ended[known] = "dead"
                     if rng.random() < 0.8:
-                        journal.over(known)
+                        journal.record_completed(known)
         disk.crash()
 
 
@@ -91,12 +91,12 @@
         accept(journal, "open")
         for number in range(60):
             accept(journal, f"m{number}", 10_000)
-            journal.over(f"m{number}")
+            journal.record_completed(f"m{number}")
         left = failing(disk, "sync_folder", 1)
         with pytest.raises(JournalFullError):  # the new log has no lasting name: nothing more is promised
             for number in range(1000):
                 accept(journal, f"n{number}", 10_000)
-                journal.over(f"n{number}")
+                journal.record_completed(f"n{number}")
                 if not left():
                     failing(disk, "sync_folder", 1)
                     accept(journal, "refused")
@@ -123,7 +123,7 @@
     disk = SimDisk(random.Random(2))
     journal = opened(disk)
     accept(journal, "m")
-    journal.tries([("m", Attempt(0, "h", "z", 5))])
+    journal.record_attempts([("m", Attempt(0, "h", "z", 5))])
     failing(disk, "sync", 1)
     with pytest.raises(JournalFullError):
         journal.sync()
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -173,15 +173,15 @@
 def test_rules_are_kept_for_as_long_as_a_message_lives_by_them(tmp_path: Path) -> None:
     """Settings that change all day fill neither journal nor memory."""
     journal = Journal(tmp_path, 1_000_000, POSIX.disk)
-    first = journal.rule({"name": "first"}, ())
+    first = journal.rules_number({"name": "first"}, ())
     journal.accept("m1", {"rules": first}, b"")
     for number in range(1000):
-        last = journal.rule({"name": f"n{number}"}, (first,))
+        last = journal.rules_number({"name": f"n{number}"}, (first,))
     assert len(journal.rules) <= MOST_RULES + 2
     journal.close()
     again = Journal(tmp_path, 1_000_000, POSIX.disk)
     assert again.rules[first] == {"name": "first"}
-    assert again.rule({"name": "n999"}, ()) == last
+    assert again.rules_number({"name": "n999"}, ()) == last
 
 
 def test_attempts_and_effect_are_those_of_the_arrival() -> None:
--- a/tests/test_shared_calls.py
+++ b/tests/test_shared_calls.py
@@ -6,7 +6,7 @@
 import re
 import time
 
-from mallowlug.core.model import Call, Part, Told
+from mallowlug.core.model import Call, Part, PartOutcome
 from mossfront import DecisionEngine
 from mossfront import interface as api
 from mossfront.interface import Verdict
@@ -73,7 +73,7 @@
         super().__init__(port)
         self.off: list[bool] = []
 
-    def _settled(self, call: Call, part: Part, told: Told) -> None:
+    def _settled(self, call: Call, part: Part, told: PartOutcome) -> None:
         out = [e.connection for e in self.hosts.exchanges if e.call is call and e.connection is not None]
         self.off.append(all(connection.sock.fileno() < 0 for connection in out))
         super()._settled(call, part, told)
@@ -84,7 +84,7 @@
     calls = Watched(host.port)
     calls.send("m1", "m2", "m3", limit_us=200_000)
     for ref in ("m1", "m2", "m3"):
-        assert await calls.outcome(ref) == Told(Verdict.TIMEOUT)
+        assert await calls.outcome(ref) == PartOutcome(Verdict.TIMEOUT)
     assert calls.off == [True, True, True]
     host.stop()
 
@@ -112,7 +112,7 @@
     host = await serving(lambda request: request.writer.write(begun))
     calls = Calls(host.port)
     calls.send("m1", "m2", limit_us=200_000)
-    assert await calls.outcome("m1") == Told(Verdict.ERROR)
+    assert await calls.outcome("m1") == PartOutcome(Verdict.ERROR)
     host.stop()
 
 
--- a/tests/test_spoilt.py
+++ b/tests/test_spoilt.py
@@ -163,7 +163,7 @@
     calls.send("m1")
     told = await calls.outcome("m1")
     assert told.verdict is (Verdict.OK if good == OK else Verdict.FULL)
-    assert told.wait_us == (0 if good == OK else 100_000)
+    assert told.retry_after_us == (0 if good == OK else 100_000)
     host.stop()
 
 
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -16,7 +16,7 @@
 import pytest
 
 from mallowlug import config
-from mallowlug.core.handover import Binds
+from mallowlug.core.handover import HandoverState
 from mallowlug.system import POSIX
 from mallowlug.upgrade import handover_file
 from tests.test_upgrade import Process, beside, served, until_ready
@@ -237,12 +237,12 @@
         for dest in range(1000)
     }
     assert handover_file.keep(
-        tmp_path, POSIX.disk, Binds(seq=7, rows=rows, config="x" * 9000, discovery="a:1")
+        tmp_path, POSIX.disk, HandoverState(seq=7, rows=rows, config="x" * 9000, discovery="a:1")
     )
     found = handover_file.take(tmp_path, POSIX.disk)
     assert found is not None and (found.config, found.rows, found.seq) == ("x" * 9000, {}, -1)
     assert handover_file.keep(
-        tmp_path, POSIX.disk, Binds(waits={"h": 5}, config=rng.randbytes(200_000).hex())
+        tmp_path, POSIX.disk, HandoverState(waits={"h": 5}, config=rng.randbytes(200_000).hex())
     )
     found = handover_file.take(tmp_path, POSIX.disk)
     assert found is not None and (found.config, found.waits) == ("", {"h": 5})
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -14,7 +14,7 @@
 
 import pytest
 
-from mallowlug.core.handover import Binds
+from mallowlug.core.handover import HandoverState
 from mallowlug.core.reserved_space import ROOMY
 from mallowlug.system import POSIX, PosixDisk
 from mallowlug.upgrade import handover_file
@@ -441,7 +441,9 @@
         dest: [[rng.randbytes(512).hex(), "127.0.0.1", 80, "a", "k", "ready", 1.0, False]]
         for dest in range(1000)
     }
-    many = Binds({"h1": 5}, [("h1", 5, 1.0, 2.0, 3.0, -1, 0)], 7, rows, [f"id-{n}" for n in range(512)])
+    many = HandoverState(
+        {"h1": 5}, [("h1", 5, 1.0, 2.0, 3.0, -1, 0)], 7, rows, [f"id-{n}" for n in range(512)]
+    )
     assert handover_file.keep(tmp_path, POSIX.disk, many)
     assert (tmp_path / "binds").stat().st_size <= ROOMY.binds
     kept = handover_file.take(tmp_path, POSIX.disk)
