--- a/mallowlug/core/relay.py
+++ b/mallowlug/core/relay.py
@@ -533,7 +533,7 @@
         if self._timer is not None:
             self._timer.cancel()
         self._stepped_s = loop.time()
-        self._timer, self._next_s = None, self._stepped_s + self._set.step_interval_us / 1e6
+        self._timer, self._next_s = None, self._stepped_s + self._set.round_us / 1e6
         events, self._inbox = self._inbox, []
         try:
             self._carry_out(self._module.step(self.clock(), events))
--- a/mossfront/engine.py
+++ b/mossfront/engine.py
@@ -138,8 +138,8 @@
             for t, tally in zip(settings.tenants, fresh, strict=True)
         }
         self.budget = Budget(
-            settings.group_size, settings.collapse_multiple, settings.collapse_window_us,
-            settings.cold_capacity_share, settings.warm_up_us,
+            settings.group_size, settings.fall_multiple, settings.fall_us,
+            settings.cold_from, settings.warm_within_us,
         )  # fmt: skip
         # The more share a limit, the less often each hears of it: paces move the slower.
         self.slow = settings.group_size**0.5
@@ -151,7 +151,7 @@
             # an ask that gets no answer for as long (``directory``), half of a drain's grace may go by.
             self.crowded_us, self.ask_least_us = (
                 0,
-                max(settings.step_interval_us, settings.drain_grace_us // 4),
+                max(settings.round_us, settings.drain_grace_us // 4),
             )
 
     def _manner(self, rules: DeliveryRules) -> CompiledRules:
@@ -180,7 +180,7 @@
                 self._close(self.messages[event.id])
             elif isinstance(event, CallEnded):
                 self._release(event)
-            elif isinstance(event, TimerDue) and self.wake_us <= now_us + self.set.step_interval_us:
+            elif isinstance(event, TimerDue) and self.wake_us <= now_us + self.set.round_us:
                 self.wake_us = -1  # it has come, be it a little early: no other would
             elif isinstance(event, DestinationIdle):
                 idle.append(event.dest)
@@ -209,11 +209,11 @@
         if 0 <= self.ask_us <= now_us:  # a directory that only answers; an unanswered ask is made again
             self.actions.append(Subscribe())
             self.asked_us = now_us
-            self.ask_us = now_us + max(2_000_000, self.set.subscribe_within_us // 2)
+            self.ask_us = now_us + max(2_000_000, self.set.ask_within_us // 2)
         times = [heap[0][0] for heap in (self.due, self.ends, self.found) if heap]
         times += [self.ask_us] * (self.ask_us >= 0)
         if times and (self.wake_us <= now_us or min(times) < self.wake_us):
-            self.wake_us = max(min(times), now_us + self.set.step_interval_us)
+            self.wake_us = max(min(times), now_us + self.set.round_us)
             self.actions.append(SetTimer(self.wake_us - now_us))
         return self.actions
 
@@ -228,7 +228,7 @@
                 if gap_us > most_us:
                     gap_us = most_us * self.rng.uniform(0.75, 1.0)
                 self.ask_us = self.now + int(gap_us)
-                most_us = max(self.ask_least_us, self.set.subscribe_within_us // 4, 2 * self.crowded_us)
+                most_us = max(self.ask_least_us, self.set.ask_within_us // 4, 2 * self.crowded_us)
                 self.ask_gap_us = (
                     self.ask_least_us if self.set.list_is_pushed else min(2 * self.ask_gap_us, most_us)
                 )
@@ -298,7 +298,7 @@
             new = self._enlist(entry, old.kind, 1, old.limit.pace if old.limit.pace < math.inf else 0.0)
             new.gone_us, new.limit.rate = old.gone_us, old.limit.rate
             new.own.slow.begin_cold(self.now, self.budget, self.rng.random())
-            self._care(new, self.set.warm_up_us + self.set.collapse_window_us, OutageRecordKind.RECOVERY)
+            self._care(new, self.set.warm_within_us + self.set.fall_us, OutageRecordKind.RECOVERY)
         self.dests[old.dest].listed_anew()
         self.look[old.dest] = None
 
@@ -369,7 +369,7 @@
 
     def _until_us(self, endpoint: Endpoint) -> int:
         """When no wait, pause or cold return binds there any more."""
-        return max(max(g.pause_us, g.slow.cold_since_us + self.set.warm_up_us) for g in endpoint.guards)
+        return max(max(g.pause_us, g.slow.cold_since_us + self.set.warm_within_us) for g in endpoint.guards)
 
     def _bound(self, number: int, dest: Destination) -> bool:
         """Whether a message, a call, a wait, a pause, an outage or a cold return there still binds."""
@@ -491,12 +491,12 @@
         cls, risky = message.cls, message.risky_us >= 0
         if message.attempts >= message.most or (risky and cls.effect is Effect.UNSAFE):
             return self.now
-        end = message.deadline_us - int(max(4 * self.set.step_interval_us, self._record(message).mean_us / 2))
+        end = message.deadline_us - int(max(4 * self.set.round_us, self._record(message).mean_us / 2))
         return min(end, self._known_us(message)) if risky and cls.effect is Effect.KEYED else end
 
     def _known_us(self, message: Message) -> int:
         """Until when the key of a message that may have run is known, so that a repeat is dropped."""
-        return message.risky_us + message.cls.window_us - self.set.step_interval_us
+        return message.risky_us + message.cls.window_us - self.set.round_us
 
     def _outcome(self, event: Outcome) -> None:
         """Settle one attempt: its call, the endpoint's figures, then the message."""
@@ -582,9 +582,7 @@
             change = guard.slow.on_success(self.now, call.sent_us, self.budget)
             self._report(endpoint, change, message)
             if change and change.after is Phase.SLOW_START:
-                self._care(
-                    endpoint, self.set.warm_up_us + self.set.collapse_window_us, OutageRecordKind.RECOVERY
-                )
+                self._care(endpoint, self.set.warm_within_us + self.set.fall_us, OutageRecordKind.RECOVERY)
             elif endpoint.care_us > self.now and all(g.slow.phase is Phase.HEALTHY for g in endpoint.guards):
                 self._care(endpoint, 0, OutageRecordKind.RECOVERY)
         endpoint.limit.served.add(False, self.now)
--- a/mossfront/interface.py
+++ b/mossfront/interface.py
@@ -98,7 +98,7 @@
     group_size: int = 1
     max_held_messages: int = 1000
     max_attempts: int = 1
-    step_interval_us: int = 1000
+    round_us: int = 1000
     keepalive_us: int = 60_000_000
     may_duplicate: bool = False
     may_cancel: bool = False
@@ -109,16 +109,16 @@
     list_is_pushed: bool = (
         False  # lists come to an agent beside the relay, which answers at once and at no cost
     )
-    subscribe_within_us: int = 0
+    ask_within_us: int = 0
     rate_hints_given: bool = False
     rate_hints_rough: bool = False
     worth_halves: bool = False
     over_share_worth: float = 1.0
     drain_grace_us: int = 0
-    collapse_multiple: float = 2.0
-    collapse_window_us: int = 1_000_000
-    cold_capacity_share: float = 0.2
-    warm_up_us: int = 10_000_000
+    fall_multiple: float = 2.0
+    fall_us: int = 1_000_000
+    cold_from: float = 0.2
+    warm_within_us: int = 10_000_000
     answer_slack_us: int = 0
     order_pause_us: int = 0
 
@@ -129,16 +129,16 @@
             "group_size",
             "max_held_messages",
             "max_attempts",
-            "step_interval_us",
-            "collapse_window_us",
+            "round_us",
+            "fall_us",
         ):
             if getattr(self, name) < 1:
                 raise ValueError(f"{name}: must be at least 1")
         for name in (
             "max_retry_after_us",
-            "subscribe_within_us",
+            "ask_within_us",
             "drain_grace_us",
-            "warm_up_us",
+            "warm_within_us",
             "keepalive_us",
             "answer_slack_us",
             "order_pause_us",
@@ -146,10 +146,10 @@
         ):
             if getattr(self, name) < 0:
                 raise ValueError(f"{name}: must not be negative")
-        if not 0 < self.cold_capacity_share <= 1:
-            raise ValueError("cold_capacity_share: must lie above 0 and at most at 1")
-        if self.collapse_multiple <= 0:
-            raise ValueError("collapse_multiple: must be positive")
+        if not 0 < self.cold_from <= 1:
+            raise ValueError("cold_from: must lie above 0 and at most at 1")
+        if self.fall_multiple <= 0:
+            raise ValueError("fall_multiple: must be positive")
         if not self.classes:
             raise ValueError("classes: at least one is needed")
         if len({cls.name for cls in self.classes}) < len(self.classes):
--- a/mossfront/outages.py
+++ b/mossfront/outages.py
@@ -54,7 +54,7 @@
 
     def _beware(self, endpoint: Endpoint, care: OutageRecord) -> None:
         """A former life saw an outage there: go on as in it, or in the slow start that was still due."""
-        cold_for_us = self.set.warm_up_us + self.set.collapse_window_us - care.valid_for_us
+        cold_for_us = self.set.warm_within_us + self.set.fall_us - care.valid_for_us
         for guard in endpoint.guards:
             change = guard.slow.restore(
                 self.now, self.budget, self.rng.random(), PHASES[care.kind],
--- a/tests/checker.py
+++ b/tests/checker.py
@@ -76,7 +76,7 @@
         self.calls = [(h, parts) for h, parts in self.calls if any(a.open for a in parts)]
         assert len(self.calls) <= self.settings.max_calls, "slots: more calls out than slots"
         for case in self.cases.values():
-            slack = self.settings.answer_slack_us + self.settings.step_interval_us
+            slack = self.settings.answer_slack_us + self.settings.round_us
             assert case.over or now_us <= case.deadline_us + slack, f"lost message: {case.event.id}"
         self.trace += actions
         return actions
@@ -132,7 +132,7 @@
         elif isinstance(action, api.Subscribe):
             assert self.settings.must_subscribe, "asked where the list is pushed"
         elif isinstance(action, api.SetTimer):
-            assert action.delay_us >= self.settings.step_interval_us, "woken within the round"
+            assert action.delay_us >= self.settings.round_us, "woken within the round"
 
     def _sent(self, case: Case, action: api.Send, fresh: dict[str, list[Attempt]]) -> None:
         cls, entry = case.cls, self.entries[action.host]
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -124,11 +124,11 @@
             "group_size": relays,
             "max_held_messages": 88,
             "max_attempts": 6,
-            "step_interval_us": 1_000,
-            "collapse_multiple": 1.5,
-            "collapse_window_us": 3 * SECOND,
-            "cold_capacity_share": 0.27,
-            "warm_up_us": 13 * SECOND,
+            "round_us": 1_000,
+            "fall_multiple": 1.5,
+            "fall_us": 3 * SECOND,
+            "cold_from": 0.27,
+            "warm_within_us": 13 * SECOND,
             "may_duplicate": True,
         } | changes
         self.set, self.seed, self.make = settings(**changes), seed, make
--- a/tests/slow_start/outages.py
+++ b/tests/slow_start/outages.py
@@ -235,8 +235,8 @@
         ]  # fmt: skip
         demand = draw.capacity_per_s * draw.load * draw.endpoints
         super().__init__(
-            hosts, {1: demand}, relays=draw.relays, seed=draw.seed, make=make, collapse_multiple=MULTIPLE,
-            collapse_window_us=FALL_US, cold_capacity_share=COLD_FROM, warm_up_us=WARM_US,
+            hosts, {1: demand}, relays=draw.relays, seed=draw.seed, make=make, fall_multiple=MULTIPLE,
+            fall_us=FALL_US, cold_from=COLD_FROM, warm_within_us=WARM_US,
         )  # fmt: skip
         shares = [draw.weights[number % len(draw.weights)] for number in range(draw.relays)]
         if draw.half_to_one and draw.relays > 1:
--- a/tests/test_deadlines.py
+++ b/tests/test_deadlines.py
@@ -42,7 +42,7 @@
         arrival("k1", KEYED), attempts=1, in_doubt_age_us=SECOND, in_doubt_zone="a", received_us=SECOND
     )
     [send] = sends(relay.step(SECOND + LAG_US, [roster(entry("h1")), found]))
-    assert send.start_within_us == KEYED.window_us - SECOND - LAG_US - settings().step_interval_us
+    assert send.start_within_us == KEYED.window_us - SECOND - LAG_US - settings().round_us
 
 
 async def test_a_calls_time_counts_from_its_step_and_not_from_when_it_is_let_out() -> None:
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -222,21 +222,15 @@
 def test_no_burst_when_the_errors_end() -> None:
     """What went out before the last error can't weigh on the return; what comes behind it is spaced."""
     # Calls/s: a little over the demand.
-    end_us, window_us, capacity = 18 * SECOND, SETTINGS.collapse_window_us, 12.0
+    end_us, window_us, capacity = 18 * SECOND, SETTINGS.fall_us, 12.0
     checker = Checker(settings(max_held_messages=500, max_attempts=8, group_size=1))
     checker.step(0, [roster(entry("h1"))])
     log = drive(checker, 26 * SECOND, steady(100_000, KEYED), leaking(0.9, 6 * SECOND, end_us))
     back = [at_us for at_us, _ in log if at_us >= end_us]
     assert len(back) > 10, "it is served again"
     for start_us in back:
-        cold = max(0.0, 1 - (start_us + window_us / 2 - end_us) / SETTINGS.warm_up_us)
-        bears = (
-            SETTINGS.collapse_multiple
-            * capacity
-            * (1 - (1 - SETTINGS.cold_capacity_share) * cold)
-            * window_us
-            / SECOND
-        )
+        cold = max(0.0, 1 - (start_us + window_us / 2 - end_us) / SETTINGS.warm_within_us)
+        bears = SETTINGS.fall_multiple * capacity * (1 - (1 - SETTINGS.cold_from) * cold) * window_us / SECOND
         assert sum(start_us <= at_us < start_us + window_us for at_us in back) <= bears
 
 
--- a/tests/test_group.py
+++ b/tests/test_group.py
@@ -131,7 +131,7 @@
 
     One that is reached after a second has failed, and its turn was spent all the same.
     """
-    asked = settings(group_size=relays, must_subscribe=True, subscribe_within_us=10 * SECOND)
+    asked = settings(group_size=relays, must_subscribe=True, ask_within_us=10 * SECOND)
     group = [DecisionEngine(asked, n) for n in range(relays)]
     known = roster(entry("h1"), kind=api.EndpointUpdateKind.CACHED)
     inbox: dict[int, list[api.Event]] = {n: [known] for n in range(relays)}
--- a/tests/test_order_wire.py
+++ b/tests/test_order_wire.py
@@ -11,7 +11,7 @@
 
 @pytest.mark.parametrize("still_out", [False, True])
 def test_the_next_of_a_key_waits_for_a_call_that_lasts(still_out: bool) -> None:
-    relay = DecisionEngine(settings(order_pause_us=0, step_interval_us=1000), 1)
+    relay = DecisionEngine(settings(order_pause_us=0, round_us=1000), 1)
     relay.step(0, [roster(entry("h1", 1, "plain"), entry("h2", 1, "plain"))])
     first = sends(relay.step(0, [arrival("a", TURN, key="k")]))
     assert [send.id for send in first] == ["a"]
@@ -28,7 +28,7 @@
     """A fresh life sends all that it holds at once; one that was told of the outage makes one trial."""
     counts = []
     for told in ([], [api.OutageRecord("h1", 20 * SECOND)]):
-        relay = DecisionEngine(settings(step_interval_us=1000), 1)
+        relay = DecisionEngine(settings(round_us=1000), 1)
         relay.step(0, [roster(entry("h1", 1, "plain")), *told])
         arrivals = [arrival(f"m{number}", TURN, key=f"k{number}") for number in range(4)]
         made = sends(relay.step(1000, arrivals))
@@ -41,7 +41,7 @@
 
 def test_a_later_time_out_does_not_let_the_key_go_while_the_first_call_is_on_the_wire() -> None:
     """The second time-out set the key's rest anew, over that the first one's call was out (seed 71224)."""
-    relay = DecisionEngine(settings(step_interval_us=1000), 1)
+    relay = DecisionEngine(settings(round_us=1000), 1)
     relay.step(0, [roster(entry("h1"), entry("h2"))])
     first = sends(relay.step(1, [arrival("a", TURN, key="k"), arrival("b", TURN, key="k")]))
     timeout = api.Verdict.TIMEOUT
--- a/tests/test_pushed.py
+++ b/tests/test_pushed.py
@@ -26,7 +26,7 @@
 
 def large(pushed: bool) -> DecisionEngine:
     """One of 200 relays."""
-    group = settings(group_size=LARGE, drain_grace_us=GRACE_US, subscribe_within_us=SECOND)
+    group = settings(group_size=LARGE, drain_grace_us=GRACE_US, ask_within_us=SECOND)
     return DecisionEngine(replace(group, must_subscribe=True, list_is_pushed=pushed), 3)
 
 
--- a/tests/test_returns.py
+++ b/tests/test_returns.py
@@ -175,7 +175,7 @@
     return usual(
         group_size=size,
         kinds=kinds,
-        collapse_window_us=FALL_US,
-        cold_capacity_share=COLD_FROM,
-        collapse_multiple=MULTIPLE,
+        fall_us=FALL_US,
+        cold_from=COLD_FROM,
+        fall_multiple=MULTIPLE,
     )
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -144,9 +144,7 @@
 
 def returning_calls(group_size: int) -> int:
     """Calls in the first two seconds after a silent outage, with a backlog waiting."""
-    config = settings(
-        group_size=group_size, rate_hints_given=True, collapse_multiple=2.0, cold_capacity_share=0.2
-    )
+    config = settings(group_size=group_size, rate_hints_given=True, fall_multiple=2.0, cold_from=0.2)
     checker = Checker(config)
     checker.step(0, [roster(entry("h1", rate=10.0))])
     out = sends(checker.step(0, [arrival("w", KEYED)]))
@@ -192,7 +190,7 @@
 
 
 def test_ask_discovery_subscribes_and_asks_again_after_failures() -> None:
-    checker = Checker(settings(must_subscribe=True, subscribe_within_us=10 * SECOND))
+    checker = Checker(settings(must_subscribe=True, ask_within_us=10 * SECOND))
     assert api.Subscribe() in checker.step(0, [roster(entry("h1"), kind=Kind.CACHED)])
     for turn in range(1, 8):
         actions = checker.step(turn * 10 * SECOND, [api.EndpointUpdate(Kind.FAILED)])
--- a/tests/test_sequences.py
+++ b/tests/test_sequences.py
@@ -97,7 +97,7 @@
 def test_no_legal_sequence_breaks_a_rule(script: list[Step], ask: bool, told: bool, slots: int) -> None:
     config = settings(
         must_subscribe=ask,
-        subscribe_within_us=10 * SECOND,
+        ask_within_us=10 * SECOND,
         rate_hints_given=told,
         max_calls=slots,
         may_probe=told,
--- a/tests/test_told.py
+++ b/tests/test_told.py
@@ -27,7 +27,7 @@
 
     def __init__(self, size: int, seed: int) -> None:
         self.relay = DecisionEngine(
-            settings(group_size=size, must_subscribe=True, subscribe_within_us=10 * SECOND), seed
+            settings(group_size=size, must_subscribe=True, ask_within_us=10 * SECOND), seed
         )
         self.now_us = 0
 
