--- a/tests/sim/worlds.py
+++ b/tests/sim/worlds.py
@@ -11,7 +11,7 @@
 
 from mallowlug.core.clock import Clock
 from mallowlug.core.journal import Journal
-from mallowlug.core.relay import Driver
+from mallowlug.core.relay import RelayCore
 from mallowlug.directory import discovery
 from mallowlug.ends.notices import Notices
 from mallowlug.net.http import Connection
@@ -20,7 +20,7 @@
 from mallowlug.rig.judge.rules import Verdict, judge
 from mallowlug.rig.sim.ground import Simulated, simulate
 from mallowlug.rig.world.scenario import Scenario
-from mossfront import brain
+from mossfront import engine
 from mossfront import interface as api
 
 Patch = Callable[[MonkeyPatch], None]
@@ -59,13 +59,13 @@
 def nothing_learnt(monkey: MonkeyPatch) -> None:
     """Failures teach nothing, so an endpoint that is back gets all that is held."""
     for name in ("_fail", "_judge"):
-        monkey.setattr(brain.Relay, name, lambda self, *args: None)
-    monkey.setattr(brain.Relay, "_suspect", lambda self, endpoint: False)
+        monkey.setattr(engine.DecisionEngine, name, lambda self, *args: None)
+    monkey.setattr(engine.DecisionEngine, "_suspect", lambda self, endpoint: False)
 
 
 def all_have_turns(monkey: MonkeyPatch) -> None:
     """Every message has its turn."""
-    monkey.setattr(brain.Relay, "_has_turn", lambda self, message: True)
+    monkey.setattr(engine.DecisionEngine, "_has_turn", lambda self, message: True)
 
 
 def waits_unread(monkey: MonkeyPatch) -> None:
@@ -75,9 +75,9 @@
 
 def tried_after_the_bytes(monkey: MonkeyPatch) -> None:
     """An attempt is journaled after its first byte."""
-    tries, send = Journal.tries, Connection.send
+    tries, send = Journal.record_attempts, Connection.send
     late: list[Any] = []
-    monkey.setattr(Journal, "tries", lambda self, found: late.append((self, found)))
+    monkey.setattr(Journal, "record_attempts", lambda self, found: late.append((self, found)))
 
     async def sending(self: Connection, data: bytes) -> None:
         await send(self, data)
@@ -119,25 +119,25 @@
 
 def window_forgotten(monkey: MonkeyPatch) -> None:
     """A keyed message is sent again past its window."""
-    end_us = brain.Relay._end_us
+    end_us = engine.DecisionEngine._end_us
 
-    def ending(self: brain.Relay, message: Any) -> int:
+    def ending(self: engine.DecisionEngine, message: Any) -> int:
         risky, message.risky_us = message.risky_us, -1
         found = end_us(self, message)
         message.risky_us = risky
         return found
 
-    monkey.setattr(brain.Relay, "_end_us", ending)
+    monkey.setattr(engine.DecisionEngine, "_end_us", ending)
 
 
 def wake_lost(monkey: MonkeyPatch) -> None:
     """A wake-up that was asked for does not come."""
-    carry = Driver._carry_out
+    carry = RelayCore._carry_out
 
-    def carrying(self: Driver, actions: list[api.Action]) -> None:
-        carry(self, [action for action in actions if not isinstance(action, api.Wake)])
+    def carrying(self: RelayCore, actions: list[api.Action]) -> None:
+        carry(self, [action for action in actions if not isinstance(action, api.SetTimer)])
 
-    monkey.setattr(Driver, "_carry_out", carrying)
+    monkey.setattr(RelayCore, "_carry_out", carrying)
 
 
 def wall_believed(monkey: MonkeyPatch) -> None:
@@ -147,32 +147,32 @@
 
 def clock_tried_once(monkey: MonkeyPatch) -> None:
     """A clock that the disk did not take is not written again, and an attempt from the future is new."""
-    monkey.setattr(Clock, "settle", lambda self: None)
+    monkey.setattr(Clock, "retry_save", lambda self: None)
     monkey.setattr("mallowlug.core.relay.UNKNOWN_US", 0)
 
 
 def refused_unkept(monkey: MonkeyPatch) -> None:
     """A refusal is told also where its end is not on the disk."""
-    real = Journal.end
-    monkey.setattr(Journal, "end", lambda *args: bool(real(*args)) or True)
-    monkey.setattr("mallowlug.core.relay.Driver._synced", lambda self: True)
+    real = Journal.record_end
+    monkey.setattr(Journal, "record_end", lambda *args: bool(real(*args)) or True)
+    monkey.setattr("mallowlug.core.relay.RelayCore._synced", lambda self: True)
 
 
 def slept_away(monkey: MonkeyPatch) -> None:
     """An idle destination is let go of whatever still binds there."""
-    monkey.setattr(brain.Relay, "_bound", lambda self, number, dest: False)
+    monkey.setattr(engine.DecisionEngine, "_bound", lambda self, number, dest: False)
 
 
 def own_time_outs(monkey: MonkeyPatch) -> None:
     """Every message of a call has a time-out of its own, and goes again while others keep the call out."""
 
-    def letting(self: brain.Relay) -> None:
+    def letting(self: engine.DecisionEngine) -> None:
         for call in self.made:
             self.actions += [api.Send(m.id, call.endpoint.host, limit_us) for m, limit_us in call.carried]
             call.carried.clear()
         self.made.clear()
 
-    monkey.setattr(brain.Relay, "_let_out", letting)
+    monkey.setattr(engine.DecisionEngine, "_let_out", letting)
 
 
 def sync_left_out(monkey: MonkeyPatch) -> None:
@@ -192,15 +192,15 @@
 
 def finds_given_up(monkey: MonkeyPatch) -> None:
     """What a restart finds untried is handed back without a call."""
-    resume = Driver._resume
+    resume = RelayCore._resume
 
-    def resuming(self: Driver, message: Any, now_us: int) -> None:
+    def resuming(self: RelayCore, message: Any, now_us: int) -> None:
         if message.notice is None and not message.attempts:
-            self._journal.end(message.id, "bounced", 0)
+            self._journal.record_end(message.id, "bounced", 0)
             message.notice = ("bounced", 0)
         resume(self, message, now_us)
 
-    monkey.setattr(Driver, "_resume", resuming)
+    monkey.setattr(RelayCore, "_resume", resuming)
 
 
 RULES: dict[str, Patch] = {
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -11,11 +11,11 @@
 from tests.support import SAFE, settings
 
 ROOT = Path(__file__).resolve().parent.parent
-BRAIN = (ROOT / "mossfront" / "brain.py").read_text(encoding="utf-8")
+ENGINE = (ROOT / "mossfront" / "engine.py").read_text(encoding="utf-8")
 
 
 def test_the_module_can_be_read_whole() -> None:
-    assert sum(1 for line in BRAIN.splitlines() if line.strip()) < 1200
+    assert sum(1 for line in ENGINE.splitlines() if line.strip()) < 1200
 
 
 def test_no_line_is_too_wide() -> None:
@@ -25,15 +25,15 @@
 
 
 def test_the_interface_is_named_at_the_modules_head() -> None:
-    assert "mossfront/interface.py" in BRAIN.splitlines()[0] + BRAIN.splitlines()[1]
+    assert "mossfront/interface.py" in ENGINE.splitlines()[0] + ENGINE.splitlines()[1]
 
 
 @pytest.mark.parametrize(
     ("field", "value"),
     [
-        ("slots", 0),
+        ("max_calls", 0),
         ("group_size", 0),
-        ("hold_cap", 0),
+        ("max_held_messages", 0),
         ("max_attempts", 0),
         ("round_us", 0),
         ("fall_us", 0),
@@ -55,5 +55,5 @@
 
 
 def test_a_kind_with_no_room_in_a_call_is_refused() -> None:
-    with pytest.raises(ValueError, match="batch"):
-        settings(kinds=(api.Kind("plain", batch=0),))
+    with pytest.raises(ValueError, match="batch_size"):
+        settings(kinds=(api.Kind("plain", batch_size=0),))
--- a/tests/test_shared_calls.py
+++ b/tests/test_shared_calls.py
@@ -6,8 +6,8 @@
 import re
 import time
 
-from mallowlug.core.model import Call, Part, Told
-from mossfront import Relay
+from mallowlug.core.model import Call, Part, PartOutcome
+from mossfront import DecisionEngine
 from mossfront import interface as api
 from mossfront.interface import Verdict
 from tests.calls import Calls, serving
@@ -17,18 +17,18 @@
 
 def together(*ours: api.Arrival, cls: tuple[api.MessageClass, ...] = (KEYED, UNSAFE)) -> list[api.Send]:
     """What goes out in one call of three to an endpoint of which nothing is known."""
-    relay = Relay(settings(classes=cls, may_duplicate=False), 1)
+    relay = DecisionEngine(settings(classes=cls, may_duplicate=False), 1)
     relay.step(0, [roster(entry("h1", kind="split"))])
     return sends(relay.step(SECOND, [api.TimerDue(), *ours]))
 
 
 def test_a_call_has_one_time_out_the_longest() -> None:
     """With one of its own, a message goes again while the call that carries it is out: a second copy."""
-    alone = {send.id: send.limit_us for ref in ("k", "u") for send in together(one(ref))}
+    alone = {send.id: send.timeout_us for ref in ("k", "u") for send in together(one(ref))}
     assert alone["k"] < alone["u"]
     sent = together(one("k"), one("u"))
     assert {send.id for send in sent} == {"u", "k"}
-    assert {send.limit_us for send in sent} == {alone["u"]}
+    assert {send.timeout_us for send in sent} == {alone["u"]}
 
 
 def one(ref: str, left_us: int | None = None) -> api.Arrival:
@@ -37,7 +37,7 @@
 
 
 def test_a_message_whose_time_is_up_before_the_calls_ends_by_itself() -> None:
-    limits = {send.id: send.limit_us for send in together(one("k1", 2 * SECOND), one("k2"))}
+    limits = {send.id: send.timeout_us for send in together(one("k1", 2 * SECOND), one("k2"))}
     assert limits["k1"] == 2 * SECOND < limits["k2"]
 
 
@@ -58,7 +58,7 @@
 
 
 def test_what_is_not_let_out_in_one_step_does_not_stay_for_the_next() -> None:
-    relay = Relay(settings(), 1)
+    relay = DecisionEngine(settings(), 1)
     relay.step(0, [roster(entry("h1"), entry("h2", 2))])
     first = sends(relay.step(SECOND, [arrival("a")]))
     assert [send.id for send in first] == ["a"]
@@ -73,7 +73,7 @@
         super().__init__(port)
         self.off: list[bool] = []
 
-    def _settled(self, call: Call, part: Part, told: Told) -> None:
+    def _settled(self, call: Call, part: Part, told: PartOutcome) -> None:
         out = [e.connection for e in self.hosts.exchanges if e.call is call and e.connection is not None]
         self.off.append(all(connection.sock.fileno() < 0 for connection in out))
         super()._settled(call, part, told)
@@ -84,7 +84,7 @@
     calls = Watched(host.port)
     calls.send("m1", "m2", "m3", limit_us=200_000)
     for ref in ("m1", "m2", "m3"):
-        assert await calls.outcome(ref) == Told(Verdict.TIMEOUT)
+        assert await calls.outcome(ref) == PartOutcome(Verdict.TIMEOUT)
     assert calls.off == [True, True, True]
     host.stop()
 
@@ -112,7 +112,7 @@
     host = await serving(lambda request: request.writer.write(begun))
     calls = Calls(host.port)
     calls.send("m1", "m2", limit_us=200_000)
-    assert await calls.outcome("m1") == Told(Verdict.ERROR)
+    assert await calls.outcome("m1") == PartOutcome(Verdict.ERROR)
     host.stop()
 
 
