--- a/mallowlug/cli/main.py
+++ b/mallowlug/cli/main.py
@@ -15,33 +15,33 @@
 
 FILE = click.Path(path_type=Path)
 # Groups that are imported when asked for, most of them with libraries of their own.
-ROOMS = {"fleet": "mallowlug.cli.fleet", "rig": "mallowlug.rig.cli", "sim": "mallowlug.rig.sim_cli"}
+LAZY_GROUPS = {"fleet": "mallowlug.cli.fleet", "rig": "mallowlug.rig.cli", "sim": "mallowlug.rig.sim_cli"}
 
 
-class Rooms(click.Group):
+class LazyGroups(click.Group):
     """A group whose rooms are imported when asked for, so that the others do without their libraries."""
 
     def list_commands(self, ctx: click.Context) -> list[str]:
         """All names, in order."""
-        return sorted([*super().list_commands(ctx), *ROOMS])
+        return sorted([*super().list_commands(ctx), *LAZY_GROUPS])
 
     def get_command(self, ctx: click.Context, name: str) -> click.Command | None:
         """A command; one whose libraries are not installed says so when it is called."""
-        if name not in ROOMS:
+        if name not in LAZY_GROUPS:
             return super().get_command(ctx, name)
         try:
-            found = import_module(ROOMS[name]).group
+            group = import_module(LAZY_GROUPS[name]).group
         except ModuleNotFoundError as error:
             if error.name is None or error.name.partition(".")[0] == "mallowlug":
                 raise
-            return missing(name, error.name)
-        assert isinstance(found, click.Group)
-        return found
+            return unavailable_command(name, error.name)
+        assert isinstance(group, click.Group)
+        return group
 
 
-def missing(name: str, library: str) -> click.Command:
+def unavailable_command(name: str, library: str) -> click.Command:
     """What stands for a room whose extra is not installed."""
-    told = f"mallowlug {name} needs {library}: pip install 'mallowlug[rig]'"
+    message = f"mallowlug {name} needs {library}: pip install 'mallowlug[rig]'"
 
     @click.command(
         name,
@@ -51,19 +51,19 @@
     )
     @click.argument("words", nargs=-1, type=click.UNPROCESSED)
     def stands_for(words: tuple[str, ...]) -> int:
-        click.echo(told, err=True)
+        click.echo(message, err=True)
         return 2
 
     return stands_for
 
 
-@click.group(cls=Rooms, no_args_is_help=False)
+@click.group(cls=LazyGroups, no_args_is_help=False)
 @click.version_option(package_name="mallowlug")
-def top() -> None:
+def root() -> None:
     """A relay for parking-payment messages: one final answer for each, by six rules."""
 
 
-@top.command("check")
+@root.command("check")
 @click.argument("file", type=FILE)
 def check(file: Path) -> int:
     """Name every mistake in an operator FILE."""
@@ -78,7 +78,7 @@
     return 0
 
 
-@top.command("run")
+@root.command("run")
 @click.option("--operator", type=FILE, help="The operator file; without one nothing is switched on.")
 def serve(operator: Path | None) -> int:
     """Serve in the foreground, as `python -m mallowlug` does."""
@@ -87,17 +87,17 @@
     return run(operator)
 
 
-@top.command("completion")
+@root.command("completion")
 @click.argument("shell", type=click.Choice(["bash", "zsh", "fish"]))
 def completion(shell: str) -> int:
     """Print what lets a SHELL complete commands and options; put it into the shell's start file."""
-    found = click.shell_completion.get_completion_class(shell)
-    assert found is not None
-    click.echo(found(top, {}, "mallowlug", "_MALLOWLUG_COMPLETE").source())
+    shell_completion = click.shell_completion.get_completion_class(shell)
+    assert shell_completion is not None
+    click.echo(shell_completion(root, {}, "mallowlug", "_MALLOWLUG_COMPLETE").source())
     return 0
 
 
-def called(command: click.Command, argv: Sequence[str] | None, name: str) -> int:
+def run_command(command: click.Command, argv: Sequence[str] | None, name: str) -> int:
     """Run a command line; its exit code. What cannot be used is told on standard error, with 2."""
     try:
         words = list(sys.argv[1:] if argv is None else argv)
@@ -112,4 +112,4 @@
 
 def main(argv: Sequence[str] | None = None) -> int:
     """Run one command; its exit code."""
-    return called(top, argv, "mallowlug")
+    return run_command(root, argv, "mallowlug")
--- a/mallowlug/cli/run.py
+++ b/mallowlug/cli/run.py
@@ -26,7 +26,7 @@
         datefmt="%H:%M:%S",
     )
     try:
-        extras = config.NOTHING if operator is None else load(operator)
+        extras = config.DEFAULT_EXTRAS if operator is None else load(operator)
         gc.disable()  # a long list is much that lasts until it is taken in
         cfg = config.load(POSIX)
         if extras.log_format == "json":
@@ -35,9 +35,9 @@
             logs.install(cfg.name, f"{cfg.seed:x}")
         gc.enable()
         gc.freeze()  # modules and settings stay: going through them each time took a quarter of the CPU
-        main = serve(cfg, POSIX, extras)
+        relay = serve(cfg, POSIX, extras)
         del cfg  # it holds the list as it was known, which goes once it is taken in
-        return asyncio.run(main)
+        return asyncio.run(relay)
     except config.ConfigError as error:
         LOG.critical("configuration: %s", error)
         return 2
--- a/mallowlug/compose.py
+++ b/mallowlug/compose.py
@@ -33,35 +33,45 @@
 if TYPE_CHECKING:
     from mallowlug.console.server import Console
     from mallowlug.fleet.agent import Agent
-    from mallowlug.upgrade.coordinator import Shift
+    from mallowlug.upgrade.coordinator import UpgradeCoordinator
 
 LOG = logging.getLogger("mallowlug")
 VERSION = "0.2.0"  # of the program, as the other relays of a fleet hear it
-SERVE_S = 2.6  # s after SIGTERM in which clients are still served: nobody else has what they would bring
-LAST_S = 3.2  # s after SIGTERM when the process is gone by itself; SIGKILL comes no sooner than 3.7 s
-SHUT_S = 0.3  # s after SIGTERM when a process that has a successor stops listening: its queue is empty then
-LEAST_ANSWER_S = 0.05  # s for an agent's answer, where a drain has no grace: the slack of the rules
-LOOK_S = 0.02  # s between looks whether a shutdown is complete
-OWED_S = 0.1  # s between attempts to write down what the disk did not take
-
-
-def fronts_of(
+KEEP_SERVING_S = (
+    2.6  # s after SIGTERM in which clients are still served: nobody else has what they would bring
+)
+SHUTDOWN_LIMIT_S = (
+    3.2  # s after SIGTERM when the process is gone by itself; SIGKILL comes no sooner than 3.7 s
+)
+STOP_LISTENING_S = (
+    0.3  # s after SIGTERM when a process that has a successor stops listening: its queue is empty then
+)
+MIN_ANSWER_S = 0.05  # s for an agent's answer, where a drain has no grace: the slack of the rules
+POLL_S = 0.02  # s between looks whether a shutdown is complete
+PERSIST_RETRY_S = 0.1  # s between attempts to write down what the disk did not take
+
+
+def build_fronts(
     cfg: config.Config, extras: config.Extras, core: Intake, system: System, reasons: Reasons
 ) -> list[Server]:
     """The platform's front, then the operator's; all share one half of the descriptors."""
-    shares = shares_in(cfg, extras)
-    left = shares.clients - sum(plan.connections for plan in extras.fronts)
-    if left < cfg.sockets // 4:
+    shares = descriptor_shares(cfg, extras)
+    platform_connections = shares.clients - sum(plan.connections for plan in extras.fronts)
+    if platform_connections < cfg.sockets // 4:
         raise config.ConfigError(f"front: at most {cfg.sockets // 4} connections beside the platform's")
-    plans = [(cfg.listen, left), *((plan.listen, plan.connections) for plan in extras.fronts)]
+    listeners = [
+        (cfg.listen, platform_connections),
+        *((plan.listen, plan.connections) for plan in extras.fronts),
+    ]
     shared = cfg.console is not None  # by it staff learn when a process that starts beside this one is ready
-    burst = max(1, shares.burst // len(plans))
+    burst = max(1, shares.burst // len(listeners))
     return [
-        Server(core, address, most, system, shared, burst=burst, reasons=reasons) for address, most in plans
+        Server(core, address, most, system, shared, burst=burst, reasons=reasons)
+        for address, most in listeners
     ]
 
 
-def shares_in(cfg: config.Config, extras: config.Extras) -> Shares:
+def descriptor_shares(cfg: config.Config, extras: config.Extras) -> Shares:
     """Who may hold how many descriptors."""
     listeners = 1 + len(extras.fronts) + (extras.fleet is not None)
     shares = shares_of(cfg.sockets, listeners, cfg.console is not None)
@@ -70,87 +80,99 @@
     return shares
 
 
-def plugs_of(cfg: config.Config, seq: int, system: System, calls: int, reasons: Reasons) -> Adapters:
+def build_adapters(
+    cfg: config.Config, seq: int, system: System, max_calls: int, reasons: Reasons
+) -> Adapters:
     """The platform's adapters, bound to what the configuration tells."""
     return Adapters(
         partners=lambda settled, released: Hosts(
             cfg.settings.kinds,
             cfg.settings.keepalive_us,
             cfg.connect_timeout_us,
-            min(cfg.sockets // 4, calls),
+            min(cfg.sockets // 4, max_calls),
             settled=settled,
             released=released,
             system=system,
-            most_open=calls,
+            most_open=max_calls,
             reasons=reasons,
         ),
         directory=lambda told, failed: Watch(
-            cfg.discovery, seq, told, failed, system, most_line=cfg.memory_bytes // 8, answer_s=answer_s(cfg)
+            cfg.discovery,
+            seq,
+            told,
+            failed,
+            system,
+            most_line=cfg.memory_bytes // 8,
+            answer_s=watch_answer_timeout_s(cfg),
         ),
         notifier=lambda confirmed: Notices(cfg.discovery, confirmed, system),
     )
 
 
-def answer_s(cfg: config.Config) -> float:
+def watch_answer_timeout_s(cfg: config.Config) -> float:
     """How long (s) a watch may wait for its answer.
 
     An agent beside the relay answers at once or, while discovery is down, not at all; what it gets then
     counts as told at once. So an ask that hangs must not outlast its return by a drain's grace.
     """
-    least_s = max(LEAST_ANSWER_S, cfg.settings.drain_grace_us / 4e6)
-    return min(FIRST_S, least_s) if cfg.settings.list_is_pushed else FIRST_S
+    min_s = max(MIN_ANSWER_S, cfg.settings.drain_grace_us / 4e6)
+    return min(FIRST_S, min_s) if cfg.settings.list_is_pushed else FIRST_S
 
 
-def list_of(binds: HandoverState | None, known: EndpointList) -> EndpointList:
+def newest_list(handover: HandoverState | None, known: EndpointList) -> EndpointList:
     """The newer one of the list that was handed over and the one that the configuration knows.
 
     A list too long to be handed over is asked for anew: the known one may lack a drain that was heard of.
     """
-    if binds is not None and binds.seq < 0:
+    if handover is not None and handover.seq < 0:
         return EndpointList(0, True, ())
-    if binds is None or binds.seq < known.seq or not binds.rows:
+    if handover is None or handover.seq < known.seq or not handover.rows:
         return known
-    hosts = tuple(listed_of(tuple(row), dest) for dest, rows in binds.rows.items() for row in rows)
-    return EndpointList(binds.seq, True, hosts)
+    hosts = tuple(listed_of(tuple(row), dest) for dest, rows in handover.rows.items() for row in rows)
+    return EndpointList(handover.seq, True, hosts)
 
 
-async def serve(cfg: config.Config, system: System, extras: config.Extras = config.NOTHING) -> int:
+async def serve(cfg: config.Config, system: System, extras: config.Extras = config.DEFAULT_EXTRAS) -> int:
     """Run until SIGTERM or until the step loop breaks; the exit code."""
-    node = Node(cfg, system, extras)
+    process = RelayProcess(cfg, system, extras)
     del cfg  # it holds the list as it was known, by far the largest thing here with many destinations
-    return await node.run()
+    return await process.run()
 
 
-class Node:
+class RelayProcess:
     """One process of a relay, from its start to its exit code."""
 
     def __init__(self, cfg: config.Config, system: System, extras: config.Extras) -> None:
-        self._known, self._cfg = cfg.known, replace(cfg, known=EndpointList(cfg.known.seq, True, ()))
+        self._known_list, self._cfg = cfg.known, replace(cfg, known=EndpointList(cfg.known.seq, True, ()))
         self._system, self._extras = system, extras
         self._loop = asyncio.get_running_loop()
-        self._ended: asyncio.Future[int] = self._loop.create_future()
+        self._exit_code: asyncio.Future[int] = self._loop.create_future()
         self._terminated = asyncio.Event()
-        room = reserved_space(cfg.disk_bytes)
-        self._figures = Metrics(cls.name for cls in cfg.settings.classes)
-        self._outs = DisabledHosts(cfg.state, system.disk, extras.durable, most_bytes=room.outs)
-        self._desk = OperatorInterface(self._figures, self._outs)
-        self._desk.names = {listed.entry.host for listed in cfg.known.hosts} if cfg.console else set()
+        reserved = reserved_space(cfg.disk_bytes)
+        self._metrics = Metrics(cls.name for cls in cfg.settings.classes)
+        self._disabled_hosts = DisabledHosts(cfg.state, system.disk, extras.durable, most_bytes=reserved.outs)
+        self._operator_interface = OperatorInterface(self._metrics, self._disabled_hosts)
+        self._operator_interface.names = (
+            {listed.entry.host for listed in cfg.known.hosts} if cfg.console else set()
+        )
         self._journal: Journal | None = None
         self._fronts: list[Server] = []
-        self._core: Intake | None = None  # what the fronts talk to
-        self._shift: Shift | None = None
-        self._owing: asyncio.TimerHandle | None = None  # the next attempt to keep what a reload put aside
-        self._fleet: Agent | None = None
-        self._shares = shares_in(cfg, extras)
-        self._size = 0  # of the group, as it was counted; 0: as the settings tell
+        self._intake: Intake | None = None  # what the fronts talk to
+        self._coordinator: UpgradeCoordinator | None = None
+        self._persist_timer: asyncio.TimerHandle | None = (
+            None  # the next attempt to keep what a reload put aside
+        )
+        self._fleet_agent: Agent | None = None
+        self._shares = descriptor_shares(cfg, extras)
+        self._group_size = 0  # of the group, as it was counted; 0: as the settings tell
 
     @property
-    def driver(self) -> RelayCore | None:
+    def core(self) -> RelayCore | None:
         """The relay's core, once the journal is taken up."""
-        return self._desk.driver
+        return self._operator_interface.driver
 
     @property
-    def told_to_end(self) -> bool:
+    def terminating(self) -> bool:
         """Whether SIGTERM has come."""
         return self._terminated.is_set()
 
@@ -159,25 +181,25 @@
         for number in (signal.SIGTERM, signal.SIGINT):
             self._loop.add_signal_handler(number, self._terminated.set)
         # Until the process is gone, also while it shuts down: a signal without a handler would end it.
-        self._loop.add_signal_handler(signal.SIGHUP, self.reload)
+        self._loop.add_signal_handler(signal.SIGHUP, self.handle_sighup)
         console = await self._open_console()
-        self._figures.reasons.start()
+        self._metrics.reasons.start()
         try:
             return await self._serve()
         finally:
-            self._figures.reasons.stop()
+            self._metrics.reasons.stop()
             for front in self._fronts:
                 front.close()
             if console is not None:
                 console.close()
-            if self._fleet is not None:
-                self._fleet.close(leaving=True)
-            if self.driver is not None:
-                self.driver.close()
+            if self._fleet_agent is not None:
+                self._fleet_agent.close(leaving=True)
+            if self.core is not None:
+                self.core.close()
             if self._journal is not None:
                 self._journal.close()
-            if self._shift is not None:
-                self._shift.leave()
+            if self._coordinator is not None:
+                self._coordinator.close()
 
     async def _open_console(self) -> Console | None:
         """Listen for on-call staff, before all that takes time; imported only where it is asked for."""
@@ -185,93 +207,98 @@
         if cfg.console is None:
             return None
         from mallowlug.console.server import Console  # noqa: PLC0415
-        from mallowlug.upgrade.coordinator import Shift  # noqa: PLC0415
+        from mallowlug.upgrade.coordinator import UpgradeCoordinator  # noqa: PLC0415
 
-        self._shift = Shift(
+        self._coordinator = UpgradeCoordinator(
             cfg.state, self._system.disk, self, self._extras.durable,
-            most_binds=reserved_space(cfg.disk_bytes).binds,
+            max_handover_bytes=reserved_space(cfg.disk_bytes).binds,
         )  # fmt: skip
-        console = Console(self._desk, cfg.console, self._shares.callers - 1, self._system)
+        console = Console(self._operator_interface, cfg.console, self._shares.callers - 1, self._system)
         await console.start()
         LOG.info("%s has its console at %s:%d", cfg.name, *cfg.console)
         return console
 
     async def _serve(self) -> int:
-        shift = self._shift
-        if shift is None:
-            self.serve_by(self.take_up(None))
+        coordinator = self._coordinator
+        if coordinator is None:
+            self.set_intake(self.start_core(None))
         else:
-            if not await self._first(shift.come_up()):
+            if not await self._completes_before_sigterm(coordinator.wait_for_ownership()):
                 return 0
-            shift.take_up()
+            coordinator.take_over()
         await self._listen()
         LOG.info("%s serves at %s:%d", self._cfg.name, *self._cfg.listen)
-        self._desk.serving = True
-        stop = self._loop.create_task(self._shut_down())
-        waiting: set[asyncio.Future[Any]] = {stop, self._ended}
-        places = None if shift is None else self._loop.create_task(shift.serve())
-        if places is not None:
-            waiting.add(places)
-        await asyncio.wait(waiting, return_when=asyncio.FIRST_COMPLETED)
-        if self._ended.done():
-            return self._ended.result()
-        if places is not None:
-            if places.done():
-                places.result()  # it never ends by itself: this raises
-            places.cancel()
-        stop.result()
+        self._operator_interface.serving = True
+        shutdown = self._loop.create_task(self._shut_down())
+        pending: set[asyncio.Future[Any]] = {shutdown, self._exit_code}
+        upgrade_task = None if coordinator is None else self._loop.create_task(coordinator.run())
+        if upgrade_task is not None:
+            pending.add(upgrade_task)
+        await asyncio.wait(pending, return_when=asyncio.FIRST_COMPLETED)
+        if self._exit_code.done():
+            return self._exit_code.result()
+        if upgrade_task is not None:
+            if upgrade_task.done():
+                upgrade_task.result()  # it never ends by itself: this raises
+            upgrade_task.cancel()
+        shutdown.result()
         return 0
 
-    async def _first(self, coming: Any) -> bool:
+    async def _completes_before_sigterm(self, awaitable: Any) -> bool:
         """Whether it ended before SIGTERM came."""
-        up, term = self._loop.create_task(coming), self._loop.create_task(self._terminated.wait())
-        await asyncio.wait({up, term}, return_when=asyncio.FIRST_COMPLETED)
-        term.cancel()
-        if up.done():
-            up.result()
+        task, sigterm = self._loop.create_task(awaitable), self._loop.create_task(self._terminated.wait())
+        await asyncio.wait({task, sigterm}, return_when=asyncio.FIRST_COMPLETED)
+        sigterm.cancel()
+        if task.done():
+            task.result()
             return True
-        up.cancel()
+        task.cancel()
         return False
 
     async def _listen(self) -> None:
-        assert self._core is not None
-        self._fronts = fronts_of(self._cfg, self._extras, self._core, self._system, self._figures.reasons)
+        assert self._intake is not None
+        self._fronts = build_fronts(
+            self._cfg, self._extras, self._intake, self._system, self._metrics.reasons
+        )
         for front in self._fronts:
             await front.start()
-            if self._shift is not None and self._shift.followed and not front.prevail():
+            if self._coordinator is not None and self._coordinator.had_predecessor and not front.prevail():
                 LOG.warning("upgrade: new connections cannot be steered here; any process gets them")
 
-    def take_up(self, binds: HandoverState | None) -> RelayCore:
+    def start_core(self, handover: HandoverState | None) -> RelayCore:
         """Read the journal and go on from it."""
         cfg, system = self._cfg, self._system
         disk_bytes = cfg.disk_bytes - (cfg.console is not None) * reserved_space(cfg.disk_bytes).total
         self._journal = Journal(cfg.state, disk_bytes, system.disk, self._extras.durable)
-        known, self._known = list_of(binds, self._known), EndpointList(0, True, ())
+        known, self._known_list = newest_list(handover, self._known_list), EndpointList(0, True, ())
 
         def crashed(_error: BaseException) -> None:
-            if not self._ended.done():
-                self._ended.set_result(1)
+            if not self._exit_code.done():
+                self._exit_code.set_result(1)
 
-        driver = RelayCore(
-            settings=self._within(cfg.settings),
+        core = RelayCore(
+            settings=self._effective_settings(cfg.settings),
             seed=cfg.seed,
             journal=self._journal,
-            plugs=plugs_of(cfg, known.seq, system, self._shares.calls, self._figures.reasons),
+            plugs=build_adapters(cfg, known.seq, system, self._shares.calls, self._metrics.reasons),
             clock=clock_of(system, cfg.state, self._loop.time),
-            listings=Listings(self._extras.awake, self._extras.rest_s),
-            figures=self._figures,
-            outs=self._outs,
+            listings=Listings(self._extras.active_destinations, self._extras.inactive_after_s),
+            figures=self._metrics,
+            outs=self._disabled_hosts,
             crashed=crashed,
         )
-        driver.start(known, binds)
-        if self.driver is not None:
-            driver.sent_before = self.driver.gauges.sends
-        self._desk.driver, self._desk.names = driver, set()  # the list itself answers from now on
+        core.start(known, handover)
+        if self.core is not None:
+            core.sent_before = self.core.gauges.sends
+        self._operator_interface.driver, self._operator_interface.names = (
+            core,
+            set(),
+        )  # the list itself answers from now on
         if self._extras.fleet is not None:
-            self._join(self._extras.fleet)
-        return driver
+            self._join_fleet(self._extras.fleet)
+        return core
 
-    def _join(self, plan: config.FleetPlan) -> None:
+    def _join_fleet(self, plan: config.FleetPlan) -> None:
         """Keep a view of the fleet, which says for how large a group parts are reckoned."""
         from mallowlug.fleet.agent import Agent, Place  # noqa: PLC0415
 
@@ -279,56 +306,59 @@
         place = Place(
             plan.name, plan.listen, plan.address, plan.seeds, plan.zone, plan.period_s, plan.settle_s
         )
-        self._fleet = self._desk.fleet = Agent(
+        self._fleet_agent = self._operator_interface.fleet = Agent(
             cfg.name, place, told=cfg.settings.group_size, folder=cfg.state, system=self._system,
-            version=VERSION, resized=self._resized,
+            version=VERSION, resized=self._apply_group_size,
         )  # fmt: skip
-        self._fleet.open()
+        self._fleet_agent.open()
 
-    def _resized(self, size: int) -> None:
+    def _apply_group_size(self, size: int) -> None:
         """The group is of another size: through the module, as any setting is."""
-        self._size = size
-        if self.driver is not None:
-            self.driver.change_settings(self._within(self._cfg.settings))
+        self._group_size = size
+        if self.core is not None:
+            self.core.change_settings(self._effective_settings(self._cfg.settings))
 
-    def _within(self, settings: Settings) -> Settings:
+    def _effective_settings(self, settings: Settings) -> Settings:
         """Settings with the group as it was counted, where it is, and no more calls out than descriptors."""
-        slots, size = min(settings.max_calls, self._shares.calls), self._size or settings.group_size
-        return replace(settings, max_calls=slots, group_size=size)
+        max_calls, group_size = (
+            min(settings.max_calls, self._shares.calls),
+            self._group_size or settings.group_size,
+        )
+        return replace(settings, max_calls=max_calls, group_size=group_size)
 
     def retire(self) -> None:
         """Close the journal and let go of everything that is out."""
-        assert self.driver is not None and self._journal is not None
-        if self._fleet is not None:  # its address is the successor's, who is the same relay's next life
-            self._fleet.close(leaving=False)
-            self._fleet = self._desk.fleet = None
-        self.driver.retire()
+        assert self.core is not None and self._journal is not None
+        if self._fleet_agent is not None:  # its address is the successor's, who is the same relay's next life
+            self._fleet_agent.close(leaving=False)
+            self._fleet_agent = self._operator_interface.fleet = None
+        self.core.retire()
         self._journal.close()
         self._journal = None
 
-    def serve_by(self, core: Intake) -> None:
+    def set_intake(self, intake: Intake) -> None:
         """What clients bring goes there from now on."""
-        self._core = core
+        self._intake = intake
         for front in self._fronts:
-            front.core = core
+            front.core = intake
 
-    def hear(self) -> None:
+    def refresh_disabled_hosts(self) -> None:
         """The other process's staff may have put a host out or back."""
-        self._outs.refresh()
+        self._disabled_hosts.refresh()
 
-    def reload(self) -> None:
+    def handle_sighup(self) -> None:
         """SIGHUP: read the file again and go by its settings and to the discovery that it names.
 
         What cannot be used changes nothing. Limits and addresses of this process count from the next start.
         """
-        if self.reread():
-            self._figures.loaded += 1
+        if self.reload_config():
+            self._metrics.loaded += 1
         else:
-            self._figures.invalid += 1
-        if self._shift is not None:
-            self._shift.tell_hup()
+            self._metrics.invalid += 1
+        if self._coordinator is not None:
+            self._coordinator.announce_sighup()
 
-    def reread(self) -> bool:
+    def reload_config(self) -> bool:
         """Go by the file as it is now; False where it cannot be used."""
         try:
             cfg = config.load(self._system, reloading=True, shape=self._cfg.shape)
@@ -338,58 +368,62 @@
         LOG.info("SIGHUP: discovery at %s:%d", *cfg.discovery)
         if cfg.listen != self._cfg.listen:
             LOG.warning("SIGHUP: a changed address of the relay waits for the next start")
-        self._go_by(cfg)
-        self._put_aside()
-        if self.driver is not None:
-            self.driver.change_settings(self._within(cfg.settings))
-            self.driver.change_discovery(cfg.discovery)
+        self._apply_config(cfg)
+        self._persist_overridden_discovery()
+        if self.core is not None:
+            self.core.change_settings(self._effective_settings(cfg.settings))
+            self.core.change_discovery(cfg.discovery)
         return True
 
-    def _go_by(self, cfg: config.Config) -> None:
+    def _apply_config(self, cfg: config.Config) -> None:
         """These settings and this address count; limits and the process's own addresses stay."""
-        names = ("settings", "discovery", "shape", "told", "aside")
+        names = ("settings", "discovery", "shape", "file_json", "overridden_discovery")
         self._cfg = replace(self._cfg, **{name: getattr(cfg, name) for name in names})
 
-    def _put_aside(self) -> None:
+    def _persist_overridden_discovery(self) -> None:
         """Tell later lives that the variable counts no more, again until the disk takes it."""
-        if self._owing is not None:  # one chain of attempts, however many reloads ask for it
-            self._owing.cancel()
-        self._owing = None
-        if (variable := self._cfg.aside) and not config.put_aside(self._system, variable):
-            self._owing = self._loop.call_later(OWED_S, self._put_aside)
-
-    def binds(self) -> HandoverState:
+        if self._persist_timer is not None:  # one chain of attempts, however many reloads ask for it
+            self._persist_timer.cancel()
+        self._persist_timer = None
+        if (variable := self._cfg.overridden_discovery) and not config.persist_overridden_discovery(
+            self._system, variable
+        ):
+            self._persist_timer = self._loop.call_later(PERSIST_RETRY_S, self._persist_overridden_discovery)
+
+    def handover_state(self) -> HandoverState:
         """What binds a successor beside the journal: what the core knows, and what is in force here."""
-        assert self.driver is not None
-        cfg, binds = self._cfg, self.driver.handover_state()
-        binds.config, binds.aside = cfg.told.decode(), cfg.aside
-        binds.discovery = "{}:{}".format(*cfg.discovery)
-        return binds
+        assert self.core is not None
+        cfg, state = self._cfg, self.core.handover_state()
+        state.config, state.aside = cfg.file_json.decode(), cfg.overridden_discovery
+        state.discovery = "{}:{}".format(*cfg.discovery)
+        return state
 
-    def catch_up(self, binds: HandoverState | None) -> None:
+    def apply_config_in_force(self, handover: HandoverState | None) -> None:
         """Go by what counts at the take-over, not by what was read when this process started.
 
         The file as it is now counts, as at any start. Where it cannot be used, or lacks what the one in force
         had, the process before this one knows what does; where that is gone, this one goes on as it was.
         """
-        before = self._in_force(binds)
-        held = before or self._cfg
+        former = self._config_in_force(handover)
+        in_force = former or self._cfg
         try:
-            cfg = config.load_again(self._system, self._cfg, held)
+            cfg = config.load_for_takeover(self._system, self._cfg, in_force)
         except config.ConfigError as error:
             LOG.error("take-over: the file cannot be used, what was in force stays: %s", error)
-            cfg = held
-        self._go_by(cfg)
-        self._figures.know(cls.name for cls in cfg.settings.classes)
-        self._put_aside()
+            cfg = in_force
+        self._apply_config(cfg)
+        self._metrics.know(cls.name for cls in cfg.settings.classes)
+        self._persist_overridden_discovery()
         LOG.info("take-over: discovery at %s:%d", *cfg.discovery)
 
-    def _in_force(self, binds: HandoverState | None) -> config.Config | None:
+    def _config_in_force(self, handover: HandoverState | None) -> config.Config | None:
         """What the process before this one went by, as far as it has told."""
-        if binds is None or not binds.config:
+        if handover is None or not handover.config:
             return None
         try:
-            return config.in_force(self._system, binds.config, binds.discovery, binds.aside)
+            return config.config_from_handover(
+                self._system, handover.config, handover.discovery, handover.aside
+            )
         except config.ConfigError as error:
             LOG.error("take-over: the former configuration cannot be read: %s", error)
             return None
@@ -403,27 +437,29 @@
         """
         await self._terminated.wait()
         LOG.info("SIGTERM: shutting down")
-        self._desk.serving = False
+        self._operator_interface.serving = False
         start_s = self._loop.time()
-        assert self.driver is not None
-        self.driver.shut_down(start_s + LAST_S)
+        assert self.core is not None
+        self.core.shut_down(start_s + SHUTDOWN_LIMIT_S)
 
         def parted() -> bool:
-            return self.driver is not None and self.driver.idle and not any(f.clients for f in self._fronts)
+            return self.core is not None and self.core.idle and not any(f.clients for f in self._fronts)
 
-        if followed := self._shift is not None and self._shift.door is not None:
+        if has_successor := self._coordinator is not None and self._coordinator.spool_writer is not None:
             for front in self._fronts:
                 front.part()
-            await asyncio.sleep(SHUT_S)
+            await asyncio.sleep(STOP_LISTENING_S)
             for front in self._fronts:
                 front.shut()
-        await self._until(start_s + SERVE_S, parted, start_s + 0.5)
+        await self._wait_until(start_s + KEEP_SERVING_S, parted, start_s + 0.5)
         for front in self._fronts:
             front.drain_clients()
-        await self._until(start_s + LAST_S, parted, start_s + (0.0 if followed else SERVE_S + 0.3))
+        await self._wait_until(
+            start_s + SHUTDOWN_LIMIT_S, parted, start_s + (0.0 if has_successor else KEEP_SERVING_S + 0.3)
+        )
         LOG.info("SIGTERM: shut down")
 
-    async def _until(self, last_s: float, done: Callable[[], bool], first_s: float) -> None:
+    async def _wait_until(self, deadline_s: float, done: Callable[[], bool], earliest_s: float) -> None:
         """Wait until it is done, between two times."""
-        while self._loop.time() < last_s and not (self._loop.time() >= first_s and done()):
-            await asyncio.sleep(LOOK_S)
+        while self._loop.time() < deadline_s and not (self._loop.time() >= earliest_s and done()):
+            await asyncio.sleep(POLL_S)
--- a/mallowlug/config.py
+++ b/mallowlug/config.py
@@ -12,12 +12,12 @@
 
 from mallowlug.core.model import Address, EndpointList, parse_address
 from mallowlug.directory.discovery import read_list
-from mallowlug.system import Disk, System, save
+from mallowlug.system import Disk, System, write_file
 from mossfront.interface import Settings
 from mossfront.settings import settings_of, whole
 
 LOG = logging.getLogger(__name__)
-OVERRULED = "overruled"  # file in the lasting folder: the ROUTER_DISCOVERY that a reload has put aside
+OVERRIDDEN_FILE = "overruled"  # file in the lasting folder: the ROUTER_DISCOVERY that a reload has put aside
 
 
 class ConfigError(ValueError):
@@ -41,8 +41,8 @@
     known: EndpointList
     console: Address | None = None  # where on-call staff and their tools call
     shape: Any = ...  # the keys of the file, which a later one must have too
-    told: bytes = b""  # the file as JSON without its list of hosts; kept only where there is a console
-    aside: str = ""  # the value of ROUTER_DISCOVERY that a reload has put aside
+    file_json: bytes = b""  # the file as JSON without its list of hosts; kept only where there is a console
+    overridden_discovery: str = ""  # the value of ROUTER_DISCOVERY that a reload has put aside
 
 
 @dataclass(frozen=True, slots=True)
@@ -75,12 +75,12 @@
     log_format: str = "text"
     fronts: tuple[FrontPlan, ...] = ()
     durable: bool = False  # the journal outlasts the loss of the machine's power
-    awake: int = 1024  # destinations that stay awake, used or not
-    rest_s: float = 60.0  # s without a use after which one beyond them may sleep
+    active_destinations: int = 1024  # destinations that stay awake, used or not
+    inactive_after_s: float = 60.0  # s without a use after which one beyond them may sleep
     fleet: FleetPlan | None = None  # its own view of the other relays; None: it has none
 
 
-NOTHING = Extras()
+DEFAULT_EXTRAS = Extras()
 
 
 def address_of(text: str) -> Address:
@@ -101,15 +101,15 @@
             yield from flatten(item, f"{path}.{name}" if path else str(name))
     elif isinstance(value, list) and any(isinstance(item, dict) for item in value):
         yield f"{path}.count", str(len(value))
-        for at, item in enumerate(value):
-            yield from flatten(item, f"{path}.{at}")
+        for index, item in enumerate(value):
+            yield from flatten(item, f"{path}.{index}")
     elif isinstance(value, list):
-        yield path, ",".join(plain(item) for item in value)
+        yield path, ",".join(wire_text(item) for item in value)
     elif value is not None:
-        yield path, plain(value)
+        yield path, wire_text(value)
 
 
-def plain(value: Any) -> str:
+def wire_text(value: Any) -> str:
     """One plain value in the wire's spelling."""
     if isinstance(value, bool):
         return "true" if value else "false"
@@ -118,21 +118,21 @@
     return str(value).replace(" ", "_").replace(",", "_")
 
 
-def seed_of(value: Any) -> int:
+def parse_seed(value: Any) -> int:
     """The seed is hexadecimal text; a plain number serves too."""
     return int(value, 16) if isinstance(value, str) else int(value)
 
 
-def overruled(state: Path, disk: Disk) -> str:
+def read_overridden_discovery(state: Path, disk: Disk) -> str:
     """The value of ``ROUTER_DISCOVERY`` that counts no more, because a reload put the file before it."""
     try:
-        return disk.read(state / OVERRULED).decode()
+        return disk.read(state / OVERRIDDEN_FILE).decode()
     except (OSError, ValueError):
         return ""
 
 
-def discovery_of(
-    system: System, raw: dict[str, Any], reloading: bool, aside: str = ""
+def choose_discovery(
+    system: System, raw: dict[str, Any], reloading: bool, overridden: str = ""
 ) -> tuple[Address, str]:
     """The address of discovery, and the variable's value that it has put aside ("" for none).
 
@@ -141,37 +141,41 @@
     next life would go back to the address that was left. ``aside``: what this relay has put aside already.
     """
     variable, state = system.environ.get("ROUTER_DISCOVERY", ""), Path(system.environ["ROUTER_STATE"])
-    if variable and not reloading and variable not in (aside, overruled(state, system.disk)):
+    if (
+        variable
+        and not reloading
+        and variable not in (overridden, read_overridden_discovery(state, system.disk))
+    ):
         return address_of(variable), ""
     address = address_of(raw["discovery"])
     return address, variable if variable and (not reloading or address_of(variable) != address) else ""
 
 
-def put_aside(system: System, variable: str) -> bool:
+def persist_overridden_discovery(system: System, variable: str) -> bool:
     """Remember, for the lives to come, which value of the variable counts no more; whether that is kept."""
     state = Path(system.environ["ROUTER_STATE"])
     try:
-        return overruled(state, system.disk) == variable or save(
-            system.disk, state / OVERRULED, variable.encode()
+        return read_overridden_discovery(state, system.disk) == variable or write_file(
+            system.disk, state / OVERRIDDEN_FILE, variable.encode()
         )
     except OSError as error:
         LOG.error("reload: the next life will not know of it: %s", error)
         return False
 
 
-def shape_of(value: Any) -> Any:
+def key_shape(value: Any) -> Any:
     """The keys of a JSON value: of objects, and of a list's objects those that all of them have.
 
     None stands for a plain value, an empty list for one of plain values, ``...`` for anything.
     """
     if isinstance(value, dict):
-        return {key: shape_of(item) for key, item in value.items()}
+        return {key: key_shape(item) for key, item in value.items()}
     if isinstance(value, list) and value and all(isinstance(item, dict) for item in value):
-        return [{key: shape_of(value[0][key]) for key in value[0] if all(key in item for item in value)}]
+        return [{key: key_shape(value[0][key]) for key in value[0] if all(key in item for item in value)}]
     return [] if isinstance(value, list) else value if value is ... else None
 
 
-def lacking(value: Any, shape: Any, path: str = "") -> Iterator[str]:
+def missing_keys(value: Any, shape: Any, path: str = "") -> Iterator[str]:
     """What a file has to have by an earlier one's shape and does not: a key, or the kind of its value."""
     if shape is None and isinstance(value, dict | list):
         yield f"a plain value at {path}"
@@ -183,21 +187,21 @@
             if value.get(key) is None:
                 yield f"{path}.{key}" if path else key
             else:
-                yield from lacking(value[key], inner, f"{path}.{key}" if path else key)
+                yield from missing_keys(value[key], inner, f"{path}.{key}" if path else key)
     elif isinstance(shape, list):
         if not isinstance(value, list):
             yield path
             return
-        for at, item in enumerate(value):
-            yield from lacking(item, shape[0] if shape else None, f"{path}.{at}")
+        for index, item in enumerate(value):
+            yield from missing_keys(item, shape[0] if shape else None, f"{path}.{index}")
 
 
-def without_list(raw: dict[str, Any]) -> bytes:
+def without_known_hosts(raw: dict[str, Any]) -> bytes:
     """The file as a process that takes over needs it: the list of hosts passes on by itself."""
     return msgspec.json.encode({key: value for key, value in raw.items() if key != "known"})
 
 
-def file_of(system: System) -> dict[str, Any]:
+def read_config_file(system: System) -> dict[str, Any]:
     """``$ROUTER_CONFIG`` as it is now; ``ConfigError`` where it is no JSON object, or cannot be read."""
     try:
         raw = msgspec.json.decode(system.disk.read(Path(system.environ["ROUTER_CONFIG"])))
@@ -215,46 +219,50 @@
 
     ``shape``: that of the file in force. One that lacks a key of it is incomplete, and nothing of it counts.
     """
-    raw = file_of(system)
-    if missing := next(lacking(raw, shape), ""):
+    raw = read_config_file(system)
+    if missing := next(missing_keys(raw, shape), ""):
         raise ConfigError(f"missing {missing}")
-    return config_of(system, raw, reloading)
+    return parse_config(system, raw, reloading)
 
 
-def load_again(system: System, own: Config, held: Config) -> Config:
+def load_for_takeover(system: System, own: Config, in_force: Config) -> Config:
     """The file as a process finds it that takes over; ``ConfigError`` where it cannot be used.
 
     ``own``: what this process read at its start; a file that has not changed since counts as it did then.
     One that has must be as complete as the one that is ``held`` in force. The list of hosts in it is not
     read: the process before this one may have heard of drains since.
     """
-    raw = file_of(system)
-    if without_list(raw) != own.told and (missing := next(lacking(raw, held.shape), "")):
+    raw = read_config_file(system)
+    if without_known_hosts(raw) != own.file_json and (missing := next(missing_keys(raw, in_force.shape), "")):
         raise ConfigError(f"missing {missing}")
-    return config_of(system, raw | ({"known": None} if "known" in raw else {}), False, held.aside)
+    return parse_config(
+        system, raw | ({"known": None} if "known" in raw else {}), False, in_force.overridden_discovery
+    )
 
 
-def in_force(system: System, text: str, discovery: str, aside: str) -> Config:
+def config_from_handover(system: System, text: str, discovery: str, overridden: str) -> Config:
     """What the process before this one went by, from what it handed over; ``ConfigError`` if that is none."""
     try:
-        cfg = config_of(system, msgspec.json.decode(text, type=dict[str, Any]), False, aside)
+        cfg = parse_config(system, msgspec.json.decode(text, type=dict[str, Any]), False, overridden)
     except msgspec.MsgspecError as error:
         raise ConfigError(str(error)) from error
-    return replace(cfg, discovery=address_of(discovery), aside=aside)
+    return replace(cfg, discovery=address_of(discovery), overridden_discovery=overridden)
 
 
-def config_of(system: System, raw: dict[str, Any], reloading: bool = False, aside: str = "") -> Config:
+def parse_config(
+    system: System, raw: dict[str, Any], reloading: bool = False, overridden: str = ""
+) -> Config:
     """The typed value of a file's JSON; ``ConfigError`` where it cannot be used."""
     environ = system.environ
     try:
         pairs = dict(flatten(raw["settings"]))
         limits, console = raw.get("limits", {}), environ.get("ROUTER_CONSOLE") or raw.get("console")
-        discovery, put = discovery_of(system, raw, reloading, aside)
+        discovery, overridden_now = choose_discovery(system, raw, reloading, overridden)
         return Config(
             name=environ.get("ROUTER_NAME") or str(raw["name"]),
             listen=address_of(environ.get("ROUTER_LISTEN") or raw["listen"]),
             state=Path(environ["ROUTER_STATE"]),
-            seed=seed_of(raw.get("seed", 0)),
+            seed=parse_seed(raw.get("seed", 0)),
             # On sockets the directory answers only when asked, whatever the simulator's site says.
             settings=replace(settings_of(pairs), must_subscribe=True),
             connect_timeout_us=whole(pairs, "allowed.connect_timeout_us", 1_000_000),
@@ -263,10 +271,10 @@
             sockets=int(limits.get("sockets", 1024)),
             known=read_list(raw["known"]) if raw.get("known") else EndpointList(0, True, ()),
             console=address_of(console) if console else None,
-            shape=shape_of(raw | ({"known": ...} if "known" in raw else {})),
-            told=without_list(raw) if console else b"",
+            shape=key_shape(raw | ({"known": ...} if "known" in raw else {})),
+            file_json=without_known_hosts(raw) if console else b"",
             discovery=discovery,
-            aside=put,
+            overridden_discovery=overridden_now,
         )
     except KeyError as error:
         raise ConfigError(f"missing {error.args[0]}") from None
--- a/mallowlug/console/calls.py
+++ b/mallowlug/console/calls.py
@@ -7,12 +7,12 @@
 from typing import Protocol
 from urllib.parse import parse_qsl
 
-MOST_NAME = 128  # characters of a host's id
-JSON = "application/json"
-TEXT, FIGURES = "text/plain; charset=utf-8", "text/plain; version=0.0.4; charset=utf-8"
+MAX_HOST_ID_CHARS = 128  # characters of a host's id
+JSON_TYPE = "application/json"
+TEXT_TYPE, METRICS_TYPE = "text/plain; charset=utf-8", "text/plain; version=0.0.4; charset=utf-8"
 
 
-class Operated(Protocol):
+class Operations(Protocol):
     """What the console asks of the relay."""
 
     @property
@@ -33,56 +33,56 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Said:
+class Response:
     """An answer: status, body and what kind of text that is."""
 
     status: int
     text: str
-    kind: str = TEXT
+    content_type: str = TEXT_TYPE
 
 
-def answer(method: str, target: str, relay: Operated) -> Said:
+def handle_call(method: str, target: str, relay: Operations) -> Response:
     """Carry out one call; whatever cannot be understood changes nothing."""
-    path, sign, query = target.partition("?")
-    table: dict[str, tuple[str, Callable[[], Said]]] = {
-        "/ready": ("GET", lambda: ready(relay)),
-        "/metrics": ("GET", lambda: Said(200, relay.figures(), FIGURES)),
-        "/fleet": ("GET", lambda: fleet(relay)),
-        "/hosts/disable": ("POST", lambda: by_hand(query, relay.disable_host)),
-        "/hosts/enable": ("POST", lambda: by_hand(query, relay.enable_host)),
+    path, separator, query = target.partition("?")
+    table: dict[str, tuple[str, Callable[[], Response]]] = {
+        "/ready": ("GET", lambda: ready_response(relay)),
+        "/metrics": ("GET", lambda: Response(200, relay.figures(), METRICS_TYPE)),
+        "/fleet": ("GET", lambda: fleet_response(relay)),
+        "/hosts/disable": ("POST", lambda: set_host_availability(query, relay.disable_host)),
+        "/hosts/enable": ("POST", lambda: set_host_availability(query, relay.enable_host)),
     }
     if path not in table:
-        return Said(404, "no such call\n")
-    wanted, act = table[path]
-    if method != wanted:
-        return Said(405, f"{path} is a {wanted}\n")
-    if sign and wanted == "GET":
-        return Said(400, f"{path} takes nothing\n")
-    return act()
+        return Response(404, "no such call\n")
+    expected_method, action = table[path]
+    if method != expected_method:
+        return Response(405, f"{path} is a {expected_method}\n")
+    if separator and expected_method == "GET":
+        return Response(400, f"{path} takes nothing\n")
+    return action()
 
 
-def ready(relay: Operated) -> Said:
+def ready_response(relay: Operations) -> Response:
     """``GET /ready``."""
-    return Said(200, "ready\n") if relay.ready else Said(503, "not ready\n")
+    return Response(200, "ready\n") if relay.ready else Response(503, "not ready\n")
 
 
-def fleet(relay: Operated) -> Said:
+def fleet_response(relay: Operations) -> Response:
     """``GET /fleet``."""
     text = relay.members()
-    return Said(200, text, JSON) if text else Said(404, "no view of a fleet is kept here\n")
+    return Response(200, text, JSON_TYPE) if text else Response(404, "no view of a fleet is kept here\n")
 
 
-def by_hand(query: str, act: Callable[[str], str]) -> Said:
+def set_host_availability(query: str, action: Callable[[str], str]) -> Response:
     """A host by its id, named once and nothing beside it."""
     try:
         pairs = parse_qsl(query, keep_blank_values=True, strict_parsing=True, max_num_fields=4)
     except ValueError:
         pairs = []
     if len(pairs) != 1 or pairs[0][0] != "name":
-        return Said(400, "one name is needed: ?name=ID\n")
+        return Response(400, "one name is needed: ?name=ID\n")
     name = pairs[0][1]
-    if not 0 < len(name) <= MOST_NAME or not name.isprintable():
-        return Said(400, "not a host's id\n")
-    if not (why := act(name)):
-        return Said(200, "done\n")
-    return Said(404 if why.startswith("unknown") else 503, f"{why}\n")
+    if not 0 < len(name) <= MAX_HOST_ID_CHARS or not name.isprintable():
+        return Response(400, "not a host's id\n")
+    if not (error := action(name)):
+        return Response(200, "done\n")
+    return Response(404 if error.startswith("unknown") else 503, f"{error}\n")
--- a/mallowlug/console/server.py
+++ b/mallowlug/console/server.py
@@ -9,34 +9,34 @@
 
 import httptools
 
-from mallowlug.console.calls import Operated, Said, answer
+from mallowlug.console.calls import Operations, Response, handle_call
 from mallowlug.core.model import Address
 from mallowlug.system import System
 
 LOG = logging.getLogger(__name__)
-MOST_HEAD = 4096  # bytes of a call; none has a body
-CALL_S = 5.0  # s from a caller's coming to the last byte of its call
-LEAVE_S = 1.0  # s for a caller to take its answer; until then what it still sends is read and dropped
-SWEEP_S = 0.25  # s between looks for callers past these bounds
+MAX_CALL_BYTES = 4096  # bytes of a call; none has a body
+CALL_TIMEOUT_S = 5.0  # s from a caller's coming to the last byte of its call
+CLOSE_TIMEOUT_S = 1.0  # s for a caller to take its answer; until then what it still sends is read and dropped
+SWEEP_INTERVAL_S = 0.25  # s between looks for callers past these bounds
 
 
-class Caller(asyncio.Protocol):
+class ConsoleConnection(asyncio.Protocol):
     """One caller's connection: one call, one answer."""
 
     def __init__(self, console: Console) -> None:
-        self._console, self._size = console, 0
+        self._console, self._received_bytes = console, 0
         self._parser = httptools.HttpRequestParser(self)
-        self._method, self._target, self._body = b"", b"", False  # the method once the call is whole
+        self._method, self._target, self._has_body = b"", b"", False  # the method once the call is whole
         self.transport: asyncio.Transport | None = None
         self.answered = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
-        self._console.joined(self)
+        self._console.add(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self._console.left(self)
+        self._console.remove(self)
 
     def on_url(self, data: bytes) -> None:
         """Called by the parser; what follows the first call is not read."""
@@ -45,7 +45,7 @@
 
     def on_body(self, _data: bytes) -> None:
         """Called by the parser."""
-        self._body |= not self._method
+        self._has_body |= not self._method
 
     def on_message_complete(self) -> None:
         """Called by the parser."""
@@ -54,106 +54,119 @@
     def data_received(self, data: bytes) -> None:
         if self.answered:  # it is leaving: closing with something unread would break its answer off
             return
-        self._size += len(data)
+        self._received_bytes += len(data)
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserUpgrade:
-            self.say(Said(400, "no other protocol is spoken here\n"))
+            self.respond(Response(400, "no other protocol is spoken here\n"))
         except httptools.HttpParserError:
-            self.say(Said(400, "not a call\n"))
-        if self._size > MOST_HEAD or self._body:
-            self.say(Said(413, "a call has no body and a short head\n"))
+            self.respond(Response(400, "not a call\n"))
+        if self._received_bytes > MAX_CALL_BYTES or self._has_body:
+            self.respond(Response(413, "a call has no body and a short head\n"))
         elif self._method:
-            self.say(self._decide())
+            self.respond(self._handle_call())
 
-    def _decide(self) -> Said:
+    def _handle_call(self) -> Response:
         try:
-            return answer(self._method.decode("ascii"), self._target.decode("ascii"), self._console.relay)
+            return handle_call(
+                self._method.decode("ascii"), self._target.decode("ascii"), self._console.relay
+            )
         except UnicodeDecodeError:
-            return Said(400, "not a call\n")
+            return Response(400, "not a call\n")
         except Exception:
             LOG.exception("console: a call broke")
-            return Said(500, "the call broke; the log says where\n")
+            return Response(500, "the call broke; the log says where\n")
 
     def eof_received(self) -> bool:
         """A caller that has ended its side still gets its answer; one that said nothing is let go."""
-        if not self.answered and self._size:
-            self.say(Said(400, "half a call\n"))
+        if not self.answered and self._received_bytes:
+            self.respond(Response(400, "half a call\n"))
         return False
 
-    def say(self, said: Said) -> None:
+    def respond(self, response: Response) -> None:
         """The answer, once; then this side of the connection ends."""
         if self.answered or self.transport is None or self.transport.is_closing():
             return
         self.answered = True
-        body = said.text.encode()
+        body = response.text.encode()
         head = (
-            f"HTTP/1.1 {said.status} {HTTPStatus(said.status).phrase}\r\nContent-Type: {said.kind}\r\n"
+            f"HTTP/1.1 {response.status} {HTTPStatus(response.status).phrase}\r\n"
+            f"Content-Type: {response.content_type}\r\n"
             f"Content-Length: {len(body)}\r\nConnection: close\r\n\r\n"
         )
         self.transport.write(head.encode("ascii") + body)
         self.transport.write_eof()
-        self._console.leaves(self)
+        self._console.mark_answered(self)
 
 
 class Console:
     """Listens for callers: those who have to say what they want, and those who have their answer."""
 
-    def __init__(self, relay: Operated, address: Address, most: int, system: System) -> None:
-        self.relay, self._address, self._most, self._system = relay, address, most, system
-        self._asking: OrderedDict[Caller, float] = OrderedDict()
-        self._leaving: OrderedDict[Caller, float] = OrderedDict()
+    def __init__(self, relay: Operations, address: Address, max_connections: int, system: System) -> None:
+        self.relay, self._address, self._max_connections, self._system = (
+            relay,
+            address,
+            max_connections,
+            system,
+        )
+        self._awaiting_call: OrderedDict[ConsoleConnection, float] = OrderedDict()
+        self._awaiting_close: OrderedDict[ConsoleConnection, float] = OrderedDict()
         self._server: asyncio.Server | None = None
-        self._sweeper: asyncio.TimerHandle | None = None
+        self._sweep_timer: asyncio.TimerHandle | None = None
 
     async def start(self) -> None:
         """Listen; ``OSError`` where the address cannot be had."""
         sock = self._system.listener(self._address)
         loop = asyncio.get_running_loop()
-        self._server = await loop.create_server(lambda: Caller(self), sock=sock, backlog=self._most)
+        self._server = await loop.create_server(
+            lambda: ConsoleConnection(self), sock=sock, backlog=self._max_connections
+        )
         sock.listen(128)
-        self._sweep()
+        self._close_expired()
 
-    def joined(self, caller: Caller) -> None:
+    def add(self, connection: ConsoleConnection) -> None:
         """A new caller; over the bound the oldest goes, first of those who have their answer."""
-        if len(self._asking) + len(self._leaving) >= self._most:
-            oldest = next(iter(self._leaving or self._asking))
-            self.left(oldest)
+        if len(self._awaiting_call) + len(self._awaiting_close) >= self._max_connections:
+            oldest = next(iter(self._awaiting_close or self._awaiting_call))
+            self.remove(oldest)
             if oldest.transport is not None:
                 oldest.transport.abort()
-        self._asking[caller] = asyncio.get_running_loop().time()
+        self._awaiting_call[connection] = asyncio.get_running_loop().time()
 
-    def leaves(self, caller: Caller) -> None:
+    def mark_answered(self, connection: ConsoleConnection) -> None:
         """A caller has its answer."""
-        self.left(caller)
-        self._leaving[caller] = asyncio.get_running_loop().time()
+        self.remove(connection)
+        self._awaiting_close[connection] = asyncio.get_running_loop().time()
 
-    def left(self, caller: Caller) -> None:
+    def remove(self, connection: ConsoleConnection) -> None:
         """A caller is gone."""
-        self._asking.pop(caller, None)
-        self._leaving.pop(caller, None)
+        self._awaiting_call.pop(connection, None)
+        self._awaiting_close.pop(connection, None)
 
-    def _sweep(self) -> None:
+    def _close_expired(self) -> None:
         loop = asyncio.get_running_loop()
-        self._sweeper = loop.call_later(SWEEP_S, self._sweep)
-        for table, most_s in ((self._leaving, LEAVE_S), (self._asking, CALL_S)):
-            while table and loop.time() - next(iter(table.values())) > most_s:
-                caller = next(iter(table))
-                if caller.answered:
-                    self.left(caller)
-                    if caller.transport is not None:
-                        caller.transport.abort()
+        self._sweep_timer = loop.call_later(SWEEP_INTERVAL_S, self._close_expired)
+        for connections, timeout_s in (
+            (self._awaiting_close, CLOSE_TIMEOUT_S),
+            (self._awaiting_call, CALL_TIMEOUT_S),
+        ):
+            while connections and loop.time() - next(iter(connections.values())) > timeout_s:
+                connection = next(iter(connections))
+                if connection.answered:
+                    self.remove(connection)
+                    if connection.transport is not None:
+                        connection.transport.abort()
                 else:
-                    caller.say(Said(408, "a call has an end\n"))
-                    if not caller.answered:  # closing already
-                        self.left(caller)
+                    connection.respond(Response(408, "a call has an end\n"))
+                    if not connection.answered:  # closing already
+                        self.remove(connection)
 
     def close(self) -> None:
         """Stop listening."""
-        if self._sweeper is not None:
-            self._sweeper.cancel()
+        if self._sweep_timer is not None:
+            self._sweep_timer.cancel()
         if self._server is not None:
             self._server.close()
-        for caller in [*self._asking, *self._leaving]:
-            if caller.transport is not None:
-                caller.transport.close()
+        for connection in [*self._awaiting_call, *self._awaiting_close]:
+            if connection.transport is not None:
+                connection.transport.close()
--- a/mallowlug/core/clock.py
+++ b/mallowlug/core/clock.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable
 from pathlib import Path
 
-from mallowlug.system import System, save
+from mallowlug.system import System, write_file
 
 LOG = logging.getLogger(__name__)
 FILE = "clock"
@@ -55,7 +55,7 @@
 def keep(system: System, path: Path, line: str) -> bool:
     """Keep it; where that cannot be, a next life would go by the wall clock."""
     try:
-        whole = save(system.disk, path, line.encode("ascii"))
+        whole = write_file(system.disk, path, line.encode("ascii"))
     except OSError as error:
         LOG.error("clock: not kept for the next life: %s", error)
         return False
--- a/mallowlug/core/disabled_hosts.py
+++ b/mallowlug/core/disabled_hosts.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from mallowlug.core.reserved_space import ROOMY
-from mallowlug.system import Disk, swap
+from mallowlug.system import Disk, replace_file
 
 LOG = logging.getLogger(__name__)
 FILE = "out"
@@ -92,7 +92,7 @@
         if len(data) > self._most_bytes and len(hosts) > len(self.hosts):
             return "too many hosts are out already"
         try:
-            if not swap(self._disk, self._path, data, self._durable):
+            if not replace_file(self._disk, self._path, data, self._durable):
                 return "the disk is full"
         except OSError as error:
             LOG.error("hosts out: %s not kept: %s", host, error)
--- a/mallowlug/core/journal.py
+++ b/mallowlug/core/journal.py
@@ -18,7 +18,7 @@
 
 import msgspec
 
-from mallowlug.system import APPEND, FRESH, Disk
+from mallowlug.system import APPEND, TRUNCATE, Disk
 from mossfront.interface import OutageRecordKind
 
 LOG = logging.getLogger(__name__)
@@ -435,7 +435,7 @@
         if not small or size_in_blocks(self._size) + size_in_blocks(len(data)) > self._budget:
             return
         try:
-            fd = self._disk.open(self._spare, APPEND | FRESH)
+            fd = self._disk.open(self._spare, APPEND | TRUNCATE)
         except OSError as error:
             LOG.error("journal: no compaction: %s", error)
             return
--- a/mallowlug/fleet/agent.py
+++ b/mallowlug/fleet/agent.py
@@ -18,7 +18,7 @@
 from mallowlug.fleet.records import Rumour
 from mallowlug.fleet.swim import Swim, Times
 from mallowlug.fleet.view import Event, shown
-from mallowlug.system import Disk, System, swap
+from mallowlug.system import Disk, System, replace_file
 
 LOG = logging.getLogger(__name__)
 FILE = "fleet"  # in the lasting folder: the number of the last life
@@ -49,7 +49,7 @@
     except (OSError, ValueError, IndexError):
         last = 0
     try:
-        swap(disk, folder / FILE, f"{last + 1}\n".encode("ascii"))
+        replace_file(disk, folder / FILE, f"{last + 1}\n".encode("ascii"))
     except OSError as error:
         LOG.error("fleet: life %d is not kept: %s", last + 1, error)
     return last + 1
--- a/mallowlug/operator/logs.py
+++ b/mallowlug/operator/logs.py
@@ -11,10 +11,10 @@
 import structlog
 from structlog.typing import EventDict, Processor, WrappedLogger
 
-FIELDS = ("message_id", "host")  # what a log call may name beside its text
+EXTRA_FIELDS = ("message_id", "host")  # what a log call may name beside its text
 
 
-def formatter(relay: str, life: str) -> logging.Formatter:
+def build_formatter(relay: str, run_id: str) -> logging.Formatter:
     """Renders a record as ``{"timestamp", "level", "logger", "relay", "life", "event", ...}``.
 
     ``timestamp`` is ISO 8601 in UTC; ``message_id`` and ``host`` are there where the event has one, and
@@ -22,25 +22,25 @@
     """
 
     def whose(_logger: WrappedLogger, _method: str, event: EventDict) -> EventDict:
-        return {"relay": relay, "life": life, **event}
+        return {"relay": relay, "life": run_id, **event}
 
-    told: list[Processor] = [
-        structlog.stdlib.ExtraAdder(allow=FIELDS),
+    enrichers: list[Processor] = [
+        structlog.stdlib.ExtraAdder(allow=EXTRA_FIELDS),
         structlog.stdlib.add_log_level,
         structlog.stdlib.add_logger_name,
         structlog.processors.TimeStamper(fmt="iso", utc=True),
         whose,
         structlog.processors.dict_tracebacks,
     ]
-    shown: list[Processor] = [
+    renderers: list[Processor] = [
         structlog.stdlib.ProcessorFormatter.remove_processors_meta,
         structlog.processors.JSONRenderer(),
     ]
-    return structlog.stdlib.ProcessorFormatter(foreign_pre_chain=told, processors=shown)
+    return structlog.stdlib.ProcessorFormatter(foreign_pre_chain=enrichers, processors=renderers)
 
 
-def install(relay: str, life: str) -> None:
+def install(relay: str, run_id: str) -> None:
     """Let every handler of the root logger render so from now on."""
-    made = formatter(relay, life)
+    json_formatter = build_formatter(relay, run_id)
     for handler in logging.getLogger().handlers:
-        handler.setFormatter(made)
+        handler.setFormatter(json_formatter)
--- a/mallowlug/operator/model.py
+++ b/mallowlug/operator/model.py
@@ -11,10 +11,10 @@
 from pydantic import AfterValidator, Field, field_validator
 
 from mallowlug import toml_check
-from mallowlug.config import NOTHING, ConfigError, Extras, FleetPlan, FrontPlan, address_of
+from mallowlug.config import DEFAULT_EXTRAS, ConfigError, Extras, FleetPlan, FrontPlan, address_of
 
 
-def an_address(text: str) -> str:
+def check_address(text: str) -> str:
     """``host:port``."""
     try:
         address_of(text)
@@ -23,7 +23,7 @@
     return text
 
 
-AddressText = Annotated[str, AfterValidator(an_address)]
+AddressText = Annotated[str, AfterValidator(check_address)]
 
 
 class FrontTable(toml_check.Strict):
@@ -50,8 +50,8 @@
 class DestinationsTable(toml_check.Strict):
     """``[destinations]``: how many are kept ready, used or not."""
 
-    awake: int = Field(default=NOTHING.awake, ge=1, le=1_000_000)
-    rest_s: float = Field(default=NOTHING.rest_s, ge=30.0, le=86_400.0)
+    awake: int = Field(default=DEFAULT_EXTRAS.active_destinations, ge=1, le=1_000_000)
+    rest_s: float = Field(default=DEFAULT_EXTRAS.inactive_after_s, ge=30.0, le=86_400.0)
 
 
 class FleetTable(toml_check.Strict):
@@ -67,9 +67,9 @@
 
     def plan(self) -> FleetPlan:
         """As the composition root takes it."""
-        told = self.advertise or self.listen
+        advertised = self.advertise or self.listen
         listen = address_of(self.listen)
-        return FleetPlan(self.name, listen, told, self.seeds, self.zone, self.period_s, self.settle_s)
+        return FleetPlan(self.name, listen, advertised, self.seeds, self.zone, self.period_s, self.settle_s)
 
 
 class OperatorFile(toml_check.Strict):
@@ -83,25 +83,27 @@
 
     @field_validator("front")
     @classmethod
-    def apart(cls, fronts: tuple[FrontTable, ...]) -> tuple[FrontTable, ...]:
+    def reject_shared_addresses(cls, fronts: tuple[FrontTable, ...]) -> tuple[FrontTable, ...]:
         """Two listeners cannot share an address."""
         seen: dict[str, int] = {}
-        for at, front in enumerate(fronts):
-            if (first := seen.setdefault(front.listen, at)) != at:
-                raise ValueError(f"front.{at}.listen: {front.listen} is front.{first}'s already")
+        for index, front in enumerate(fronts):
+            if (first := seen.setdefault(front.listen, index)) != index:
+                raise ValueError(f"front.{index}.listen: {front.listen} is front.{first}'s already")
         return fronts
 
 
 def load(path: Path) -> Extras:
     """The file's extras; ``toml_check.FileMistakesError`` (a ``ValueError``) with every mistake."""
-    told = toml_check.read(path, OperatorFile)
-    fronts = tuple(FrontPlan(front.kind, address_of(front.listen), front.connections) for front in told.front)
+    operator_file = toml_check.read(path, OperatorFile)
+    fronts = tuple(
+        FrontPlan(front.kind, address_of(front.listen), front.connections) for front in operator_file.front
+    )
     return Extras(
-        log_level=told.log.level.upper(),
-        log_format=told.log.format,
+        log_level=operator_file.log.level.upper(),
+        log_format=operator_file.log.format,
         fronts=fronts,
-        durable=told.journal.durable,
-        awake=told.destinations.awake,
-        rest_s=told.destinations.rest_s,
-        fleet=told.fleet.plan() if told.fleet is not None else None,
+        durable=operator_file.journal.durable,
+        active_destinations=operator_file.destinations.awake,
+        inactive_after_s=operator_file.destinations.rest_s,
+        fleet=operator_file.fleet.plan() if operator_file.fleet is not None else None,
     )
--- a/mallowlug/rig/sim/disk.py
+++ b/mallowlug/rig/sim/disk.py
@@ -15,7 +15,7 @@
 
 from mallowlug.rig.sim.loop import LIFE, Life
 from mallowlug.rig.sim.net import failure
-from mallowlug.system import FRESH
+from mallowlug.system import TRUNCATE
 
 BLOCK = 512
 
@@ -79,7 +79,7 @@
         if file is None:
             file = self.files[path] = File()
             self._changes.append(lambda names: names.__setitem__(path, file))
-        if flags & FRESH:
+        if flags & TRUNCATE:
             file.data.clear()
         fd, self._next = self._next, self._next + 1
         self._open[fd] = Open(path, file, life)
--- a/mallowlug/rig/sim/ground.py
+++ b/mallowlug/rig/sim/ground.py
@@ -79,7 +79,10 @@
         self.writer = writer
         told = self.scenario.relays
         extras = Extras(
-            durable=told.durable, awake=told.awake, rest_s=told.rest_s, fleet=self._place(told.fleet)
+            durable=told.durable,
+            active_destinations=told.awake,
+            inactive_after_s=told.rest_s,
+            fleet=self._place(told.fleet),
         )
         relay = SimRelay(name, self.kernel, Machine(name, disk, extras), writer, config)
         relay.staffed = told.console
--- a/mallowlug/rig/world/scenario.py
+++ b/mallowlug/rig/world/scenario.py
@@ -350,6 +350,6 @@
     if reason := found.simulated:
         key = reason.partition(":")[0]
         place = tuple(int(part) if part.isdigit() else part for part in key.split("."))
-        line = toml_check.line_of(toml_check.places(path.read_text(encoding="utf-8")), place)
+        line = toml_check.line_of(toml_check.key_lines(path.read_text(encoding="utf-8")), place)
         raise toml_check.FileMistakesError(path, [toml_check.Mistake(line, "", reason)])
     return found
--- a/mallowlug/system.py
+++ b/mallowlug/system.py
@@ -16,9 +16,9 @@
 from pathlib import Path
 from typing import Protocol
 
-APPEND, FRESH = os.O_RDWR | os.O_CREAT | os.O_APPEND, os.O_TRUNC
+APPEND, TRUNCATE = os.O_RDWR | os.O_CREAT | os.O_APPEND, os.O_TRUNC
 SO_ATTACH_REUSEPORT_CBPF, BPF_RETURN = 51, 0x06  # Linux, socket(7) and linux/filter.h
-BOOT = Path("/proc/sys/kernel/random/boot_id")  # Linux, proc(5)
+BOOT_ID_FILE = Path("/proc/sys/kernel/random/boot_id")  # Linux, proc(5)
 
 
 class Disk(Protocol):
@@ -96,12 +96,12 @@
     return socket.AF_INET6 if ":" in address[0] else socket.AF_INET
 
 
-def save(disk: Disk, path: Path, data: bytes, durable: bool = False) -> bool:
+def write_file(disk: Disk, path: Path, data: bytes, durable: bool = False) -> bool:
     """Write a small file anew; False where a part of it is missing, ``OSError`` where that cannot be.
 
     ``durable``: what it holds, though not its name, is safe from the loss of the machine's power then.
     """
-    fd = disk.open(path, APPEND | FRESH)
+    fd = disk.open(path, APPEND | TRUNCATE)
     try:
         whole = disk.write(fd, data) == len(data)
         if durable:
@@ -111,15 +111,15 @@
         disk.close(fd)
 
 
-def swap(disk: Disk, path: Path, data: bytes, durable: bool = False) -> bool:
+def replace_file(disk: Disk, path: Path, data: bytes, durable: bool = False) -> bool:
     """Put a small file in another's place by one rename, so that nobody finds a part of it.
 
     False where it could not be written whole, and the old one stands; ``OSError`` where that cannot be.
     """
-    spare = path.with_name(f"{path.name}.new")
-    if not save(disk, spare, data, durable):
+    temporary = path.with_name(f"{path.name}.new")
+    if not write_file(disk, temporary, data, durable):
         return False
-    disk.replace(spare, path)
+    disk.replace(temporary, path)
     if durable:
         disk.sync_folder(path.parent)
     return True
@@ -184,7 +184,7 @@
     def boot() -> str:
         """What names the run of the machine over which its monotonic clock goes on; empty where unknown."""
         try:
-            return BOOT.read_text(encoding="ascii").strip()
+            return BOOT_ID_FILE.read_text(encoding="ascii").strip()
         except (OSError, ValueError):
             return ""
 
@@ -219,9 +219,9 @@
         import ctypes  # noqa: PLC0415  # takes memory, and is needed only in an upgrade
 
         program = ctypes.create_string_buffer(struct.pack("HBBI", BPF_RETURN, 0, 0, 1))
-        told = struct.pack("HxxxxxxP", 1, ctypes.addressof(program))
+        filter_program = struct.pack("HxxxxxxP", 1, ctypes.addressof(program))
         try:
-            sock.setsockopt(socket.SOL_SOCKET, SO_ATTACH_REUSEPORT_CBPF, told)
+            sock.setsockopt(socket.SOL_SOCKET, SO_ATTACH_REUSEPORT_CBPF, filter_program)
         except OSError:
             return False
         return True
--- a/mallowlug/toml_check.py
+++ b/mallowlug/toml_check.py
@@ -12,12 +12,12 @@
 from pydantic import BaseModel, ConfigDict, ValidationError
 
 Model = TypeVar("Model", bound=BaseModel)
-Path_ = tuple[str | int, ...]
-PART = r"(?:[A-Za-z0-9_-]+|\"[^\"]*\"|'[^']*')"
-DOTTED = rf"{PART}(?:\s*\.\s*{PART})*"
-TABLE = re.compile(rf"\s*(\[\[?)\s*({DOTTED})\s*\]\]?\s*(?:#.*)?$")
-KEY = re.compile(rf"\s*({DOTTED})\s*=")
-LINE = re.compile(r"\(at line (\d+), column \d+\)")
+KeyPath = tuple[str | int, ...]
+KEY_PART = r"(?:[A-Za-z0-9_-]+|\"[^\"]*\"|'[^']*')"
+DOTTED_KEY = rf"{KEY_PART}(?:\s*\.\s*{KEY_PART})*"
+TABLE_HEADER = re.compile(rf"\s*(\[\[?)\s*({DOTTED_KEY})\s*\]\]?\s*(?:#.*)?$")
+KEY_VALUE = re.compile(rf"\s*({DOTTED_KEY})\s*=")
+ERROR_POSITION = re.compile(r"\(at line (\d+), column \d+\)")
 
 
 class Strict(BaseModel):
@@ -49,46 +49,46 @@
             yield f"{place}: {mistake.key}: {mistake.reason}" if mistake.key else f"{place}: {mistake.reason}"
 
 
-def parts_of(dotted: str) -> tuple[str, ...]:
+def split_dotted_key(dotted: str) -> tuple[str, ...]:
     """A dotted key's parts, without their quotes."""
-    return tuple(part.strip("\"'") for part in re.findall(PART, dotted))
+    return tuple(part.strip("\"'") for part in re.findall(KEY_PART, dotted))
 
 
-def places(text: str) -> dict[Path_, int]:
+def key_lines(text: str) -> dict[KeyPath, int]:
     """The line of each key and table header; the parser that read the text keeps none."""
-    found: dict[Path_, int] = {}
-    table: Path_ = ()
+    lines: dict[KeyPath, int] = {}
+    table: KeyPath = ()
     counts: dict[tuple[str, ...], int] = {}
-    quote = ""
+    open_quote = ""
     for number, line in enumerate(text.splitlines(), 1):
-        if quote:  # within a string of many lines nothing is a key
-            quote = "" if quote in line else quote
+        if open_quote:  # within a string of many lines nothing is a key
+            open_quote = "" if open_quote in line else open_quote
             continue
-        if header := TABLE.match(line):
-            names = parts_of(header[2])
+        if header := TABLE_HEADER.match(line):
+            names = split_dotted_key(header[2])
             if header[1] == "[[":
                 counts[names] = counts.get(names, -1) + 1
             table = ()
-            for at, name in enumerate(names):
+            for index, name in enumerate(names):
                 table = (*table, name)
-                if names[: at + 1] in counts:
-                    table = (*table, counts[names[: at + 1]])
-            found.setdefault(table, number)
-        elif key := KEY.match(line):
-            found[(*table, *parts_of(key[1]))] = number
+                if names[: index + 1] in counts:
+                    table = (*table, counts[names[: index + 1]])
+            lines.setdefault(table, number)
+        elif key := KEY_VALUE.match(line):
+            lines[(*table, *split_dotted_key(key[1]))] = number
             for mark in ('"""', "'''"):
                 if line.count(mark) % 2:
-                    quote = mark
-    return found
+                    open_quote = mark
+    return lines
 
 
-def line_of(found: dict[Path_, int], at: Path_) -> int:
+def line_of(lines: dict[KeyPath, int], key: KeyPath) -> int:
     """The line of a key, else of what holds it."""
-    while at and at not in found:
-        if within := [line for place, line in found.items() if place[: len(at)] == at]:
-            return min(within)
-        at = at[:-1]
-    return found.get(at, 0)
+    while key and key not in lines:
+        if inner_lines := [line for place, line in lines.items() if place[: len(key)] == key]:
+            return min(inner_lines)
+        key = key[:-1]
+    return lines.get(key, 0)
 
 
 def read(path: Path, model: type[Model]) -> Model:
@@ -97,18 +97,20 @@
         text = path.read_text(encoding="utf-8")
         raw = tomllib.loads(text)
     except tomllib.TOMLDecodeError as error:
-        at = LINE.search(str(error))
-        line = int(at[1]) if at else len(text.splitlines())
-        raise FileMistakesError(path, [Mistake(line, "", LINE.sub("", str(error)).strip())]) from None
+        position = ERROR_POSITION.search(str(error))
+        line = int(position[1]) if position else len(text.splitlines())
+        raise FileMistakesError(
+            path, [Mistake(line, "", ERROR_POSITION.sub("", str(error)).strip())]
+        ) from None
     except (OSError, UnicodeError) as error:
         raise FileMistakesError(path, [Mistake(0, "", f"cannot be read: {error}")]) from None
     try:
         return model.model_validate(raw)
     except ValidationError as error:
-        found = places(text)
+        lines = key_lines(text)
         mistakes = [
             Mistake(
-                line_of(found, tuple(item["loc"])),
+                line_of(lines, tuple(item["loc"])),
                 ".".join(map(str, item["loc"])),
                 item["msg"].removeprefix("Value error, "),
             )
--- a/mallowlug/upgrade/handover_file.py
+++ b/mallowlug/upgrade/handover_file.py
@@ -14,60 +14,60 @@
 
 from mallowlug.core.handover import HandoverState
 from mallowlug.core.reserved_space import ROOMY
-from mallowlug.system import Disk, swap
+from mallowlug.system import Disk, replace_file
 
 LOG = logging.getLogger(__name__)
 FILE = "binds"
-MOST_PLAIN = 16 << 20  # bytes of what a file may hold; one that claims more is absurd
+MAX_DECOMPRESSED_BYTES = 16 << 20  # bytes of what a file may hold; one that claims more is absurd
 
 
-def keep(folder: Path, disk: Disk, binds: HandoverState, most: int = ROOMY.binds) -> bool:
+def write(folder: Path, disk: Disk, state: HandoverState, max_bytes: int = ROOMY.binds) -> bool:
     """Write it down in one piece; of what does not fit into ``most`` bytes the ids that are over go first,
     then the list, and the directory's is waited for.
 
     False where it is not kept: told waits would be forgotten, so nothing may be handed over then.
     """
-    data = packed(binds, most)
-    if len(data) > most:
-        binds.over = []
-        data = packed(binds, most)
-    if len(data) > most:
-        binds.seq, binds.rows = -1, {}
-        data = packed(binds, most)
-    if len(data) > most:
-        binds.learned = []
-        data = packed(binds, most)
-    if len(data) > most:  # the file alone tells the successor what counts
-        binds.config = ""
-        data = packed(binds, most)
+    data = encode_state(state, max_bytes)
+    if len(data) > max_bytes:
+        state.over = []
+        data = encode_state(state, max_bytes)
+    if len(data) > max_bytes:
+        state.seq, state.rows = -1, {}
+        data = encode_state(state, max_bytes)
+    if len(data) > max_bytes:
+        state.learned = []
+        data = encode_state(state, max_bytes)
+    if len(data) > max_bytes:  # the file alone tells the successor what counts
+        state.config = ""
+        data = encode_state(state, max_bytes)
     try:
-        return swap(disk, folder / FILE, data)
+        return replace_file(disk, folder / FILE, data)
     except OSError as error:
         LOG.error("handover: what binds beside the journal was not kept: %s", error)
         return False
 
 
-def packed(binds: HandoverState, most: int) -> bytes:
+def encode_state(state: HandoverState, max_bytes: int) -> bytes:
     """The file's bytes."""
-    data = msgspec.json.encode(binds)
-    return data if len(data) <= most else zlib.compress(data)
+    data = msgspec.json.encode(state)
+    return data if len(data) <= max_bytes else zlib.compress(data)
 
 
-def unpacked(data: bytes) -> bytes:
+def decompress(data: bytes) -> bytes:
     """The JSON in a file's bytes; ``zlib.error`` where there is none."""
     if data.startswith(b"{"):
         return data
-    plain = zlib.decompressobj()
-    found = plain.decompress(data, MOST_PLAIN)
-    if not plain.eof:
+    decompressor = zlib.decompressobj()
+    content = decompressor.decompress(data, MAX_DECOMPRESSED_BYTES)
+    if not decompressor.eof:
         raise zlib.error("cut short, or far too long")
-    return found
+    return content
 
 
-def take(folder: Path, disk: Disk) -> HandoverState | None:
+def read(folder: Path, disk: Disk) -> HandoverState | None:
     """What the one before has left."""
     try:
-        return msgspec.json.decode(unpacked(disk.read(folder / FILE)), type=HandoverState)
+        return msgspec.json.decode(decompress(disk.read(folder / FILE)), type=HandoverState)
     except FileNotFoundError:
         return None
     except (OSError, zlib.error, msgspec.MsgspecError) as error:
@@ -75,6 +75,6 @@
         return None
 
 
-def drop(folder: Path, disk: Disk) -> None:
+def delete(folder: Path, disk: Disk) -> None:
     """It is heeded: a life that comes later must not go by it."""
     disk.unlink(folder / FILE)
--- a/mallowlug/upgrade/locks.py
+++ b/mallowlug/upgrade/locks.py
@@ -26,7 +26,7 @@
         """Whether this process has it."""
         return self._fd >= 0
 
-    def take(self) -> bool:
+    def acquire(self) -> bool:
         """Take it, if nobody has it; whether it is held now. ``OSError`` where the file cannot be had."""
         if self.held:
             return True
@@ -39,70 +39,70 @@
         self._fd = fd if held else -1
         return held
 
-    def free(self) -> None:
+    def release(self) -> None:
         """Let it go."""
         if self.held:
             fd, self._fd = self._fd, -1
             self._disk.close(fd)
 
 
-class Succession:
+class OwnershipLocks:
     """This process's place in the line of those that own the folder, one after the other."""
 
     def __init__(self, folder: Path, disk: Disk) -> None:
-        self._owner, self._next = Lock(folder / "owner", disk), Lock(folder / "next", disk)
-        self._told = set[int | None]()
+        self._owner, self._successor = Lock(folder / "owner", disk), Lock(folder / "next", disk)
+        self._logged_errnos = set[int | None]()
 
     @property
     def owns(self) -> bool:
         """Whether this process owns the messages."""
         return self._owner.held
 
-    def step_up(self) -> bool:
+    def try_become_owner(self) -> bool:
         """Wait in line, by being called again; True once this process owns the messages."""
         try:
-            if self._next.take() and self._owner.take():
-                self._next.free()
+            if self._successor.acquire() and self._owner.acquire():
+                self._successor.release()
         except OSError as error:
-            self._cannot(error)
+            self._log_lock_error(error)
         return self.owns
 
-    def wanted(self) -> bool:
+    def has_successor(self) -> bool:
         """Whether another process waits to follow this one; not known counts as no."""
         try:
-            if not self._next.take():
+            if not self._successor.acquire():
                 return True
-            self._next.free()
+            self._successor.release()
         except OSError as error:
-            self._cannot(error)
+            self._log_lock_error(error)
         return False
 
-    def _cannot(self, error: OSError) -> None:
+    def _log_lock_error(self, error: OSError) -> None:
         """Told once for each kind: it is tried again many times a second."""
-        if error.errno not in self._told:
-            self._told.add(error.errno)
+        if error.errno not in self._logged_errnos:
+            self._logged_errnos.add(error.errno)
             LOG.error("upgrade: the folder's locks cannot be had: %s", error)
 
-    def hand_over(self) -> None:
+    def release_ownership(self) -> None:
         """Let the messages go to the one that waits."""
-        self._owner.free()
+        self._owner.release()
 
-    def take_back(self) -> bool:
+    def try_reclaim(self) -> bool:
         """Own the messages again, if the one that was to follow is gone and nobody else waits.
 
         ``owner`` first: while another process has it ``next`` is left alone, or that one would take this look
         for somebody who waits, and hand over.
         """
         try:
-            if self._owner.take() and not self._next.take():
-                self._owner.free()
+            if self._owner.acquire() and not self._successor.acquire():
+                self._owner.release()
         except OSError as error:
-            self._cannot(error)
-            self._owner.free()
-        self._next.free()
+            self._log_lock_error(error)
+            self._owner.release()
+        self._successor.release()
         return self.owns
 
-    def leave(self) -> None:
+    def release_all(self) -> None:
         """Let go of everything; the kernel does the same where a process is killed."""
-        self._next.free()
-        self._owner.free()
+        self._successor.release()
+        self._owner.release()
--- a/mallowlug/upgrade/spool.py
+++ b/mallowlug/upgrade/spool.py
@@ -24,74 +24,81 @@
 from mallowlug.upgrade.locks import Lock
 
 LOG = logging.getLogger(__name__)
-PREFIX, NEW = "door.", "new."
-NAMES = 3  # that a door tries for a file
-MOST_FILE, MOST_FILES = 32 * 1024, 3  # bytes of one file before the next is begun; files that are not adopted
+SPOOL_PREFIX, UNFINISHED_PREFIX = "door.", "new."
+MAX_NAME_ATTEMPTS = 3  # that a door tries for a file
+MAX_FILE_BYTES, MAX_FILES = (
+    32 * 1024,
+    3,
+)  # bytes of one file before the next is begun; files that are not adopted
 
 
-class Door:
+class SpoolWriter:
     """Takes messages on for the owner; what a front talks to once its process owns nothing any more."""
 
-    def __init__(self, folder: Path, disk: Disk, former: RelayCore, durable: bool = False) -> None:
-        self._folder, self._disk, self._former, self._durable = folder, disk, former, durable
+    def __init__(self, folder: Path, disk: Disk, former_core: RelayCore, durable: bool = False) -> None:
+        self._folder, self._disk, self._former_core, self._durable = folder, disk, former_core, durable
         self._lock: Lock | None = None
         self._fd, self._size, self._name = -1, 0, ""
-        self._taken: set[str] = set()
+        self._accepted_ids: set[str] = set()
 
     def clock(self) -> int:
         """Wall time in microseconds."""
-        return self._former.clock()
+        return self._former_core.clock()
 
     @property
     def refusal(self) -> Refused:
         """A refusal at the door, with when to come back."""
-        return self._former.refusal
+        return self._former_core.refusal
 
-    def submit(self, handed: Submission, body: bytes) -> Answer:
+    def submit(self, submission: Submission, body: bytes) -> Answer:
         """Write the message down for the owner, or say why not."""
-        if handed.id in self._taken or self._former.knows(handed.id):
+        if submission.id in self._accepted_ids or self._former_core.knows(submission.id):
             return Accepted()
-        answer = self._former.reject_reason(handed) or self._spool(handed, body)
+        answer = self._former_core.reject_reason(submission) or self._append(submission, body)
         if not isinstance(answer, Accepted):
-            self._former.count_rejected(handed, answer)
+            self._former_core.count_rejected(submission, answer)
         return answer
 
-    def _spool(self, handed: Submission, body: bytes) -> Answer:
-        fields, written = {name: getattr(handed, name) for name in FIELDS}, 0
-        record = encode_record(["in", handed.id, fields, self._former.rules_record(handed.cls)], body)
+    def _append(self, submission: Submission, body: bytes) -> Answer:
+        fields, written = {name: getattr(submission, name) for name in FIELDS}, 0
+        record = encode_record(
+            ["in", submission.id, fields, self._former_core.rules_record(submission.cls)], body
+        )
         try:
-            if not self._room(len(record)):
-                return self._former.refused(RejectReason.DISK)
+            if not self._ensure_file(len(record)):
+                return self._former_core.refused(RejectReason.DISK)
             written = self._disk.write(self._fd, record)
             if written < len(record):
                 self._disk.truncate(self._fd, self._size)
-                return self._former.refused(RejectReason.DISK)
+                return self._former_core.refused(RejectReason.DISK)
             self._size += written
             if self._durable:
                 self._disk.sync(self._fd)
         except OSError as error:
             # Of a record that may be on the disk nobody may say that it is not taken on.
-            LOG.warning("door: a message is not kept: %s", error, extra={"message_id": handed.id})
+            LOG.warning("door: a message is not kept: %s", error, extra={"message_id": submission.id})
             self.close()
             whole = written >= len(record)
-            return Failed("not kept") if whole else self._former.refused(RejectReason.DISK)
-        self._taken.add(handed.id)
+            return Failed("not kept") if whole else self._former_core.refused(RejectReason.DISK)
+        self._accepted_ids.add(submission.id)
         return Accepted()
 
-    def _room(self, size: int) -> bool:
+    def _ensure_file(self, record_bytes: int) -> bool:
         """Whether there is a file to write to; a full one is left to the owner, and the next one begun."""
-        if self._lock is not None and self._size + size <= MOST_FILE:
+        if self._lock is not None and self._size + record_bytes <= MAX_FILE_BYTES:
             return True
-        there = [name for name in self._disk.names(self._folder) if name.startswith(PREFIX)]
-        if len(there) >= MOST_FILES:
+        spool_files = [name for name in self._disk.names(self._folder) if name.startswith(SPOOL_PREFIX)]
+        if len(spool_files) >= MAX_FILES:
             return False
         self.close()
         # A burst fills a file within the clock's step, and another door may stand beside: no name twice.
-        names = (f"{PREFIX}{self.clock()}.{at:04}" for at in count())
-        for name in islice((name for name in names if name not in (*there, self._name)), NAMES):
-            path, new = self._folder / name, self._folder / f"{NEW}{name}"
+        candidates = (f"{SPOOL_PREFIX}{self.clock()}.{at:04}" for at in count())
+        for name in islice(
+            (name for name in candidates if name not in (*spool_files, self._name)), MAX_NAME_ATTEMPTS
+        ):
+            path, new = self._folder / name, self._folder / f"{UNFINISHED_PREFIX}{name}"
             lock = Lock(new, self._disk)
-            if lock.take():
+            if lock.acquire():
                 break
         else:  # the owner's tidying may hold one for a moment, hardly the next one too
             return False
@@ -107,81 +114,83 @@
         """Write no more; the owner reads the rest."""
         if self._lock is not None:
             self._disk.close(self._fd)
-            self._lock.free()
+            self._lock.release()
         self._lock, self._fd, self._size = None, -1, 0
 
 
 @dataclass(frozen=True, slots=True)
-class Spooled:
+class SpooledMessage:
     """One message of a file, and where the next one begins."""
 
-    handed: Submission
+    submission: Submission
     body: bytes
     rules: dict[str, Any]
-    end: int
+    next_offset: int
 
 
-def spooled_at(data: bytes, at: int) -> Spooled | None:
+def read_spooled_message(data: bytes, offset: int) -> SpooledMessage | None:
     """The message that begins there, once it is whole; ``ValueError`` where what is there is no message."""
-    if (found := read_record(data, at)) is None:
+    if (record := read_record(data, offset)) is None:
         return None
-    payload, end = found
-    line, _, body = payload.partition(b"\n")
+    payload, next_offset = record
+    header, _, body = payload.partition(b"\n")
     try:
-        _kind, _ref, fields, rules = msgspec.json.decode(line)
-        return Spooled(Submission(**fields), body, dict(rules), end)
+        _kind, _ref, fields, rules = msgspec.json.decode(header)
+        return SpooledMessage(Submission(**fields), body, dict(rules), next_offset)
     except (msgspec.MsgspecError, TypeError) as error:
         raise ValueError(f"not a message: {error}") from None
 
 
-class Adoption:
+class SpoolReader:
     """The owner's side: adopts what doors have written."""
 
     def __init__(self, folder: Path, disk: Disk, durable: bool = False) -> None:
         self._folder, self._disk, self._durable = folder, disk, durable
 
-    def tidy(self) -> None:  # raises ``OSError``: a start that cannot read its folder has no use
+    def remove_unfinished_files(
+        self,
+    ) -> None:  # raises ``OSError``: a start that cannot read its folder has no use
         """Remove what a door had begun when it was killed; what one that lives has locked stays."""
         for name in self._disk.names(self._folder):
             lock = Lock(self._folder / name, self._disk)
-            if name.startswith(NEW) and lock.take():
+            if name.startswith(UNFINISHED_PREFIX) and lock.acquire():
                 self._disk.unlink(self._folder / name)
-                lock.free()
+                lock.release()
 
-    def look(self, driver: RelayCore) -> bool:
+    def adopt_spooled(self, core: RelayCore) -> bool:
         """Adopt what is there now; whether any file was there, or nobody can tell."""
         try:
-            names = sorted(name for name in self._disk.names(self._folder) if name.startswith(PREFIX))
+            names = sorted(name for name in self._disk.names(self._folder) if name.startswith(SPOOL_PREFIX))
         except OSError as error:  # no descriptor is left, perhaps; it is looked again soon
             LOG.debug("door: the folder cannot be read: %s", error)
             return True
         for name in names:
             try:
-                self._adopt(name, driver)
+                self._adopt_file(name, core)
             except OSError as error:
                 LOG.error("door: %s cannot be read: %s", name, error)
-        for name in [name for name in driver.spools if name not in names]:
-            driver.forget_spool(name)
+        for name in [name for name in core.spools if name not in names]:
+            core.forget_spool(name)
         return bool(names)
 
-    def _adopt(self, name: str, driver: RelayCore) -> None:
+    def _adopt_file(self, name: str, core: RelayCore) -> None:
         """Read a file on from where the journal says; first look whether its writer lives, then read."""
         lock = Lock(self._folder / name, self._disk)
-        ended = lock.take()
+        writer_gone = lock.acquire()
         try:
-            data, at = self._disk.read(self._folder / name), driver.spools.get(name, 0)
+            data, offset = self._disk.read(self._folder / name), core.spools.get(name, 0)
             try:
-                while (message := spooled_at(data, at)) is not None:
-                    driver.adopt(message.handed, message.body, message.rules, (name, message.end))
-                    at = message.end
+                while (message := read_spooled_message(data, offset)) is not None:
+                    core.adopt(message.submission, message.body, message.rules, (name, message.next_offset))
+                    offset = message.next_offset
             except ValueError as error:
-                LOG.error("door: %s is damaged at %d: %s", name, at, error)
-            if ended and driver.flush_journal():  # else the file alone may hold what was adopted
-                if (torn := len(data) - at) > 0:
-                    LOG.warning("door: a torn tail of %d bytes in %s, never taken on", torn, name)
+                LOG.error("door: %s is damaged at %d: %s", name, offset, error)
+            if writer_gone and core.flush_journal():  # else the file alone may hold what was adopted
+                if (torn_bytes := len(data) - offset) > 0:
+                    LOG.warning("door: a torn tail of %d bytes in %s, never taken on", torn_bytes, name)
                 self._disk.unlink(self._folder / name)
                 if self._durable:  # else it may come back behind the note that it is gone, and be read anew
                     self._disk.sync_folder(self._folder)
-                driver.forget_spool(name)
+                core.forget_spool(name)
         finally:
-            lock.free()
+            lock.release()
--- a/tests/sim/test_kernel.py
+++ b/tests/sim/test_kernel.py
@@ -17,7 +17,7 @@
 from mallowlug.rig.sim.disk import SimDisk
 from mallowlug.rig.sim.loop import SimLoop, StuckError
 from mallowlug.rig.sim.net import WINDOW, Link, Network
-from mallowlug.system import APPEND, FRESH
+from mallowlug.system import APPEND, TRUNCATE
 
 AT = ("127.1.0.1", 7000)
 OLD, NEW = Path("/state/journal"), Path("/state/journal.new")
@@ -137,7 +137,7 @@
     disk.sync(fd)
     disk.sync_folder(Path("/"))
     disk.write(fd, b" and more")
-    new = disk.open(NEW, APPEND | FRESH)
+    new = disk.open(NEW, APPEND | TRUNCATE)
     disk.write(new, b"new")
     disk.sync(new)
     disk.replace(NEW, OLD)
--- a/tests/sim/test_upgrades.py
+++ b/tests/sim/test_upgrades.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from mallowlug.compose import Node
+from mallowlug.compose import RelayProcess
 from mallowlug.core.disabled_hosts import DisabledHosts
 from mallowlug.core.relay import RelayCore
 from mallowlug.core.reserved_space import SMALL as SMALL_ROOM
@@ -21,7 +21,7 @@
 from mallowlug.rig.world import scenario
 from mallowlug.rig.world.scenario import EventTable, Scenario
 from mallowlug.upgrade import spool
-from mallowlug.upgrade.coordinator import Shift
+from mallowlug.upgrade.coordinator import UpgradeCoordinator
 from tests.sim.worlds import Patch, judged, planted
 from tests.world import ROOT
 
@@ -109,7 +109,7 @@
 
 def door_unread(monkey: pytest.MonkeyPatch) -> None:
     """What a door writes is removed unread."""
-    monkey.setattr(spool, "spooled_at", lambda data, at: None)
+    monkey.setattr(spool, "read_spooled_message", lambda data, at: None)
 
 
 def read_anew(monkey: pytest.MonkeyPatch) -> None:
@@ -158,27 +158,27 @@
 
 def start_counts(monkey: pytest.MonkeyPatch) -> None:
     """Who takes over goes by what it read at its start; so it was once."""
-    monkey.setattr(Node, "catch_up", lambda self, binds: None)
-    monkey.setattr(Shift, "_share", lambda self: self._staff.hear())
+    monkey.setattr(RelayProcess, "apply_config_in_force", lambda self, binds: None)
+    monkey.setattr(UpgradeCoordinator, "_exchange_news", lambda self: self._process.refresh_disabled_hosts())
 
 
 def not_handed_over(monkey: pytest.MonkeyPatch) -> None:
     """What is in force does not go over: a broken file leaves the one who takes over as it started."""
-    monkey.setattr(Node, "_in_force", lambda self, binds: None)
-    real = Shift.come_up
+    monkey.setattr(RelayProcess, "_config_in_force", lambda self, binds: None)
+    real = UpgradeCoordinator.wait_for_ownership
 
-    async def deaf(self: Shift) -> None:
-        self._staff.reread = lambda: True  # type: ignore[method-assign]
+    async def deaf(self: UpgradeCoordinator) -> None:
+        self._process.reload_config = lambda: True  # type: ignore[method-assign]
         await real(self)
-        del self._staff.reread
+        del self._process.reload_config
 
-    monkey.setattr(Shift, "come_up", deaf)
+    monkey.setattr(UpgradeCoordinator, "wait_for_ownership", deaf)
 
 
 def hup_not_told(monkey: pytest.MonkeyPatch) -> None:
     """Neither process hears of the other's SIGHUP, and nobody reads the file at a take-over."""
-    monkey.setattr(Shift, "_tell", lambda self: None)
-    monkey.setattr(Node, "catch_up", lambda self, binds: None)
+    monkey.setattr(UpgradeCoordinator, "_record_sighup", lambda self: None)
+    monkey.setattr(RelayProcess, "apply_config_in_force", lambda self, binds: None)
 
 
 @pytest.mark.parametrize("seed", [*range(1, 9), 103, 131, 135, 1123, 1229])
--- a/tests/test_command_line.py
+++ b/tests/test_command_line.py
@@ -7,7 +7,7 @@
 from mallowlug.cli import main as cli
 from tests.world import ROOT
 
-SWARM = str(ROOT / "scenarios" / "swarm.toml")
+SWARM_SCENARIO = str(ROOT / "scenarios" / "swarm.toml")
 
 
 @pytest.mark.parametrize(
@@ -16,23 +16,23 @@
         (["nonsense"], "No such command 'nonsense'"),
         (["check"], "Missing argument 'FILE'"),
         (["run", "--operator"], "requires an argument"),
-        (["rig", "run", SWARM, "--relays", "0"], "0 is not in the range"),
-        (["sim", "sweep", SWARM, "--seeds", "9-3"], "no seed in '9-3'"),
-        (["sim", "sweep", SWARM, "--seeds", "a"], "not A-B: 'a'"),
-        (["sim", "hours", SWARM, "--hours", "1"], "no room for a lull"),
+        (["rig", "run", SWARM_SCENARIO, "--relays", "0"], "0 is not in the range"),
+        (["sim", "sweep", SWARM_SCENARIO, "--seeds", "9-3"], "no seed in '9-3'"),
+        (["sim", "sweep", SWARM_SCENARIO, "--seeds", "a"], "not A-B: 'a'"),
+        (["sim", "hours", SWARM_SCENARIO, "--hours", "1"], "no room for a lull"),
     ],
 )
-def test_a_line_that_cannot_be_used_ends_with_2(
+def test_unusable_command_line_exits_with_2(
     words: list[str], told: str, capsys: pytest.CaptureFixture[str]
 ) -> None:
     assert cli.main(words) == 2
     assert told in capsys.readouterr().err
 
 
-def test_a_room_without_its_libraries_says_what_to_install(
+def test_group_without_its_libraries_names_the_package(
     monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    monkeypatch.setitem(cli.ROOMS, "rig", "no_such_library.cli")
+    monkeypatch.setitem(cli.LAZY_GROUPS, "rig", "no_such_library.cli")
     assert cli.main(["rig", "run", "x.toml", "--live"]) == 2
     assert capsys.readouterr().err == "mallowlug rig needs no_such_library: pip install 'mallowlug[rig]'\n"
     assert cli.main(["--help"]) == 0
@@ -41,7 +41,7 @@
     assert "simulated time" in shown
 
 
-def test_shells_complete_the_commands_of_every_room(
+def test_completion_covers_lazy_groups(
     monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
     assert cli.main(["completion", "bash"]) == 0
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -8,19 +8,19 @@
 
 import pytest
 
-from mallowlug.console.calls import Said, answer
+from mallowlug.console.calls import Response, handle_call
 from mallowlug.console.server import Console
 from mallowlug.system import POSIX
 from tests.world import ROOT, World, called, free_port, soon
 
 
 @dataclass
-class Staffed:
+class FakeRelay:
     """A relay as the console sees it, that notes what it is told."""
 
     ready: bool = True
-    done: list[str] = field(default_factory=list)
-    why: str = ""
+    actions: list[str] = field(default_factory=list)
+    error: str = ""
 
     def figures(self) -> str:
         return "relay_current 0\n"
@@ -29,16 +29,16 @@
         return ""
 
     def disable_host(self, host: str) -> str:
-        self.done.append(f"out {host}")
-        return self.why
+        self.actions.append(f"out {host}")
+        return self.error
 
     def enable_host(self, host: str) -> str:
-        self.done.append(f"back {host}")
-        return self.why
+        self.actions.append(f"back {host}")
+        return self.error
 
 
 @pytest.mark.parametrize(
-    ("method", "target", "status", "done"),
+    ("method", "target", "status", "actions"),
     [
         ("GET", "/ready", 200, []),
         ("GET", "/fleet", 404, []),  # where no view is kept
@@ -64,39 +64,39 @@
         ("POST", "/hosts/disable?" + "name=a&" * 40, 400, []),
     ],
 )
-def test_what_a_call_means(method: str, target: str, status: int, done: list[str]) -> None:
-    relay = Staffed()
-    assert answer(method, target, relay).status == status
-    assert relay.done == done
+def test_handle_call_status_and_action(method: str, target: str, status: int, actions: list[str]) -> None:
+    relay = FakeRelay()
+    assert handle_call(method, target, relay).status == status
+    assert relay.actions == actions
 
 
-def test_a_no_is_told_with_its_reason() -> None:
-    assert answer("GET", "/ready", Staffed(ready=False)).status == 503
-    unknown = answer("POST", "/hosts/disable?name=a", Staffed(why="unknown host: a"))
-    assert unknown == Said(404, "unknown host: a\n")
-    assert answer("POST", "/hosts/disable?name=a", Staffed(why="the disk is full")).status == 503
+def test_error_responses_carry_the_reason() -> None:
+    assert handle_call("GET", "/ready", FakeRelay(ready=False)).status == 503
+    unknown = handle_call("POST", "/hosts/disable?name=a", FakeRelay(error="unknown host: a"))
+    assert unknown == Response(404, "unknown host: a\n")
+    assert handle_call("POST", "/hosts/disable?name=a", FakeRelay(error="the disk is full")).status == 503
 
 
 @pytest.fixture
 async def console():  # type: ignore[no-untyped-def]
     """A console with room for four callers."""
     port = free_port()
-    console = Console(Staffed(), ("127.0.0.1", port), 4, POSIX)
+    console = Console(FakeRelay(), ("127.0.0.1", port), 4, POSIX)
     await console.start()
     yield port
     console.close()
 
 
-async def raw(port: int, *pieces: bytes) -> bytes:
+async def exchange(port: int, *pieces: bytes) -> bytes:
     """All that is answered to some bytes, until the end."""
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     for piece in pieces:
         writer.write(piece)
         await writer.drain()
         await asyncio.sleep(0)
-    told = await soon(reader.read())
+    received = await soon(reader.read())
     writer.close()
-    return told
+    return received
 
 
 @pytest.mark.parametrize(
@@ -115,25 +115,25 @@
         ([b"POST /ready HTTP/1.1\r\nContent-Length: x\r\n\r\n"], b"400"),
     ],
 )
-async def test_whatever_comes_gets_one_answer_and_a_close(
+async def test_any_input_gets_one_response_and_a_close(
     console: int, pieces: list[bytes], status: bytes
 ) -> None:
-    told = await raw(console, *pieces)
+    told = await exchange(console, *pieces)
     assert told.startswith(b"HTTP/1.1 " + status), told
     assert told.count(b"HTTP/1.1 ") == 1
 
 
-async def test_callers_that_say_nothing_hold_up_nobody(console: int) -> None:
+async def test_idle_connections_do_not_block_calls(console: int) -> None:
     """More of them than there is room for: the oldest go, and a call is answered at once."""
     quiet = [await asyncio.open_connection("127.0.0.1", console) for _ in range(12)]
     for _, writer in quiet[6:]:
         writer.write(b"GET /rea")
-    assert (await raw(console, b"GET /ready HTTP/1.1\r\n\r\n")).startswith(b"HTTP/1.1 200")
+    assert (await exchange(console, b"GET /ready HTTP/1.1\r\n\r\n")).startswith(b"HTTP/1.1 200")
     for _, writer in quiet:
         writer.close()
 
 
-async def test_the_relay_is_ready_until_it_is_told_to_end(world: World) -> None:
+async def test_not_ready_after_sigterm(world: World) -> None:
     await world.add("h1")
     world.known = list(world.directory.hosts.values())
     console = world.open_console()
@@ -149,7 +149,7 @@
     await soon(refused())
 
 
-async def test_without_an_address_nothing_of_the_console_is_imported() -> None:
+async def test_console_is_not_imported_without_an_address() -> None:
     """Some days have 32 MB."""
     code = "import sys, mallowlug.cli.run; sys.exit(any('mallowlug.console' in name for name in sys.modules))"
     process = await asyncio.create_subprocess_exec(sys.executable, "-c", code, cwd=ROOT)
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -24,7 +24,7 @@
         ("mallowlug/core/relay.py", "import mallowlug.rig.judge.record"),
     ],
 )
-def test_a_planted_import_against_the_direction_is_found(tmp_path: Path, file: str, planted: str) -> None:
+def test_forbidden_import_is_detected(tmp_path: Path, file: str, planted: str) -> None:
     for name in ("mallowlug", "mossfront"):
         shutil.copytree(ROOT / name, tmp_path / name, ignore=shutil.ignore_patterns("__pycache__"))
     shutil.copy(ROOT / "pyproject.toml", tmp_path)
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -15,12 +15,12 @@
 from hypothesis import strategies as st
 
 from mallowlug.cli.main import main
-from mallowlug.config import NOTHING, FrontPlan
+from mallowlug.config import DEFAULT_EXTRAS, FrontPlan
 from mallowlug.operator import logs, model
-from mallowlug.toml_check import FileMistakesError, Mistake, line_of, places
+from mallowlug.toml_check import FileMistakesError, Mistake, key_lines, line_of
 from tests.world import ROOT, Client, World, delivered, soon
 
-WRONG = """\
+INVALID_FILE = """\
 colour = "red"
 
 [log]
@@ -46,8 +46,8 @@
     return list(caught.value.mistakes)
 
 
-def test_every_mistake_is_named_with_its_key_and_line(tmp_path: Path) -> None:
-    found = mistakes(tmp_path / "operator.toml", WRONG)
+def test_every_mistake_is_reported_with_key_and_line(tmp_path: Path) -> None:
+    found = mistakes(tmp_path / "operator.toml", INVALID_FILE)
     assert [(mistake.line, mistake.key) for mistake in found] == [
         (1, "colour"),
         (4, "log.level"),
@@ -59,12 +59,12 @@
     assert found[4].reason == "not an address: 'nowhere'"
 
 
-def test_a_missing_key_is_named_at_its_table(tmp_path: Path) -> None:
+def test_missing_key_is_reported_at_its_table(tmp_path: Path) -> None:
     found = mistakes(tmp_path / "operator.toml", '\n[[front]]\nkind = "resp2"\n')
     assert [(mistake.line, mistake.key) for mistake in found] == [(2, "front.0.listen")]
 
 
-def test_two_fronts_cannot_share_an_address(tmp_path: Path) -> None:
+def test_fronts_with_the_same_address_are_rejected(tmp_path: Path) -> None:
     front = '[[front]]\nkind = "resp2"\nlisten = "127.0.0.1:7001"\n'
     [mistake] = mistakes(tmp_path / "operator.toml", front + front)
     assert (mistake.line, mistake.key) == (1, "front")
@@ -72,13 +72,13 @@
 
 
 @pytest.mark.parametrize(("text", "line"), [("[log]\nlevel = \n", 2), ("[log\n", 1), ("a = 1\na = 2\n", 2)])
-def test_what_is_no_toml_is_named_with_its_line(tmp_path: Path, text: str, line: int) -> None:
+def test_toml_syntax_error_is_reported_with_its_line(tmp_path: Path, text: str, line: int) -> None:
     [mistake] = mistakes(tmp_path / "operator.toml", text)
     assert mistake.line == line
     assert mistake.reason
 
 
-def test_a_file_that_is_not_there_or_no_text_is_one_mistake(tmp_path: Path) -> None:
+def test_missing_or_binary_file_is_one_mistake(tmp_path: Path) -> None:
     path = tmp_path / "operator.toml"
     with pytest.raises(FileMistakesError, match="cannot be read"):
         model.load(path)
@@ -91,7 +91,7 @@
 
 
 @given(st.dictionaries(names, st.lists(st.dictionaries(names, st.integers(0, 9)), max_size=3), max_size=4))
-def test_each_key_is_found_on_its_line(tables: dict[str, list[dict[str, int]]]) -> None:
+def test_key_lines_finds_each_key(tables: dict[str, list[dict[str, int]]]) -> None:
     lines, wanted = list[str](), dict[tuple[str | int, ...], int]()
     for table, items in tables.items():
         for at, item in enumerate(items):
@@ -101,26 +101,26 @@
             for key, value in item.items():
                 lines.append(f"  {key} = {value}")
                 wanted[(table, at, key)] = len(lines)
-    found = places("\n".join(lines))
+    found = key_lines("\n".join(lines))
     assert {key: line_of(found, key) for key in wanted} == wanted
     assert ("not", 0) not in found
 
 
-def test_check_says_what_is_wrong_and_ends_with_2(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+def test_check_prints_mistakes_and_exits_with_2(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
     path = tmp_path / "operator.toml"
-    path.write_text(WRONG, encoding="utf-8")
+    path.write_text(INVALID_FILE, encoding="utf-8")
     assert main(["check", str(path)]) == 2
     told = capsys.readouterr().err.splitlines()
     assert len(told) == 6
     assert told[0].startswith(f"{path}:1: colour: ")
 
 
-def test_the_file_that_is_shipped_switches_nothing_on() -> None:
-    assert model.load(ROOT / "deploy" / "operator.toml") == NOTHING
+def test_shipped_file_enables_nothing() -> None:
+    assert model.load(ROOT / "deploy" / "operator.toml") == DEFAULT_EXTRAS
     assert main(["check", str(ROOT / "deploy" / "operator.toml")]) == 0
 
 
-def test_what_the_shipped_file_shows_is_in_order(tmp_path: Path) -> None:
+def test_commented_examples_in_the_shipped_file_are_valid(tmp_path: Path) -> None:
     shown = [
         line.removeprefix("# ")
         for line in (ROOT / "deploy" / "operator.toml").read_text(encoding="utf-8").splitlines()
@@ -133,7 +133,7 @@
     assert found.fleet is not None and found.fleet.address == "127.0.0.1:7101" and len(found.fleet.seeds) == 2
 
 
-def test_the_run_line_imports_nothing_of_what_is_off() -> None:
+def test_optional_modules_are_not_imported_by_run() -> None:
     """Some days have 32 MB: off means not even imported."""
     code = "import sys, mallowlug.cli.run; print(*sys.modules)"
     command = [sys.executable, "-c", code]
@@ -145,7 +145,7 @@
     assert not modules & absent
 
 
-async def second_front(world: World, connections: int) -> tuple[str, int]:
+async def write_second_front(world: World, connections: int) -> tuple[str, int]:
     """Write an operator file with a listener beside the platform's; its address."""
     address = "127.77." + ".".join(world.address.split(".")[2:])
     (world.folder / "operator.toml").write_text(
@@ -156,8 +156,8 @@
     return address, world.port
 
 
-async def test_a_second_front_serves_on_the_same_core(world: World) -> None:
-    address, port = await second_front(world, 4)
+async def test_second_front_shares_the_core(world: World) -> None:
+    address, port = await write_second_front(world, 4)
     host = await world.add("h1")
     world.words = ("run", "--operator", str(world.folder / "operator.toml"))
     first = await world.run()
@@ -173,8 +173,8 @@
     assert await soon(world.process.wait()) == 0
 
 
-def test_an_event_names_its_message_and_the_frames_of_its_cause() -> None:
-    made = logs.formatter("n1", "c0ffee")
+def test_json_log_record_has_message_id_and_traceback() -> None:
+    made = logs.build_formatter("n1", "c0ffee")
     try:
         raise ValueError("why")
     except ValueError:
@@ -187,8 +187,8 @@
     assert "secret" not in told
 
 
-async def test_more_connections_than_there_are_descriptors_for_are_a_mistake(world: World) -> None:
-    await second_front(world, world.sockets)
+async def test_front_connections_above_the_descriptor_limit_are_rejected(world: World) -> None:
+    await write_second_front(world, world.sockets)
     process = await asyncio.create_subprocess_exec(
         sys.executable, "-m", "mallowlug", "run", "--operator", str(world.folder / "operator.toml"),
         cwd=ROOT, env=world.environment(), stderr=asyncio.subprocess.PIPE,
@@ -200,7 +200,7 @@
     assert line["event"].startswith("configuration: front: at most 256 connections")
 
 
-async def test_without_the_file_one_listener_is_open_and_no_validation_library(world: World) -> None:
+async def test_without_operator_file_one_listener_and_no_pydantic(world: World) -> None:
     world.settings["x"] = delivered.__name__  # a word that nobody knows changes nothing
     await world.run()
     assert world.process is not None
--- a/tests/test_pushed.py
+++ b/tests/test_pushed.py
@@ -6,8 +6,8 @@
 from dataclasses import replace
 from types import SimpleNamespace
 
-from mallowlug.compose import LEAST_ANSWER_S, answer_s
-from mallowlug.config import config_of
+from mallowlug.compose import MIN_ANSWER_S, watch_answer_timeout_s
+from mallowlug.config import parse_config
 from mallowlug.directory.discovery import FIRST_S, Watch
 from mallowlug.system import POSIX
 from mossfront import DecisionEngine
@@ -63,7 +63,7 @@
     world.settings |= {"discovery": "push"}
     world.environment()
     assert told_s(world, GRACE_US) == GRACE_US / 4e6
-    assert told_s(world, 0) == LEAST_ANSWER_S
+    assert told_s(world, 0) == MIN_ANSWER_S
     world.settings |= {"discovery": "ask"}
     assert told_s(world, GRACE_US) == FIRST_S
 
@@ -77,7 +77,7 @@
     }  # fmt: skip
 
     machine = SimpleNamespace(environ={"ROUTER_STATE": str(world.state)}, disk=POSIX.disk)
-    return answer_s(config_of(machine, raw))
+    return watch_answer_timeout_s(parse_config(machine, raw))
 
 
 async def indented(world: World, *pieces: bytes) -> None:
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -12,7 +12,7 @@
     return [request.target for request in directory.seen if request.method == "GET"]
 
 
-async def test_the_watch_moves_from_the_version_that_is_held(world: World) -> None:
+async def test_reload_moves_the_watch_at_the_held_version(world: World) -> None:
     """SIGHUP without a handler ends the process; a watch that stays tells nothing any more."""
     host = await world.add("h1")
     client = await world.run()
@@ -32,7 +32,7 @@
     assert await client.command(b"PING") == b"+PONG"
 
 
-async def test_the_old_watch_tells_on_until_the_new_address_is_up(world: World) -> None:
+async def test_old_watch_stays_until_the_new_address_answers(world: World) -> None:
     """No change may be lost between the two."""
     client = await world.run()
     await world.directory.until(lambda: watches(world.directory))
@@ -65,7 +65,7 @@
 @pytest.mark.parametrize(
     "text", ["", "{", "[]", "{}", '{"settings": 5}', '{"settings": {}, "discovery": "x"}', "[" * 100_000]
 )
-async def test_a_file_that_cannot_be_used_changes_nothing(world: World, text: str) -> None:
+async def test_unusable_file_changes_nothing(world: World, text: str) -> None:
     world.name(2)
     client = await world.run()
     await world.directory.until(lambda: watches(world.directory))
@@ -79,7 +79,7 @@
     assert len(watches(world.directory)) == 1
 
 
-async def test_sighup_twice_and_back_again(world: World) -> None:
+async def test_repeated_sighup_and_return_to_the_first_address(world: World) -> None:
     client = await world.run()
     await world.directory.until(lambda: watches(world.directory))
     first = await world.move()
@@ -95,7 +95,7 @@
     assert (await host.call(0)).ids == ["m1"]
 
 
-async def test_sighup_during_the_shutdown(world: World) -> None:
+async def test_sighup_during_shutdown(world: World) -> None:
     """It must neither end the process early nor be lost: notices are still owed."""
     host = await world.add("h1", silent)
     client = await world.run()
@@ -112,7 +112,7 @@
 
 
 @pytest.mark.parametrize("moved_again", [False, True])
-async def test_the_variable_counts_until_a_reload_and_then_the_file(world: World, moved_again: bool) -> None:
+async def test_reload_overrides_the_discovery_variable(world: World, moved_again: bool) -> None:
     """A supervisor starts the next life with the variable of the first; a new variable counts again."""
     variable = f"127.0.0.1:{world.directory.port}"
     world.variables["ROUTER_DISCOVERY"] = variable
--- a/tests/test_seams.py
+++ b/tests/test_seams.py
@@ -10,43 +10,46 @@
 
 from tests.world import ROOT
 
-RELAY = (
+RELAY_SOURCES = (
     "compose.py", "config.py", "console", "core", "directory", "ends", "fronts", "net", "partners", "upgrade",
 )  # fmt: skip
-MODULES = {"time", "secrets", "os", "shutil", "subprocess", "threading", "tempfile"}
-CALLS = {
+FORBIDDEN_MODULES = {"time", "secrets", "os", "shutil", "subprocess", "threading", "tempfile"}
+FORBIDDEN_CALLS = {
     "socket.socket", "socket.create_server", "socket.create_connection", "random.random", "random.choice",
     "random.randint", "random.uniform", "random.SystemRandom", "asyncio.open_connection",
     "asyncio.start_server", "asyncio.create_subprocess_exec", "open",
 }  # fmt: skip
-METHODS = {
+FORBIDDEN_METHODS = {
     "read_text", "read_bytes", "write_text", "write_bytes", "unlink", "mkdir", "exists", "stat", "iterdir",
 }  # fmt: skip
 
 
-def touches(text: str) -> Iterator[str]:
+def forbidden_uses(text: str) -> Iterator[str]:
     """What in a module's text goes to the machine past ``mallowlug/system.py``."""
     for node in ast.walk(ast.parse(text)):
         if isinstance(node, ast.Import):
-            yield from (alias.name for alias in node.names if alias.name in MODULES)
-        elif isinstance(node, ast.ImportFrom) and node.module in MODULES:
+            yield from (alias.name for alias in node.names if alias.name in FORBIDDEN_MODULES)
+        elif isinstance(node, ast.ImportFrom) and node.module in FORBIDDEN_MODULES:
             yield node.module
         elif isinstance(node, ast.Call):
             name = ast.unparse(node.func)
             through_disk = name.endswith(("disk.unlink", "disk.open", "disk.read"))
-            if name in CALLS or (name.rpartition(".")[2] in METHODS and not through_disk):
+            if name in FORBIDDEN_CALLS or (name.rpartition(".")[2] in FORBIDDEN_METHODS and not through_disk):
                 yield name
 
 
-def files() -> Iterator[Path]:
-    for name in RELAY:
+def source_files() -> Iterator[Path]:
+    for name in RELAY_SOURCES:
         path = ROOT / "mallowlug" / name
         yield from [path] if path.is_file() else sorted(path.rglob("*.py"))
     yield from sorted((ROOT / "mossfront").glob("*.py"))
 
 
-def test_nothing_goes_past_the_one_place() -> None:
-    found = {str(path.relative_to(ROOT)): list(touches(path.read_text(encoding="utf-8"))) for path in files()}
+def test_only_system_module_calls_the_operating_system() -> None:
+    found = {
+        str(path.relative_to(ROOT)): list(forbidden_uses(path.read_text(encoding="utf-8")))
+        for path in source_files()
+    }
     assert len(found) > 15
     assert {path: names for path, names in found.items() if names} == {}
 
@@ -59,5 +62,5 @@
         "from pathlib import Path\nPath('x').read_text()", "open('x')", "import secrets",
     ],
 )  # fmt: skip
-def test_a_planted_call_is_found(planted: str) -> None:
-    assert list(touches(planted))
+def test_forbidden_use_is_detected(planted: str) -> None:
+    assert list(forbidden_uses(planted))
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from mallowlug.config import lacking, shape_of
+from mallowlug.config import key_shape, missing_keys
 from mallowlug.core.journal import MOST_RULES, Journal
 from mallowlug.system import POSIX
 from mossfront import interface as api
@@ -166,8 +166,8 @@
     ],
 )
 def test_what_a_file_lacks_is_named(value: Any, want: list[str]) -> None:
-    shape = shape_of({"a": 1, "b": {"c": 2}, "d": [{"e": 1, "f": 2}, {"e": 3}]})
-    assert list(lacking(value, shape)) == want
+    shape = key_shape({"a": 1, "b": {"c": 2}, "d": [{"e": 1, "f": 2}, {"e": 3}]})
+    assert list(missing_keys(value, shape)) == want
 
 
 def test_rules_are_kept_for_as_long_as_a_message_lives_by_them(tmp_path: Path) -> None:
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -61,9 +61,9 @@
 @pytest.mark.parametrize("count", [MANY, MANY + 1])
 def test_a_successor_is_told_of_so_many_hosts(count: int, tmp_path: Path) -> None:
     binds = handed_over(HOSTS[:count])
-    assert handover_file.keep(tmp_path, POSIX.disk, binds)
+    assert handover_file.write(tmp_path, POSIX.disk, binds)
     assert (tmp_path / handover_file.FILE).stat().st_size <= ROOMY.binds
-    kept = handover_file.take(tmp_path, POSIX.disk)
+    kept = handover_file.read(tmp_path, POSIX.disk)
     assert kept is not None
     assert (kept.seq, len(kept.rows), len(kept.learned)) == (41, count, count)
 
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -19,33 +19,39 @@
 from mallowlug.core.handover import HandoverState
 from mallowlug.system import POSIX
 from mallowlug.upgrade import handover_file
-from tests.test_upgrade import Process, beside, served, until_ready
+from tests.test_upgrade import Process, start_relay, start_second_process, wait_until_ready
 from tests.world import CLASSES, TIMES, Client, World, called, silent, soon
 
-NEW: dict[str, Any] = {"name": "new", "effect": "unsafe", "key_scope": "all", "dedup_window_us": 0, **TIMES}
+NEW_CLASS: dict[str, Any] = {
+    "name": "new",
+    "effect": "unsafe",
+    "key_scope": "all",
+    "dedup_window_us": 0,
+    **TIMES,
+}
 
 
-def deaf(world: World) -> None:
+def block_sighup_exchange(world: World) -> None:
     """Nothing can be written where processes tell each other of a SIGHUP."""
     (world.state / "hup").mkdir()
 
 
-async def in_line(world: World) -> tuple[Process, int]:
+async def start_waiting_process(world: World) -> tuple[Process, int]:
     """A second process that waits, as the first one stands still."""
     assert world.process is not None
     os.kill(world.process.pid, signal.SIGSTOP)
-    process, console = await beside(world)
-    await until_ready(console, False)
+    process, console = await start_second_process(world)
+    await wait_until_ready(console, False)
     return process, console
 
 
-def go_on(world: World) -> None:
+def resume_first_process(world: World) -> None:
     """The first process goes on; signals that came meanwhile are there at once."""
     assert world.process is not None
     os.kill(world.process.pid, signal.SIGCONT)
 
 
-async def loaded(console: int, name: str = "conf_loaded_total") -> None:
+async def wait_for_metric(console: int, name: str = "conf_loaded_total") -> None:
     """Wait until a process has taken a file, or turned it down."""
 
     async def counted() -> None:
@@ -55,87 +61,87 @@
     await soon(counted())
 
 
-async def ends_at_the_new_address(world: World, client: Client, ref: str, cls: str = "unsafe") -> None:
+async def assert_result_at_new_address(world: World, client: Client, ref: str, cls: str = "unsafe") -> None:
     """An unsafe message whose call breaks has its end told at the address that is in force."""
     world.hosts["h1"].default = lambda request: request.reset()
     assert await client.hand_in(ref, cls) == b"+OK"
     assert await world.directory.notice(ref) == {"ref": ref, "result": "dead"}
 
 
-def break_file(world: World) -> None:
+def truncate_config(world: World) -> None:
     """The file is cut off in the middle; nobody is told."""
     path = world.folder / "config.json"
     path.write_text(path.read_text(encoding="utf-8")[:200], encoding="utf-8")
 
 
 @pytest.mark.parametrize("broken", [False, True])
-async def test_a_reload_in_between_counts_by_address_and_by_settings(world: World, broken: bool) -> None:
+async def test_reload_before_the_takeover_applies_to_the_new_owner(world: World, broken: bool) -> None:
     """Where the file is broken by then, the former process's settings go over, and its address."""
-    client, console = await served(world, "h1")
+    client, console = await start_relay(world, "h1")
     host, old = world.hosts["h1"], world.directory
     host.default = silent
     await client.hand_in("m0", "unsafe")
     await host.call(0)  # it is out, so the first process does not hand over at once
-    deaf(world)
-    process, second = await in_line(world)
+    block_sighup_exchange(world)
+    process, second = await start_waiting_process(world)
     await world.move()
-    world.settings["request_classes"] = [*CLASSES, NEW]
+    world.settings["request_classes"] = [*CLASSES, NEW_CLASS]
     await world.reload()
-    go_on(world)
+    resume_first_process(world)
     if broken:
-        await loaded(console)
-        break_file(world)
-    await until_ready(second)
+        await wait_for_metric(console)
+        truncate_config(world)
+    await wait_until_ready(second)
     world.former, world.process = world.process, process  # type: ignore[assignment]
     world.others.append(world.former)
     world.former.kill()
     await world.former.wait()
-    await ends_at_the_new_address(world, await world.client(), "m1", "new")
+    await assert_result_at_new_address(world, await world.client(), "m1", "new")
     assert all(notice["ref"] != "m1" for notice in old.notices)
 
 
-async def test_where_nothing_was_handed_over_the_file_counts(world: World) -> None:
+async def test_file_applies_when_nothing_was_handed_over(world: World) -> None:
     """The first process is killed as it stands still: it never heard of the file, nor told of it."""
-    await served(world, "h1")
-    deaf(world)
-    process, second = await in_line(world)
+    await start_relay(world, "h1")
+    block_sighup_exchange(world)
+    process, second = await start_waiting_process(world)
     await world.move()
-    world.settings["request_classes"] = [*CLASSES, NEW]
+    world.settings["request_classes"] = [*CLASSES, NEW_CLASS]
     world.environment()
     assert world.process is not None
     world.process.kill()
     await world.process.wait()
-    await until_ready(second)
+    await wait_until_ready(second)
     world.process = process
-    await ends_at_the_new_address(world, await world.client(), "m1", "new")
+    await assert_result_at_new_address(world, await world.client(), "m1", "new")
 
 
-async def test_a_file_broken_with_nobody_left_to_ask_leaves_it_as_it_started(world: World) -> None:
-    await served(world, "h1")
-    deaf(world)
-    process, second = await in_line(world)
-    break_file(world)
+async def test_broken_file_without_a_handover_keeps_the_startup_config(world: World) -> None:
+    await start_relay(world, "h1")
+    block_sighup_exchange(world)
+    process, second = await start_waiting_process(world)
+    truncate_config(world)
     assert world.process is not None
     world.process.kill()
     await world.process.wait()
-    await until_ready(second)
+    await wait_until_ready(second)
     world.process = process
-    await ends_at_the_new_address(world, await world.client(), "m1")
+    await assert_result_at_new_address(world, await world.client(), "m1")
 
 
-async def test_a_process_in_line_hears_of_a_file_that_is_broken_later(world: World) -> None:
+async def test_waiting_process_reloads_on_sighup_to_the_owner(world: World) -> None:
     """The first process took it, and is killed; the file is cut off meanwhile."""
-    _, console = await served(world, "h1")
+    _, console = await start_relay(world, "h1")
     world.hosts["h1"].default = silent
     client = await world.client()
     await client.hand_in("m0", "unsafe")
     await world.hosts["h1"].call(0)
-    process, second = await beside(world)  # it waits for that call, 1.2 s at most
-    await until_ready(second, False)
+    process, second = await start_second_process(world)  # it waits for that call, 1.2 s at most
+    await wait_until_ready(second, False)
     await world.move()
-    world.settings["request_classes"] = [*CLASSES, NEW]
+    world.settings["request_classes"] = [*CLASSES, NEW_CLASS]
     await world.reload()
-    await loaded(console)
+    await wait_for_metric(console)
     assert world.process is not None
 
     async def heard() -> None:
@@ -145,23 +151,23 @@
     await soon(heard())
     world.process.kill()
     await world.process.wait()
-    await until_ready(second)
-    break_file(world)
+    await wait_until_ready(second)
+    truncate_config(world)
     world.process = process
-    await ends_at_the_new_address(world, await world.client(), "m1", "new")
+    await assert_result_at_new_address(world, await world.client(), "m1", "new")
 
 
-async def test_the_way_back_counts_what_the_later_process_was_told(world: World) -> None:
+async def test_reclaiming_process_applies_the_reload_of_the_dead_owner(world: World) -> None:
     """It got a SIGHUP as the owner, which the first, a door, could not hear of, and is killed."""
-    _, console = await served(world, "h1")
-    deaf(world)
-    process, second = await beside(world)
-    await until_ready(second)
+    _, console = await start_relay(world, "h1")
+    block_sighup_exchange(world)
+    process, second = await start_second_process(world)
+    await wait_until_ready(second)
     await world.move()
-    world.settings["request_classes"] = [*CLASSES, NEW]
+    world.settings["request_classes"] = [*CLASSES, NEW_CLASS]
     world.environment()
     process.send_signal(signal.SIGHUP)
-    await loaded(second)
+    await wait_for_metric(second)
     process.kill()
     await process.wait()
 
@@ -175,28 +181,28 @@
                 pass
 
     client = await soon(owner_again())
-    await until_ready(console)
-    await ends_at_the_new_address(world, client, "m1", "new")
+    await wait_until_ready(console)
+    await assert_result_at_new_address(world, client, "m1", "new")
 
 
-async def test_what_a_reload_put_aside_passes_on_though_the_disk_did_not_take_it(world: World) -> None:
+async def test_overridden_discovery_is_handed_over_when_it_could_not_be_persisted(world: World) -> None:
     """Both were started with the address that was left, in their environment."""
-    (world.state / config.OVERRULED).mkdir()
+    (world.state / config.OVERRIDDEN_FILE).mkdir()
     world.variables["ROUTER_DISCOVERY"] = f"127.0.0.1:{world.directory.port}"
-    _, console = await served(world, "h1")
+    _, console = await start_relay(world, "h1")
     await world.move()
     await world.reload()
-    await loaded(console)
-    process, second = await beside(world)
-    await until_ready(second)
+    await wait_for_metric(console)
+    process, second = await start_second_process(world)
+    await wait_until_ready(second)
     assert world.process is not None
     world.process.kill()
     await world.process.wait()
     world.process = process
-    await ends_at_the_new_address(world, await world.client(), "m1")
+    await assert_result_at_new_address(world, await world.client(), "m1")
 
 
-def configured(folder: Path, monkeypatch: pytest.MonkeyPatch, **changes: Any) -> config.Config:
+def load_changed_config(folder: Path, monkeypatch: pytest.MonkeyPatch, **changes: Any) -> config.Config:
     """A world's file with these keys changed, read."""
     world = World(folder)
     for name, value in world.environment().items():
@@ -207,42 +213,42 @@
     return config.load(POSIX)
 
 
-def test_a_file_that_lacks_what_is_in_force_counts_only_if_this_process_started_with_it(
+def test_incomplete_file_is_accepted_only_if_unchanged_since_start(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setenv("ROUTER_CONSOLE", "127.0.0.1:9")
-    held = configured(tmp_path, monkeypatch, extra={"of": "a later version"})
-    own = configured(tmp_path, monkeypatch)
-    assert config.load_again(POSIX, own, held).told == own.told
-    started = configured(tmp_path, monkeypatch, extra={"of": "another"})
-    configured(tmp_path, monkeypatch)
+    held = load_changed_config(tmp_path, monkeypatch, extra={"of": "a later version"})
+    own = load_changed_config(tmp_path, monkeypatch)
+    assert config.load_for_takeover(POSIX, own, held).file_json == own.file_json
+    started = load_changed_config(tmp_path, monkeypatch, extra={"of": "another"})
+    load_changed_config(tmp_path, monkeypatch)
     with pytest.raises(config.ConfigError, match="missing extra"):
-        config.load_again(POSIX, started, held)
+        config.load_for_takeover(POSIX, started, held)
 
 
 @pytest.mark.parametrize("text", ["", "[]", "{}", '{"settings": 1}', "nonsense", '{"discovery": "x"}'])
-def test_what_was_handed_over_may_be_absurd(
+def test_corrupt_handed_over_config_is_rejected(
     text: str, monkeypatch: pytest.MonkeyPatch, tmp_path: Path
 ) -> None:
-    configured(tmp_path, monkeypatch)
+    load_changed_config(tmp_path, monkeypatch)
     with pytest.raises(config.ConfigError):
-        config.in_force(POSIX, text, "127.0.0.1:1", "")
+        config.config_from_handover(POSIX, text, "127.0.0.1:1", "")
 
 
-def test_what_is_in_force_goes_over_whole_or_not_at_all(tmp_path: Path) -> None:
+def test_config_is_handed_over_whole_or_omitted(tmp_path: Path) -> None:
     """The list is left out before it; only where it alone is too long the file has to do."""
     rng = random.Random(1)  # what nothing makes shorter
     rows = {
         dest: [[rng.randbytes(512).hex(), "127.0.0.1", 80, "a", "k", "ready", 1.0, False]]
         for dest in range(1000)
     }
-    assert handover_file.keep(
+    assert handover_file.write(
         tmp_path, POSIX.disk, HandoverState(seq=7, rows=rows, config="x" * 9000, discovery="a:1")
     )
-    found = handover_file.take(tmp_path, POSIX.disk)
+    found = handover_file.read(tmp_path, POSIX.disk)
     assert found is not None and (found.config, found.rows, found.seq) == ("x" * 9000, {}, -1)
-    assert handover_file.keep(
+    assert handover_file.write(
         tmp_path, POSIX.disk, HandoverState(waits={"h": 5}, config=rng.randbytes(200_000).hex())
     )
-    found = handover_file.take(tmp_path, POSIX.disk)
+    found = handover_file.read(tmp_path, POSIX.disk)
     assert found is not None and (found.config, found.waits) == ("", {"h": 5})
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -18,14 +18,14 @@
 from mallowlug.core.reserved_space import ROOMY
 from mallowlug.system import POSIX, PosixDisk
 from mallowlug.upgrade import handover_file
-from mallowlug.upgrade.locks import Lock, Succession
-from mallowlug.upgrade.spool import Adoption
+from mallowlug.upgrade.locks import Lock, OwnershipLocks
+from mallowlug.upgrade.spool import SpoolReader
 from tests.world import ROOT, Client, World, called, delivered, free_port, silent, soon
 
 Process = asyncio.subprocess.Process
 
 
-async def beside(world: World) -> tuple[Process, int]:
+async def start_second_process(world: World) -> tuple[Process, int]:
     """One more process of the relay on the same folder and addresses, but for its console."""
     console = free_port()
     environment = world.environment() | {"ROUTER_CONSOLE": f"127.0.0.1:{console}"}
@@ -36,13 +36,13 @@
     return process, console
 
 
-async def until_ready(console: int, yes: bool = True) -> None:
+async def wait_until_ready(console: int, ready: bool = True) -> None:
     """Wait for the console's yes, or its no."""
 
     async def reached() -> None:
         while True:
             try:
-                if ((await called(console, "GET", "/ready"))[0] == 200) is yes:
+                if ((await called(console, "GET", "/ready"))[0] == 200) is ready:
                     return
             except (OSError, IndexError):
                 pass
@@ -51,22 +51,22 @@
     await soon(reached())
 
 
-async def served(world: World, *hosts: str) -> tuple[Client, int]:
+async def start_relay(world: World, *hosts: str) -> tuple[Client, int]:
     """A relay with a console and hosts that it knows from its start."""
     for host in hosts:
         await world.add(host)
     world.known = list(world.directory.hosts.values())
     console = world.open_console()
     client = await world.run()
-    await until_ready(console)
+    await wait_until_ready(console)
     return client, console
 
 
-async def follow(world: World) -> int:
+async def upgrade(world: World) -> int:
     """An upgrade up to the yes of the new process; its console."""
     former = world.process
-    process, console = await beside(world)
-    await until_ready(console)
+    process, console = await start_second_process(world)
+    await wait_until_ready(console)
     world.process = process
     assert former is not None
     world.former = former
@@ -74,20 +74,20 @@
     return console
 
 
-async def part(world: World) -> None:
+async def stop_former(world: World) -> None:
     """The former process is told to end, and does."""
     world.former.terminate()
     assert await soon(world.former.wait()) == 0
 
 
-def ids(world: World) -> Counter[str]:
+def call_counts(world: World) -> Counter[str]:
     """How often each message came to any host."""
     return Counter(ref for host in world.hosts.values() for request in host.seen for ref in request.ids)
 
 
-async def test_upgrades_under_load_lose_nothing_and_repeat_nothing(world: World) -> None:
+async def test_repeated_upgrades_under_load_deliver_each_message_once(world: World) -> None:
     """Three upgrades one after the other; clients keep their connections until these are closed."""
-    await served(world, "h1", "h2")
+    await start_relay(world, "h1", "h2")
     stop, sent, met = asyncio.Event(), list[str](), list[str]()
 
     async def load(name: str, client: Client) -> None:
@@ -109,17 +109,17 @@
 
     tasks = [asyncio.create_task(load(f"c{n}", await world.client())) for n in range(3)]
     for _ in range(3):
-        await follow(world)
-        await part(world)
+        await upgrade(world)
+        await stop_former(world)
     stop.set()
     await asyncio.gather(*tasks)
 
     async def all_there() -> None:  # the last one may come to either host
-        while not ids(world).keys() >= set(sent):
+        while not call_counts(world).keys() >= set(sent):
             await asyncio.sleep(0.01)
 
     await soon(all_there())
-    assert set(ids(world).values()) == {1}
+    assert set(call_counts(world).values()) == {1}
     assert world.directory.notices == []
     assert len(sent) > 100
     assert len(met) <= 3 * 3 * 2  # each of three connections may be closed once by each process
@@ -131,26 +131,26 @@
     await soon(tidy())
 
 
-async def test_a_call_that_is_out_ends_before_the_messages_pass_on(world: World) -> None:
-    client, _ = await served(world, "h1")
+async def test_handover_waits_for_open_calls(world: World) -> None:
+    client, _ = await start_relay(world, "h1")
     host = world.hosts["h1"]
     host.default = silent
     await client.hand_in("u1", "unsafe")
     call = await host.call(0)
-    process, console = await beside(world)
+    process, console = await start_second_process(world)
     await asyncio.sleep(0)
     call.answer()
-    await until_ready(console)
+    await wait_until_ready(console)
     await client.hand_in("u2", "unsafe")  # the old process passes it on
     await host.call(1)
-    assert ids(world) == {"u1": 1, "u2": 1}
+    assert call_counts(world) == {"u1": 1, "u2": 1}
     assert world.directory.notices == []
     assert process.returncode is None
 
 
-async def test_a_call_that_outlasts_the_handover_may_have_run(world: World) -> None:
+async def test_call_open_past_the_handover_is_in_doubt(world: World) -> None:
     """The unsafe one is failed and not repeated; the safe one is."""
-    client, _ = await served(world, "h1")
+    client, _ = await start_relay(world, "h1")
     host = world.hosts["h1"]
     host.default = silent
     await client.hand_in("u1", "unsafe")
@@ -158,89 +158,89 @@
     await client.hand_in("s1", "safe")
     await host.call(1)
     host.default = delivered
-    await follow(world)
+    await upgrade(world)
     assert await world.directory.notice("u1") == {"ref": "u1", "result": "dead"}
-    await host.until(lambda: ids(world)["s1"] == 2)
-    assert ids(world)["u1"] == 1
+    await host.until(lambda: call_counts(world)["s1"] == 2)
+    assert call_counts(world)["u1"] == 1
 
 
-async def test_what_a_former_clients_connection_brings_is_delivered_by_the_new_process(world: World) -> None:
-    client, _ = await served(world, "h1")
-    await follow(world)
+async def test_messages_from_connections_of_the_former_process_are_delivered(world: World) -> None:
+    client, _ = await start_relay(world, "h1")
+    await upgrade(world)
     for number in range(5):
         assert await client.hand_in(f"m{number}", "unsafe") == b"+OK"
     assert await client.hand_in("m0", "unsafe") == b"+OK"  # the same once more
     assert await client.hand_in("x1", "nobody") == b"-ERR unknown class"
-    await world.hosts["h1"].until(lambda: len(ids(world)) == 5)
-    assert set(ids(world).values()) == {1}
-    await part(world)
+    await world.hosts["h1"].until(lambda: len(call_counts(world)) == 5)
+    assert set(call_counts(world).values()) == {1}
+    await stop_former(world)
 
 
-async def test_a_new_process_that_dies_in_line_changes_nothing(world: World) -> None:
-    client, console = await served(world, "h1")
+async def test_waiting_process_killed_leaves_the_owner_serving(world: World) -> None:
+    client, console = await start_relay(world, "h1")
     host = world.hosts["h1"]
     for number in range(3):
-        process, _ = await beside(world)
+        process, _ = await start_second_process(world)
         os.kill(process.pid, signal.SIGSTOP)  # before it can take over
         process.kill()
         await process.wait()
         await client.hand_in(f"m{number}", "unsafe")
         await host.call(number)
-    await until_ready(console)
-    assert set(ids(world).values()) == {1}
+    await wait_until_ready(console)
+    assert set(call_counts(world).values()) == {1}
 
 
-async def test_the_old_process_takes_the_messages_back_when_the_new_one_dies(world: World) -> None:
+async def test_former_owner_reclaims_ownership_when_the_new_owner_dies(world: World) -> None:
     world.name(2)
-    client, console = await served(world, "h1")
+    client, console = await start_relay(world, "h1")
     assert await client.hand_in("held", "unsafe", dest=2) == b"+OK"
-    await follow(world)
+    await upgrade(world)
     assert await client.hand_in("spooled", "unsafe", dest=2) == b"+OK"
     assert world.process is not None
     world.process.kill()
     await world.process.wait()
     await client.hand_in("after", "unsafe")
-    await world.hosts["h1"].until(lambda: ids(world)["after"] == 1)
-    await until_ready(console)
+    await world.hosts["h1"].until(lambda: call_counts(world)["after"] == 1)
+    await wait_until_ready(console)
     late = await world.add("h2", block=2)
-    await late.until(lambda: ids(world).keys() == {"held", "spooled", "after"})
-    assert set(ids(world).values()) == {1}
-    again, third = await beside(world)  # and the next upgrade goes as any
-    await until_ready(third)
+    await late.until(lambda: call_counts(world).keys() == {"held", "spooled", "after"})
+    assert set(call_counts(world).values()) == {1}
+    again, third = await start_second_process(world)  # and the next upgrade goes as any
+    await wait_until_ready(third)
     assert await (await world.client()).hand_in("last") == b"+OK"
-    await world.hosts["h1"].until(lambda: ids(world)["last"] == 1)
+    await world.hosts["h1"].until(lambda: call_counts(world)["last"] == 1)
     assert again.returncode is None
 
 
 @pytest.mark.parametrize("before", [True, False])
-async def test_the_old_process_may_be_killed_at_any_time(world: World, before: bool) -> None:
+async def test_former_process_killed_before_or_after_the_handover(world: World, before: bool) -> None:
     """Before the handover, or as a door whose messages are in its file."""
     world.name(2)
-    client, _ = await served(world, "h1")
+    client, _ = await start_relay(world, "h1")
     assert await client.hand_in("m1", "unsafe", dest=2) == b"+OK"
-    process, console = await beside(world)
+    process, console = await start_second_process(world)
     assert world.process is not None
     if before:
         world.process.kill()
-        await until_ready(console)
+        await wait_until_ready(console)
     else:
-        await until_ready(console)
+        await wait_until_ready(console)
         os.kill(process.pid, signal.SIGSTOP)  # the owner does not read now
         assert await client.hand_in("m2", "unsafe", dest=2) == b"+OK"
         world.process.kill()
         await world.process.wait()
         os.kill(process.pid, signal.SIGCONT)
     late = await world.add("h2", block=2)
-    await late.until(lambda: len(ids(world)) == (1 if before else 2))
+    await late.until(lambda: len(call_counts(world)) == (1 if before else 2))
     await called(console, "GET", "/ready")
-    assert set(ids(world).values()) == {1}
+    assert set(call_counts(world).values()) == {1}
 
 
-async def test_a_door_and_the_owner_killed_together_lose_and_repeat_nothing(world: World) -> None:
+async def test_spooler_and_owner_killed_together(world: World) -> None:
     """The next life reads journal and spool; what was adopted is not adopted again."""
     world.name(2)
-    client, _ = await served(world, "h1")
-    await follow(world)
+    client, _ = await start_relay(world, "h1")
+    await upgrade(world)
     assert await client.hand_in("adopted", "unsafe") == b"+OK"
     await world.hosts["h1"].call(0)
     await world.journaled(b'"over"')
@@ -251,13 +251,13 @@
         process.kill()
         await process.wait()
     await world.run()
-    await world.hosts["h1"].until(lambda: ids(world)["not-yet"] == 1)
-    assert ids(world) == {"adopted": 1, "not-yet": 1}
+    await world.hosts["h1"].until(lambda: call_counts(world)["not-yet"] == 1)
+    assert call_counts(world) == {"adopted": 1, "not-yet": 1}
 
 
-async def test_told_waits_and_drains_bind_the_new_process(world: World) -> None:
+async def test_retry_after_waits_and_drains_are_handed_over(world: World) -> None:
     """Its configuration knows an old list; what the old process heard last counts."""
-    client, _ = await served(world, "h1", "h2")
+    client, _ = await start_relay(world, "h1", "h2")
     known = list(world.known)
     for name in ("h1", "h2"):
         world.hosts[name].default = lambda request: request.answer(429, X_Retry_In_Ms="60000")
@@ -269,20 +269,20 @@
     await world.journaled(b'"not"')
     world.known = known
     world.directory.down = True
-    await follow(world)
-    await part(world)
+    await upgrade(world)
+    await stop_former(world)
     assert await (await world.client()).hand_in("m9", d=500) == b"+OK"
     assert (await world.directory.notice("m9"))["result"] == "bounced"
     for host in (world.hosts["h1"], world.hosts["h2"]):  # but for what crossed the first answer
         assert all(request.at_s - host.seen[0].at_s < 0.1 for request in host.seen)
 
 
-async def test_a_host_put_out_at_either_process_is_out_at_both(world: World) -> None:
-    client, console = await served(world, "h1", "h2")
-    process, second = await beside(world)
+async def test_disabled_hosts_are_shared_by_both_processes(world: World) -> None:
+    client, console = await start_relay(world, "h1", "h2")
+    process, second = await start_second_process(world)
     os.kill(process.pid, signal.SIGCONT)
     assert (await called(console, "POST", "/hosts/disable?name=h1"))[0] == 200
-    await until_ready(second)
+    await wait_until_ready(second)
     assert (await called(console, "POST", "/hosts/disable?name=h2"))[0] == 200  # told to the door
     assert (await called(second, "POST", "/hosts/enable?name=h1"))[0] == 200
 
@@ -298,9 +298,9 @@
     assert world.hosts["h2"].seen == []
 
 
-async def test_a_sighup_at_the_door_counts_at_the_owner(world: World) -> None:
-    client, _ = await served(world, "h1")
-    second = await follow(world)
+async def test_sighup_to_the_spooler_reloads_the_owner(world: World) -> None:
+    client, _ = await start_relay(world, "h1")
+    second = await upgrade(world)
     new = {**world.settings["request_classes"][1], "name": "new"}
     world.settings["request_classes"] = [*world.settings["request_classes"], new]
     world.environment()
@@ -319,18 +319,18 @@
     assert "relay_conf_loaded_total 0\n" in text  # it was not this process that got the signal
 
 
-async def test_a_sighup_while_it_waits_in_line_counts_once_it_serves(world: World) -> None:
+async def test_sighup_to_a_waiting_process_applies_after_the_takeover(world: World) -> None:
     """Two of them close together, the first for a file that is cut off."""
-    await served(world, "h1")
+    await start_relay(world, "h1")
     assert world.process is not None
     os.kill(world.process.pid, signal.SIGSTOP)  # it does not hand over meanwhile
-    process, console = await beside(world)
+    process, console = await start_second_process(world)
 
     async def counted(name: str) -> None:
         while f"relay_{name} 1\n" not in (await called(console, "GET", "/metrics"))[1]:
             await asyncio.sleep(0.01)
 
-    await until_ready(console, False)  # it listens, and says no
+    await wait_until_ready(console, False)  # it listens, and says no
     whole = (world.folder / "config.json").read_text(encoding="utf-8")
     (world.folder / "config.json").write_text(whole[: len(whole) // 2], encoding="utf-8")
     process.send_signal(signal.SIGHUP)
@@ -341,20 +341,20 @@
     process.send_signal(signal.SIGHUP)
     await soon(counted("conf_loaded_total"))
     os.kill(world.process.pid, signal.SIGCONT)
-    await until_ready(console)
+    await wait_until_ready(console)
     world.process.kill()
     await world.process.wait()
     assert await (await world.client()).hand_in("m1", "new") == b"+OK"
 
 
-async def test_a_process_in_line_is_not_ready_and_ends_at_once_when_told(world: World) -> None:
-    _, console = await served(world, "h1")
-    first, one = await beside(world)
-    second, two = await beside(world)
+async def test_waiting_processes_become_ready_one_after_the_other(world: World) -> None:
+    _, console = await start_relay(world, "h1")
+    first, one = await start_second_process(world)
+    second, two = await start_second_process(world)
     ready: list[int] = []
 
     async def watch(port: int) -> None:
-        await until_ready(port)
+        await wait_until_ready(port)
         ready.append(port)
 
     watching = [asyncio.create_task(watch(port)) for port in (one, two)]
@@ -367,22 +367,22 @@
         assert process.returncode is None
 
 
-def test_the_line_lets_nobody_take_back_what_somebody_waits_for(tmp_path: Path) -> None:
-    first, second, third = (Succession(tmp_path, POSIX.disk) for _ in range(3))
-    assert first.step_up() and not first.wanted()
-    assert not second.step_up() and not third.step_up()
-    assert first.wanted()
-    first.hand_over()
-    assert not first.take_back() and first.wanted()
-    assert second.step_up() and not second.wanted()
-    assert not third.step_up() and second.wanted()
-    third.leave()
-    assert not second.wanted() and not first.take_back()
-    second.leave()  # it dies
-    assert first.take_back() and first.owns
+def test_ownership_is_not_reclaimed_while_a_successor_waits(tmp_path: Path) -> None:
+    first, second, third = (OwnershipLocks(tmp_path, POSIX.disk) for _ in range(3))
+    assert first.try_become_owner() and not first.has_successor()
+    assert not second.try_become_owner() and not third.try_become_owner()
+    assert first.has_successor()
+    first.release_ownership()
+    assert not first.try_reclaim() and first.has_successor()
+    assert second.try_become_owner() and not second.has_successor()
+    assert not third.try_become_owner() and second.has_successor()
+    third.release_all()
+    assert not second.has_successor() and not first.try_reclaim()
+    second.release_all()  # it dies
+    assert first.try_reclaim() and first.owns
 
 
-def test_a_door_that_looks_is_not_taken_for_one_that_waits(tmp_path: Path) -> None:
+def test_reclaim_attempt_is_not_mistaken_for_a_waiting_successor(tmp_path: Path) -> None:
     """The owner looks in the middle of the door's look; it handed over to nobody once, every few seconds."""
     seen = list[bool]()
 
@@ -392,29 +392,29 @@
         @staticmethod
         def lock(fd: int) -> bool:
             held = PosixDisk.lock(fd)
-            seen.append(second.wanted())
+            seen.append(second.has_successor())
             return held
 
-    second, first = Succession(tmp_path, POSIX.disk), Succession(tmp_path, Between())
-    assert second.step_up()
-    assert not first.take_back()
+    second, first = OwnershipLocks(tmp_path, POSIX.disk), OwnershipLocks(tmp_path, Between())
+    assert second.try_become_owner()
+    assert not first.try_reclaim()
     assert seen and not any(seen)
-    second.leave()
-    assert first.take_back()
+    second.release_all()
+    assert first.try_reclaim()
 
 
-def test_what_a_living_door_has_begun_is_not_tidied_away(tmp_path: Path) -> None:
+def test_unfinished_file_of_a_live_spooler_is_kept(tmp_path: Path) -> None:
     """The door was told that its file is gone, and refused a message, once in some runs."""
     living, dead = tmp_path / "new.door.1", tmp_path / "new.door.2"
     lock = Lock(living, POSIX.disk)
-    assert lock.take()
+    assert lock.acquire()
     dead.touch()
-    Adoption(tmp_path, POSIX.disk).tidy()
+    SpoolReader(tmp_path, POSIX.disk).remove_unfinished_files()
     assert living.exists() and not dead.exists()
-    lock.free()
+    lock.release()
 
 
-class Unreadable(PosixDisk):
+class NoDescriptorsDisk(PosixDisk):
     """A machine without descriptors."""
 
     @staticmethod
@@ -426,16 +426,16 @@
         raise OSError(24, "Too many open files")
 
 
-def test_without_a_descriptor_the_owner_serves_on(tmp_path: Path, caplog: pytest.LogCaptureFixture) -> None:
+def test_owner_keeps_serving_without_descriptors(tmp_path: Path, caplog: pytest.LogCaptureFixture) -> None:
     """Crowds of clients use descriptors up; the looks go on many times a second, and are told once."""
-    line = Succession(tmp_path, Unreadable())
-    assert [line.wanted() for _ in range(50)] == [False] * 50
-    assert not line.step_up() and not line.take_back()
+    line = OwnershipLocks(tmp_path, NoDescriptorsDisk())
+    assert [line.has_successor() for _ in range(50)] == [False] * 50
+    assert not line.try_become_owner() and not line.try_reclaim()
     assert caplog.text.count("Too many open files") == 1
-    assert Adoption(tmp_path, Unreadable()).look(Mock())
+    assert SpoolReader(tmp_path, NoDescriptorsDisk()).adopt_spooled(Mock())
 
 
-def test_a_file_of_what_binds_is_bounded_and_may_be_absurd(tmp_path: Path) -> None:
+def test_handover_file_is_bounded_and_corrupt_files_are_ignored(tmp_path: Path) -> None:
     rng = random.Random(1)  # ids that nothing makes shorter: a kilobyte each
     rows = {
         dest: [[rng.randbytes(512).hex(), "127.0.0.1", 80, "a", "k", "ready", 1.0, False]]
@@ -444,25 +444,25 @@
     many = HandoverState(
         {"h1": 5}, [("h1", 5, 1.0, 2.0, 3.0, -1, 0)], 7, rows, [f"id-{n}" for n in range(512)]
     )
-    assert handover_file.keep(tmp_path, POSIX.disk, many)
+    assert handover_file.write(tmp_path, POSIX.disk, many)
     assert (tmp_path / "binds").stat().st_size <= ROOMY.binds
-    kept = handover_file.take(tmp_path, POSIX.disk)
+    kept = handover_file.read(tmp_path, POSIX.disk)
     assert kept is not None
     assert (kept.waits, kept.seq, kept.rows, kept.over) == ({"h1": 5}, -1, {}, [])
-    bomb = zlib.compress(b" " * (handover_file.MOST_PLAIN + 1))
+    bomb = zlib.compress(b" " * (handover_file.MAX_DECOMPRESSED_BYTES + 1))
     for data in (b"", b"{", b"[]", b'{"waits": 5}', b"\xff" * 100, zlib.compress(b"{}")[:-3], bomb):
         (tmp_path / "binds").write_bytes(data)
-        assert handover_file.take(tmp_path, POSIX.disk) is None
-    handover_file.drop(tmp_path, POSIX.disk)
-    handover_file.drop(tmp_path, POSIX.disk)
-    assert handover_file.take(tmp_path, POSIX.disk) is None
+        assert handover_file.read(tmp_path, POSIX.disk) is None
+    handover_file.delete(tmp_path, POSIX.disk)
+    handover_file.delete(tmp_path, POSIX.disk)
+    assert handover_file.read(tmp_path, POSIX.disk) is None
 
 
-async def test_a_console_that_is_busy_does_not_stop_an_upgrade(world: World) -> None:
+async def test_upgrade_with_all_console_connections_occupied(world: World) -> None:
     """Callers that say nothing sit at both consoles."""
-    _, console = await served(world, "h1")
+    _, console = await start_relay(world, "h1")
     idle = [await asyncio.open_connection("127.0.0.1", console) for _ in range(100)]
-    await follow(world)
-    await part(world)
+    await upgrade(world)
+    await stop_former(world)
     for _, writer in idle:
         writer.close()
