--- a/mallowlug/upgrade/__init__.py
+++ b/mallowlug/upgrade/__init__.py
@@ -1,1 +1,1 @@
-"""Two processes of one relay on one folder: who owns the messages, and how that passes on."""
+"""Upgrades: two processes of one relay share a state folder and pass the ownership of messages on."""
--- a/mallowlug/upgrade/coordinator.py
+++ b/mallowlug/upgrade/coordinator.py
@@ -1,7 +1,8 @@
-"""The places of one process in an upgrade, one after the other: waiting, owner, door.
+"""The roles of one process in an upgrade: first waiting, then owner, then spooling for its successor.
 
-Nothing here opens a socket or knows how a relay is put together: ``Staff`` does both. What two processes have
-to hear of each other's staff (hosts out by hand, a SIGHUP) passes through small files that both look at.
+This module opens no socket and does not compose the relay; ``ProcessControl`` does both. Operators' actions
+at one process that also concern the other (hosts disabled by an operator, SIGHUP) are passed on through small
+files that both processes poll.
 """
 
 from __future__ import annotations
@@ -22,47 +23,47 @@
 from mallowlug.upgrade.spool import SpoolReader, SpoolWriter
 
 LOG = logging.getLogger(__name__)
-POLL_S, IDLE_POLL_S = 0.02, 0.1  # s between looks while two processes may be there, and else
-CALL_DRAIN_S = 1.2  # s for calls that are out to end before the messages pass on; ready is due after 6 s
-OVERLAP_S = 15.0  # s after a handover in which the other process is counted on
-HUP_FILE = "hup"  # file: a byte for each SIGHUP that either process got
+POLL_S, IDLE_POLL_S = 0.02, 0.1  # poll intervals while a second process may exist, and otherwise
+CALL_DRAIN_S = 1.2  # s for open calls to end before the handover; the successor must be ready within 6 s
+OVERLAP_S = 15.0  # s after a takeover for which the other process is assumed to exist
+HUP_FILE = "hup"  # holds one byte for each SIGHUP that either process received
 
 
 class ProcessControl(Protocol):
-    """What the process does for its places."""
+    """What the coordinator needs of the process around it."""
 
     @property
     def core(self) -> RelayCore | None:
-        """The relay's core, while this process owns the messages; then as it was."""
+        """The relay core; None before the first takeover, the retired one after a handover."""
 
     def apply_config_in_force(self, handover: HandoverState | None) -> None:
-        """Go by what is in force at the take-over."""
+        """Apply the configuration in force at the takeover."""
 
     def start_core(self, handover: HandoverState | None) -> RelayCore:
-        """Read the journal and go on from it."""
+        """Replay the journal and start a core from it."""
 
     def handover_state(self) -> HandoverState:
-        """What binds a successor beside the journal."""
+        """The state that a successor needs and that is not in the journal."""
 
     def retire(self) -> None:
-        """Close the journal and let go of everything that is out."""
+        """Close the journal and abandon the open calls."""
 
     def set_intake(self, intake: Intake) -> None:
-        """What clients bring goes there from now on."""
+        """Send what clients submit to this intake from now on."""
 
     def refresh_disabled_hosts(self) -> None:
-        """The other process's staff may have put a host out or back."""
+        """Read again which hosts are disabled, as an operator may have changed them at the other process."""
 
     def reload_config(self) -> bool:
-        """The other process got a SIGHUP."""
+        """Read the configuration file again, after a SIGHUP at the other process."""
 
     @property
     def terminating(self) -> bool:
-        """Whether SIGTERM has come."""
+        """Whether SIGTERM was received."""
 
 
 class OrderedIntake:
-    """The owner's intake: what a door took on before comes first, where order is kept."""
+    """The owner's intake while spool files may exist: keeps the order of spooled and new messages."""
 
     def __init__(self, core: RelayCore, spool_reader: SpoolReader) -> None:
         self._core, self._spool_reader = core, spool_reader
@@ -70,18 +71,18 @@
 
     @property
     def refusal(self) -> Refused:
-        """A refusal at the door, with when to come back."""
+        """The refusal for a front that cannot accept a request, with a wait before a retry."""
         return self._core.refusal
 
     def submit(self, submission: Submission, body: bytes) -> Answer:
-        """As the core does."""
+        """Submit to the core; before an ordered message, adopt what a former owner accepted earlier."""
         if submission.order:
             self._spool_reader.adopt_spooled(self._core)
         return self._core.submit(submission, body)
 
 
 class UpgradeCoordinator:
-    """One process's way through its places."""
+    """Takes one process through its roles, back to owner if its successor dies."""
 
     def __init__(
         self,
@@ -92,33 +93,33 @@
         *,
         max_handover_bytes: int = ROOMY.binds,
     ) -> None:
-        """``most_binds``: bytes of the file that is handed over."""
+        """``max_handover_bytes`` limits the handover file."""
         self._max_handover_bytes = max_handover_bytes
         self._folder, self._disk, self._process, self._durable = folder, disk, process, durable
         self.locks = OwnershipLocks(folder, disk)
         self._spool_reader = SpoolReader(folder, disk, durable)
-        self._sighups_seen = 0  # of the SIGHUPs that either process got: how many this one goes by
+        self._sighups_seen = 0  # SIGHUPs of both processes that this one has applied
         self._sighups_seen = self._count_sighups()
-        self._handed_over: HandoverState | None = None  # what this process has handed over
-        self._sighup_pending = False  # whether this process got one that the other cannot have heard of yet
-        self._overlap_until_s = 0.0  # loop's time until which another process is counted on
+        self._handed_over: HandoverState | None = None  # the state this process wrote at its last handover
+        self._sighup_pending = False  # a SIGHUP of this process is not in the file yet
+        self._overlap_until_s = 0.0  # loop time until which another process is assumed to exist
         self.spool_writer: SpoolWriter | None = None
-        self.had_predecessor = False  # whether this process took over from one that was there
+        self.had_predecessor = False  # whether another process owned the messages when this one started
 
     async def wait_for_ownership(self) -> None:
-        """Wait until this process owns the messages."""
+        """Wait until this process owns the messages, and apply operators' actions meanwhile."""
         self.had_predecessor = not self.locks.try_become_owner()
         while not self.locks.owns:
             await asyncio.sleep(POLL_S / 2)
-            self._exchange_news()  # a file that is broken by the time of the take-over may be whole now
+            self._exchange_news()  # the file may be valid now and broken at the takeover
             self.locks.try_become_owner()
 
     def take_over(self) -> None:
-        """Go on from what the one before has left.
+        """Become the owner: apply the handover state and the configuration, and start the core.
 
-        In this order, so that a file that changes in this very moment is heeded all the same: the count of
-        the SIGHUPs first, so that a later one is news; then what was handed over, which no process changes
-        any more; then the file itself.
+        The order makes sure that a configuration file that changes meanwhile is not missed: first the count
+        of SIGHUPs, so that a later one is noticed; then the handover file, which no process changes any more;
+        then the configuration file itself.
         """
         self._spool_reader.remove_unfinished_files()
         self._sighups_seen = self._count_sighups()
@@ -135,41 +136,39 @@
         self._overlap_until_s = loop.time() + OVERLAP_S
 
     async def run(self) -> None:
-        """From owner to door and back, for as long as the process lasts."""
+        """Alternate between owner and spooling for as long as the process runs."""
         while True:
             await self._run_as_owner()
             if not await self._hand_over():
                 continue
             await self._run_as_spooler()
-            LOG.warning("upgrade: the process that was to follow is gone; taking the messages back")
+            LOG.warning("upgrade: the successor is gone; reclaiming ownership of the messages")
             if self.spool_writer is not None:
                 self.spool_writer.close()
             self.take_over()
             self.spool_writer = None
 
     async def _run_as_owner(self) -> None:
-        """Serve until somebody waits to follow."""
+        """Serve as the owner until a successor waits."""
         loop = asyncio.get_running_loop()
         while not self.locks.has_successor():
-            overlapping = loop.time() < self._overlap_until_s
+            overlap = loop.time() < self._overlap_until_s
             if self._process.core is not None and self._spool_reader.adopt_spooled(self._process.core):
-                overlapping, self._overlap_until_s = (
-                    True,
-                    max(self._overlap_until_s, loop.time() + OVERLAP_S / 5),
-                )
+                overlap, self._overlap_until_s = True, max(self._overlap_until_s, loop.time() + OVERLAP_S / 5)
             self._exchange_news()
-            if not overlapping and self._process.core is not None:
+            if not overlap and self._process.core is not None:
                 self._process.set_intake(self._process.core)
-            await asyncio.sleep(POLL_S if overlapping else IDLE_POLL_S)
+            await asyncio.sleep(POLL_S if overlap else IDLE_POLL_S)
 
     async def _hand_over(self) -> bool:
-        """Start nothing more, let end what is out, write down what binds, let go.
+        """Pause the core, let open calls end, write the handover file and release ownership.
 
-        Not while the disk does not take what the journal owes it: the next process would read an older state.
+        Return False, and go on as the owner, if the journal or the handover file cannot be written: the
+        successor would start from an older state.
         """
         core, loop = self._process.core, asyncio.get_running_loop()
         assert core is not None
-        LOG.info("upgrade: a process waits to follow; letting calls end")
+        LOG.info("upgrade: a successor waits; letting open calls end before the handover")
         start_s = loop.time()
         self._exchange_news()
         core.pause(True)
@@ -177,35 +176,35 @@
             self._exchange_news()
             await asyncio.sleep(POLL_S / 4)
         self._spool_reader.adopt_spooled(core)
-        self._exchange_news()  # the last moment: from here to the end nothing else runs in this process
+        self._exchange_news()  # the last exchange: nothing else runs in this process from here to the end
         handover = self._process.handover_state()
         if not (
             core.flush_journal()
             and handover_file.write(self._folder, self._disk, handover, self._max_handover_bytes)
         ):
-            LOG.warning("upgrade: the disk is full or failing; serving on")
+            LOG.warning("upgrade: the journal or the handover file cannot be written; staying the owner")
             core.pause(False)
             await asyncio.sleep(IDLE_POLL_S)
             return False
-        # Whoever follows may have read it, and be gone: then the waits in it still bind this process. Not the
-        # list, as that one may have heard of a drain since.
+        # If the successor dies after it has deleted the file, this process still has to honour the waits in
+        # it. It must not reuse the endpoint list: the successor may have learned of a drain since.
         handover.seq, handover.rows = -1, {}
         self._handed_over = handover
         self.spool_writer = SpoolWriter(self._folder, self._disk, core, self._durable)
         self._process.retire()
         self._process.set_intake(self.spool_writer)
         self.locks.release_ownership()
-        LOG.info("upgrade: handed over after %.2f s", loop.time() - start_s)
+        LOG.info("upgrade: handed over ownership after %.2f s", loop.time() - start_s)
         return True
 
     async def _run_as_spooler(self) -> None:
-        """Pass on what clients still bring, until the end, or until nobody follows."""
+        """Spool what clients still submit, until the process ends or its successor is gone."""
         while self._process.terminating or not self.locks.try_reclaim():
             self._exchange_news()
             await asyncio.sleep(POLL_S)
 
     def _exchange_news(self) -> None:
-        """Hear what the other process's staff were told, and let it hear what this one's were."""
+        """Apply operators' actions at the other process, and pass on a SIGHUP that this one received."""
         self._process.refresh_disabled_hosts()
         if self._sighups_seen != (count := self._count_sighups()):
             self._sighups_seen = count
@@ -217,16 +216,20 @@
             return len(self._disk.read(self._folder / HUP_FILE))
         except FileNotFoundError:
             return 0
-        except OSError:  # no descriptor is left, perhaps: that is no news
+        except OSError:  # perhaps no descriptor is free: assume no new SIGHUP
             return self._sighups_seen
 
     def announce_sighup(self) -> None:
-        """This process got a SIGHUP: the other one hears of it, if need be once the disk has room."""
+        """Pass a SIGHUP of this process on to the other; retried while the file cannot be written."""
         self._sighup_pending = True
         self._record_sighup()
 
     def _record_sighup(self) -> None:
-        """Count it for both. Appending, since two that write at once must not hide each other's."""
+        """Append a pending SIGHUP to the file.
+
+        A byte is appended, not a count rewritten: of two processes that write at once, neither may hide the
+        other's SIGHUP.
+        """
         if not self._sighup_pending:
             return
         try:
@@ -236,11 +239,11 @@
             finally:
                 self._disk.close(fd)
         except OSError as error:
-            LOG.debug("upgrade: the other process does not hear of the SIGHUP yet: %s", error)
+            LOG.debug("upgrade: cannot pass the SIGHUP on to the other process yet: %s", error)
         self._sighups_seen += not self._sighup_pending
 
     def close(self) -> None:
-        """The process ends."""
+        """Close the spool file and release the locks, as the process ends."""
         if self.spool_writer is not None:
             self.spool_writer.close()
         self.locks.release_all()
--- a/mallowlug/upgrade/handover_file.py
+++ b/mallowlug/upgrade/handover_file.py
@@ -1,7 +1,7 @@
-"""The file in which a process that hands over tells its successor what binds it beside the journal.
+"""The file that carries the handover state, which is not in the journal, from an owner to its successor.
 
-A file that is missing, torn or absurd costs what it would have told, and no message. It is JSON, compressed
-where it would be too long as it is: a list of a thousand hosts and what was learned of each have room.
+A missing, truncated or invalid file loses this state but no message. The content is JSON, compressed with
+zlib if it would exceed the size limit: a list of a thousand hosts with what was learned of each fits.
 """
 
 from __future__ import annotations
@@ -18,14 +18,17 @@
 
 LOG = logging.getLogger(__name__)
 FILE = "binds"
-MAX_DECOMPRESSED_BYTES = 16 << 20  # bytes of what a file may hold; one that claims more is absurd
+MAX_DECOMPRESSED_BYTES = 16 << 20  # a file that decompresses to more is invalid
 
 
 def write(folder: Path, disk: Disk, state: HandoverState, max_bytes: int = ROOMY.binds) -> bool:
-    """Write it down in one piece; of what does not fit into ``most`` bytes the ids that are over go first,
-    then the list, and the directory's is waited for.
+    """Write the state atomically; return whether it was written.
 
-    False where it is not kept: told waits would be forgotten, so nothing may be handed over then.
+    If it exceeds ``max_bytes``, parts of it are dropped in this order: the ids of finished messages, the
+    endpoint list (the successor then waits for the directory's list), what was learned of endpoints, and the
+    configuration. ``state`` itself is changed.
+
+    If the result is False, ownership must not be handed over: Retry-After waits would be forgotten.
     """
     data = encode_state(state, max_bytes)
     if len(data) > max_bytes:
@@ -37,44 +40,47 @@
     if len(data) > max_bytes:
         state.learned = []
         data = encode_state(state, max_bytes)
-    if len(data) > max_bytes:  # the file alone tells the successor what counts
+    if len(data) > max_bytes:  # the successor then reads the configuration file alone
         state.config = ""
         data = encode_state(state, max_bytes)
     try:
         return replace_file(disk, folder / FILE, data)
     except OSError as error:
-        LOG.error("handover: what binds beside the journal was not kept: %s", error)
+        LOG.error("handover: cannot write the handover file: %s", error)
         return False
 
 
 def encode_state(state: HandoverState, max_bytes: int) -> bytes:
-    """The file's bytes."""
+    """Encode the state as JSON, compressed if it is longer than ``max_bytes``."""
     data = msgspec.json.encode(state)
     return data if len(data) <= max_bytes else zlib.compress(data)
 
 
 def decompress(data: bytes) -> bytes:
-    """The JSON in a file's bytes; ``zlib.error`` where there is none."""
+    """Return the JSON content of a plain or compressed file.
+
+    Raises ``zlib.error`` if the data is neither, is truncated, or is too large.
+    """
     if data.startswith(b"{"):
         return data
     decompressor = zlib.decompressobj()
     content = decompressor.decompress(data, MAX_DECOMPRESSED_BYTES)
     if not decompressor.eof:
-        raise zlib.error("cut short, or far too long")
+        raise zlib.error("truncated, or too large when decompressed")
     return content
 
 
 def read(folder: Path, disk: Disk) -> HandoverState | None:
-    """What the one before has left."""
+    """Read the state that the former owner left; None if there is none or it cannot be read."""
     try:
         return msgspec.json.decode(decompress(disk.read(folder / FILE)), type=HandoverState)
     except FileNotFoundError:
         return None
     except (OSError, zlib.error, msgspec.MsgspecError) as error:
-        LOG.error("handover: what binds beside the journal cannot be read: %s", error)
+        LOG.error("handover: cannot read the handover file: %s", error)
         return None
 
 
 def delete(folder: Path, disk: Disk) -> None:
-    """It is heeded: a life that comes later must not go by it."""
+    """Remove the file once it is applied, so that no later restart applies it again."""
     disk.unlink(folder / FILE)
--- a/mallowlug/upgrade/locks.py
+++ b/mallowlug/upgrade/locks.py
@@ -1,8 +1,9 @@
-"""Who owns the messages: locks on files of the lasting folder, which the kernel takes away with a process.
+"""Ownership of the messages, decided by file locks in the state folder.
 
-``owner`` is held by the one process that may read and write the journal. Whoever wants to follow it holds
-``next`` until it has ``owner``: so the owner sees that somebody waits, and one that has let go of ``owner``
-takes it back only if nobody waits any more. No PID and no clock decides anything.
+The one process that may read and write the journal holds the lock on ``owner``. A process that waits to take
+over holds ``next`` until it gets ``owner``. So the owner can see that a successor waits, and a former owner
+reclaims ``owner`` only if no process waits. The kernel releases the locks of a process that ends or is
+killed; no PID and no clock takes part in the decision.
 """
 
 from __future__ import annotations
@@ -16,18 +17,21 @@
 
 
 class Lock:
-    """One file's lock; the file stays where it is, empty."""
+    """An exclusive lock on one file; the file itself stays empty and is never removed."""
 
     def __init__(self, path: Path, disk: Disk) -> None:
         self._path, self._disk, self._fd = path, disk, -1
 
     @property
     def held(self) -> bool:
-        """Whether this process has it."""
+        """Whether this process holds the lock."""
         return self._fd >= 0
 
     def acquire(self) -> bool:
-        """Take it, if nobody has it; whether it is held now. ``OSError`` where the file cannot be had."""
+        """Acquire the lock without blocking; return whether it is held now.
+
+        Raises ``OSError`` if the file cannot be opened.
+        """
         if self.held:
             return True
         fd, held = self._disk.open(self._path, APPEND), False
@@ -40,14 +44,14 @@
         return held
 
     def release(self) -> None:
-        """Let it go."""
+        """Release the lock, if it is held."""
         if self.held:
             fd, self._fd = self._fd, -1
             self._disk.close(fd)
 
 
 class OwnershipLocks:
-    """This process's place in the line of those that own the folder, one after the other."""
+    """The locks that decide which process of a relay owns the state folder, and which one succeeds it."""
 
     def __init__(self, folder: Path, disk: Disk) -> None:
         self._owner, self._successor = Lock(folder / "owner", disk), Lock(folder / "next", disk)
@@ -59,7 +63,11 @@
         return self._owner.held
 
     def try_become_owner(self) -> bool:
-        """Wait in line, by being called again; True once this process owns the messages."""
+        """Try once to become the owner; return whether this process owns the messages.
+
+        A failed attempt may leave ``next`` held, so that the owner sees a waiting successor. Call it again to
+        go on waiting.
+        """
         try:
             if self._successor.acquire() and self._owner.acquire():
                 self._successor.release()
@@ -68,7 +76,7 @@
         return self.owns
 
     def has_successor(self) -> bool:
-        """Whether another process waits to follow this one; not known counts as no."""
+        """Whether another process waits to take over; False if the lock file cannot be opened."""
         try:
             if not self._successor.acquire():
                 return True
@@ -78,20 +86,20 @@
         return False
 
     def _log_lock_error(self, error: OSError) -> None:
-        """Told once for each kind: it is tried again many times a second."""
+        """Log a failure once for each errno: callers retry many times a second."""
         if error.errno not in self._logged_errnos:
             self._logged_errnos.add(error.errno)
-            LOG.error("upgrade: the folder's locks cannot be had: %s", error)
+            LOG.error("upgrade: cannot open the lock files of the state folder: %s", error)
 
     def release_ownership(self) -> None:
-        """Let the messages go to the one that waits."""
+        """Release ``owner`` for the waiting successor."""
         self._owner.release()
 
     def try_reclaim(self) -> bool:
-        """Own the messages again, if the one that was to follow is gone and nobody else waits.
+        """Become the owner again if the successor is gone and no other process waits; return whether it is.
 
-        ``owner`` first: while another process has it ``next`` is left alone, or that one would take this look
-        for somebody who waits, and hand over.
+        ``owner`` is tried first. While another process holds it, ``next`` must not be touched: that process
+        would take the attempt for a waiting successor and hand over.
         """
         try:
             if self._owner.acquire() and not self._successor.acquire():
@@ -103,6 +111,6 @@
         return self.owns
 
     def release_all(self) -> None:
-        """Let go of everything; the kernel does the same where a process is killed."""
+        """Release all locks; the kernel does the same for a process that is killed."""
         self._successor.release()
         self._owner.release()
--- a/mallowlug/upgrade/spool.py
+++ b/mallowlug/upgrade/spool.py
@@ -1,9 +1,9 @@
-"""What the former owner's clients still bring: written to files of its own, from which the owner takes it.
+"""Spool files: messages that clients still submit to a former owner, from which the owner adopts them.
 
-The former owner (the door) appends each message before it says that it is taken on, and holds the lock of the
-file that it writes. The owner adopts what is there and notes in the journal, in the same write, how far it
-has read: an owner that is killed neither loses one nor adopts one twice. A file whose lock is free has no
-writer any more; it is removed once it is read to its end.
+The former owner appends each message to a spool file before it answers that the message is accepted, and
+holds the lock on that file. The owner adopts the messages and records in the journal, in the same write, how
+far it has read, so an owner that is killed neither loses a message nor adopts it twice. A file whose lock is
+free has no writer any more; it is removed once it has been read to its end.
 """
 
 from __future__ import annotations
@@ -25,15 +25,13 @@
 
 LOG = logging.getLogger(__name__)
 SPOOL_PREFIX, UNFINISHED_PREFIX = "door.", "new."
-MAX_NAME_ATTEMPTS = 3  # that a door tries for a file
-MAX_FILE_BYTES, MAX_FILES = (
-    32 * 1024,
-    3,
-)  # bytes of one file before the next is begun; files that are not adopted
+MAX_NAME_ATTEMPTS = 3  # names tried for a new spool file
+# Size of a file at which the next one is begun, and how many files may wait to be adopted.
+MAX_FILE_BYTES, MAX_FILES = 32 * 1024, 3
 
 
 class SpoolWriter:
-    """Takes messages on for the owner; what a front talks to once its process owns nothing any more."""
+    """The intake of a former owner: accepts messages by writing them to spool files for the owner."""
 
     def __init__(self, folder: Path, disk: Disk, former_core: RelayCore, durable: bool = False) -> None:
         self._folder, self._disk, self._former_core, self._durable = folder, disk, former_core, durable
@@ -47,11 +45,11 @@
 
     @property
     def refusal(self) -> Refused:
-        """A refusal at the door, with when to come back."""
+        """The refusal for a front that cannot accept a request, with a wait before a retry."""
         return self._former_core.refusal
 
     def submit(self, submission: Submission, body: bytes) -> Answer:
-        """Write the message down for the owner, or say why not."""
+        """Write the message to a spool file, or return why it is refused or failed."""
         if submission.id in self._accepted_ids or self._former_core.knows(submission.id):
             return Accepted()
         answer = self._former_core.reject_reason(submission) or self._append(submission, body)
@@ -75,8 +73,8 @@
             if self._durable:
                 self._disk.sync(self._fd)
         except OSError as error:
-            # Of a record that may be on the disk nobody may say that it is not taken on.
-            LOG.warning("door: a message is not kept: %s", error, extra={"message_id": submission.id})
+            # A record that may be complete on the disk may be adopted, so it must not be answered as refused.
+            LOG.warning("spool: cannot write a message: %s", error, extra={"message_id": submission.id})
             self.close()
             whole = written >= len(record)
             return Failed("not kept") if whole else self._former_core.refused(RejectReason.DISK)
@@ -84,14 +82,18 @@
         return Accepted()
 
     def _ensure_file(self, record_bytes: int) -> bool:
-        """Whether there is a file to write to; a full one is left to the owner, and the next one begun."""
+        """Make sure that a spool file with free space is open; return False if none can be had.
+
+        A full file is left to the owner and the next one is begun.
+        """
         if self._lock is not None and self._size + record_bytes <= MAX_FILE_BYTES:
             return True
         spool_files = [name for name in self._disk.names(self._folder) if name.startswith(SPOOL_PREFIX)]
         if len(spool_files) >= MAX_FILES:
             return False
         self.close()
-        # A burst fills a file within the clock's step, and another door may stand beside: no name twice.
+        # Names must be unique: a burst can fill a file within one step of the clock, and another process may
+        # be writing spool files, too.
         candidates = (f"{SPOOL_PREFIX}{self.clock()}.{at:04}" for at in count())
         for name in islice(
             (name for name in candidates if name not in (*spool_files, self._name)), MAX_NAME_ATTEMPTS
@@ -100,10 +102,11 @@
             lock = Lock(new, self._disk)
             if lock.acquire():
                 break
-        else:  # the owner's tidying may hold one for a moment, hardly the next one too
+        else:  # the owner's clean-up may lock one of the names for a moment, hardly all of them
             return False
         self._name = name
-        # Locked before it has its name: else the owner might find it free, take it for left, and remove it.
+        # Locked before the rename: else the owner could find the file unlocked, take its writer for dead and
+        # remove it.
         self._disk.replace(new, path)
         if self._durable:
             self._disk.sync_folder(self._folder)
@@ -111,7 +114,7 @@
         return True
 
     def close(self) -> None:
-        """Write no more; the owner reads the rest."""
+        """Close the current file and release its lock; the owner reads the rest of it."""
         if self._lock is not None:
             self._disk.close(self._fd)
             self._lock.release()
@@ -120,7 +123,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SpooledMessage:
-    """One message of a file, and where the next one begins."""
+    """One message of a spool file, and the offset of the next one."""
 
     submission: Submission
     body: bytes
@@ -129,7 +132,10 @@
 
 
 def read_spooled_message(data: bytes, offset: int) -> SpooledMessage | None:
-    """The message that begins there, once it is whole; ``ValueError`` where what is there is no message."""
+    """Read the message at an offset; None if it is not complete yet.
+
+    Raises ``ValueError`` if the data is not a message.
+    """
     if (record := read_record(data, offset)) is None:
         return None
     payload, next_offset = record
@@ -138,19 +144,19 @@
         _kind, _ref, fields, rules = msgspec.json.decode(header)
         return SpooledMessage(Submission(**fields), body, dict(rules), next_offset)
     except (msgspec.MsgspecError, TypeError) as error:
-        raise ValueError(f"not a message: {error}") from None
+        raise ValueError(f"not a spooled message: {error}") from None
 
 
 class SpoolReader:
-    """The owner's side: adopts what doors have written."""
+    """Adopts the messages of spool files into the owner's core."""
 
     def __init__(self, folder: Path, disk: Disk, durable: bool = False) -> None:
         self._folder, self._disk, self._durable = folder, disk, durable
 
     def remove_unfinished_files(
         self,
-    ) -> None:  # raises ``OSError``: a start that cannot read its folder has no use
-        """Remove what a door had begun when it was killed; what one that lives has locked stays."""
+    ) -> None:  # raises ``OSError``: a process that cannot read its folder must not start
+        """Remove files that a killed writer had begun; those that a live writer holds locked stay."""
         for name in self._disk.names(self._folder):
             lock = Lock(self._folder / name, self._disk)
             if name.startswith(UNFINISHED_PREFIX) and lock.acquire():
@@ -158,23 +164,27 @@
                 lock.release()
 
     def adopt_spooled(self, core: RelayCore) -> bool:
-        """Adopt what is there now; whether any file was there, or nobody can tell."""
+        """Adopt all messages that are there; return False only if there is certainly no spool file."""
         try:
             names = sorted(name for name in self._disk.names(self._folder) if name.startswith(SPOOL_PREFIX))
-        except OSError as error:  # no descriptor is left, perhaps; it is looked again soon
-            LOG.debug("door: the folder cannot be read: %s", error)
+        except OSError as error:  # perhaps no descriptor is free; the caller tries again soon
+            LOG.debug("spool: cannot list the state folder: %s", error)
             return True
         for name in names:
             try:
                 self._adopt_file(name, core)
             except OSError as error:
-                LOG.error("door: %s cannot be read: %s", name, error)
+                LOG.error("spool: cannot read %s: %s", name, error)
         for name in [name for name in core.spools if name not in names]:
             core.forget_spool(name)
         return bool(names)
 
     def _adopt_file(self, name: str, core: RelayCore) -> None:
-        """Read a file on from where the journal says; first look whether its writer lives, then read."""
+        """Read a file on from the offset in the journal.
+
+        Whether the writer is gone is checked before the file is read, so that nothing can be appended between
+        the read and the removal.
+        """
         lock = Lock(self._folder / name, self._disk)
         writer_gone = lock.acquire()
         try:
@@ -184,12 +194,16 @@
                     core.adopt(message.submission, message.body, message.rules, (name, message.next_offset))
                     offset = message.next_offset
             except ValueError as error:
-                LOG.error("door: %s is damaged at %d: %s", name, offset, error)
-            if writer_gone and core.flush_journal():  # else the file alone may hold what was adopted
+                LOG.error("spool: %s is corrupt at offset %d: %s", name, offset, error)
+            if writer_gone and core.flush_journal():  # before the flush the file may be the only copy
                 if (torn_bytes := len(data) - offset) > 0:
-                    LOG.warning("door: a torn tail of %d bytes in %s, never taken on", torn_bytes, name)
+                    LOG.warning(
+                        "spool: %d bytes of an incomplete record at the end of %s were never accepted",
+                        torn_bytes,
+                        name,
+                    )
                 self._disk.unlink(self._folder / name)
-                if self._durable:  # else it may come back behind the note that it is gone, and be read anew
+                if self._durable:  # else a power loss could restore a file that the journal has forgotten
                     self._disk.sync_folder(self._folder)
                 core.forget_spool(name)
         finally:
