--- a/mallowlug/cli/main.py
+++ b/mallowlug/cli/main.py
@@ -1,6 +1,6 @@
-"""``mallowlug COMMAND``: what people call by hand. The platform's ``run`` line names no command.
+"""The command line ``mallowlug COMMAND``. The platform starts the relay without a command.
 
-Exit codes: 0 well, 1 not as wanted, 2 not usable (also a command line that is not), 3 unknown.
+Exit codes: 0 success, 1 failure, 2 unusable input or command line, 3 unknown.
 """
 
 from __future__ import annotations
@@ -14,19 +14,19 @@
 import click.shell_completion
 
 FILE = click.Path(path_type=Path)
-# Groups that are imported when asked for, most of them with libraries of their own.
+# Command groups that are imported on use; most need additional libraries.
 LAZY_GROUPS = {"fleet": "mallowlug.cli.fleet", "rig": "mallowlug.rig.cli", "sim": "mallowlug.rig.sim_cli"}
 
 
 class LazyGroups(click.Group):
-    """A group whose rooms are imported when asked for, so that the others do without their libraries."""
+    """A group that imports its subgroups on use, so that commands work without the others' libraries."""
 
     def list_commands(self, ctx: click.Context) -> list[str]:
-        """All names, in order."""
+        """Return all command names, sorted."""
         return sorted([*super().list_commands(ctx), *LAZY_GROUPS])
 
     def get_command(self, ctx: click.Context, name: str) -> click.Command | None:
-        """A command; one whose libraries are not installed says so when it is called."""
+        """Return a command; without its libraries, one that reports the missing library when it is run."""
         if name not in LAZY_GROUPS:
             return super().get_command(ctx, name)
         try:
@@ -40,7 +40,7 @@
 
 
 def unavailable_command(name: str, library: str) -> click.Command:
-    """What stands for a room whose extra is not installed."""
+    """Return a placeholder for a group whose optional dependencies are not installed."""
     message = f"mallowlug {name} needs {library}: pip install 'mallowlug[rig]'"
 
     @click.command(
@@ -50,11 +50,11 @@
         context_settings={"ignore_unknown_options": True},
     )
     @click.argument("words", nargs=-1, type=click.UNPROCESSED)
-    def stands_for(words: tuple[str, ...]) -> int:
+    def placeholder(words: tuple[str, ...]) -> int:
         click.echo(message, err=True)
         return 2
 
-    return stands_for
+    return placeholder
 
 
 @click.group(cls=LazyGroups, no_args_is_help=False)
@@ -66,7 +66,7 @@
 @root.command("check")
 @click.argument("file", type=FILE)
 def check(file: Path) -> int:
-    """Name every mistake in an operator FILE."""
+    """Report every mistake in an operator FILE."""
     from mallowlug.operator import model  # noqa: PLC0415
 
     try:
@@ -74,12 +74,12 @@
     except ValueError as error:
         click.echo(str(error), err=True)
         return 2
-    click.echo(f"{file}: in order; fronts beside the platform's: {len(extras.fronts)}")
+    click.echo(f"{file}: valid; additional fronts: {len(extras.fronts)}")
     return 0
 
 
 @root.command("run")
-@click.option("--operator", type=FILE, help="The operator file; without one nothing is switched on.")
+@click.option("--operator", type=FILE, help="The operator file; without one all options have their defaults.")
 def serve(operator: Path | None) -> int:
     """Serve in the foreground, as `python -m mallowlug` does."""
     from mallowlug.cli.run import run  # noqa: PLC0415
@@ -90,7 +90,7 @@
 @root.command("completion")
 @click.argument("shell", type=click.Choice(["bash", "zsh", "fish"]))
 def completion(shell: str) -> int:
-    """Print what lets a SHELL complete commands and options; put it into the shell's start file."""
+    """Print a completion script for SHELL; add it to the shell's startup file."""
     shell_completion = click.shell_completion.get_completion_class(shell)
     assert shell_completion is not None
     click.echo(shell_completion(root, {}, "mallowlug", "_MALLOWLUG_COMPLETE").source())
@@ -98,7 +98,7 @@
 
 
 def run_command(command: click.Command, argv: Sequence[str] | None, name: str) -> int:
-    """Run a command line; its exit code. What cannot be used is told on standard error, with 2."""
+    """Run a command line and return its exit code; usage errors are printed to standard error, with 2."""
     try:
         words = list(sys.argv[1:] if argv is None else argv)
         code: int | None = command.main(words, prog_name=name, standalone_mode=False)
@@ -111,5 +111,5 @@
 
 
 def main(argv: Sequence[str] | None = None) -> int:
-    """Run one command; its exit code."""
+    """Run one command and return its exit code."""
     return run_command(root, argv, "mallowlug")
--- a/mallowlug/cli/run.py
+++ b/mallowlug/cli/run.py
@@ -1,4 +1,4 @@
-"""``mallowlug run``: one relay in the foreground, and the exit code."""
+"""``mallowlug run``: runs one relay in the foreground."""
 
 from __future__ import annotations
 
@@ -17,8 +17,10 @@
 
 
 def run(operator: Path | None = None) -> int:
-    """Read the configuration and serve; 2 where it, or the operator file, cannot be used."""
-    signal.signal(signal.SIGHUP, signal.SIG_IGN)  # before the handler stands: the file is being read anyway
+    """Read the configuration and serve; return the exit code, 2 if the configuration is unusable."""
+    signal.signal(
+        signal.SIGHUP, signal.SIG_IGN
+    )  # until the handler is installed: the file is being read anyway
     logging.basicConfig(
         level=logging.INFO,
         stream=sys.stderr,
@@ -27,16 +29,16 @@
     )
     try:
         extras = config.DEFAULT_EXTRAS if operator is None else load(operator)
-        gc.disable()  # a long list is much that lasts until it is taken in
+        gc.disable()  # a long endpoint list allocates many objects that live until the relay has read it
         cfg = config.load(POSIX)
         if extras.log_format == "json":
             from mallowlug.operator import logs  # noqa: PLC0415
 
             logs.install(cfg.name, f"{cfg.seed:x}")
         gc.enable()
-        gc.freeze()  # modules and settings stay: going through them each time took a quarter of the CPU
+        gc.freeze()  # modules and settings stay: traversing them took a quarter of the CPU
         relay = serve(cfg, POSIX, extras)
-        del cfg  # it holds the list as it was known, which goes once it is taken in
+        del cfg  # frees the configured endpoint list once the relay has read it
         return asyncio.run(relay)
     except config.ConfigError as error:
         LOG.critical("configuration: %s", error)
@@ -44,7 +46,7 @@
 
 
 def load(operator: Path) -> config.Extras:
-    """The operator file's extras; what reads it is imported only here."""
+    """Read the operator file and set the log level; its reader is imported only here."""
     from mallowlug.operator import model  # noqa: PLC0415
 
     try:
--- a/mallowlug/compose.py
+++ b/mallowlug/compose.py
@@ -1,4 +1,4 @@
-"""The composition root: one relay put together from the core and its adapters, from start to exit code."""
+"""The composition root: builds one relay from the core and its adapters and runs it."""
 
 from __future__ import annotations
 
@@ -36,25 +36,23 @@
     from mallowlug.upgrade.coordinator import UpgradeCoordinator
 
 LOG = logging.getLogger("mallowlug")
-VERSION = "0.2.0"  # of the program, as the other relays of a fleet hear it
-KEEP_SERVING_S = (
-    2.6  # s after SIGTERM in which clients are still served: nobody else has what they would bring
-)
-SHUTDOWN_LIMIT_S = (
-    3.2  # s after SIGTERM when the process is gone by itself; SIGKILL comes no sooner than 3.7 s
-)
-STOP_LISTENING_S = (
-    0.3  # s after SIGTERM when a process that has a successor stops listening: its queue is empty then
-)
-MIN_ANSWER_S = 0.05  # s for an agent's answer, where a drain has no grace: the slack of the rules
-POLL_S = 0.02  # s between looks whether a shutdown is complete
-PERSIST_RETRY_S = 0.1  # s between attempts to write down what the disk did not take
+VERSION = "0.2.0"  # of the program, as announced to the other relays of a fleet
+# Seconds after SIGTERM. Clients are served until the first, as no other process would accept their messages.
+KEEP_SERVING_S = 2.6
+SHUTDOWN_LIMIT_S = 3.2  # the process has ended by itself; SIGKILL follows after 3.7 s at the earliest
+STOP_LISTENING_S = 0.3  # a process with a successor stops listening: its accept queue is empty by then
+MIN_ANSWER_S = 0.05  # min timeout for an agent's answer if a drain has no grace; the tolerance of the rules
+POLL_S = 0.02  # s between checks whether a shutdown is complete
+PERSIST_RETRY_S = 0.1  # s between attempts to write what could not be written
 
 
 def build_fronts(
     cfg: config.Config, extras: config.Extras, core: Intake, system: System, reasons: Reasons
 ) -> list[Server]:
-    """The platform's front, then the operator's; all share one half of the descriptors."""
+    """Build the platform's front, then the operator's; together they may use one half of the descriptors.
+
+    Raises ``ConfigError`` if the operator's fronts leave too few connections for the platform's.
+    """
     shares = descriptor_shares(cfg, extras)
     platform_connections = shares.clients - sum(plan.connections for plan in extras.fronts)
     if platform_connections < cfg.sockets // 4:
@@ -63,27 +61,31 @@
         (cfg.listen, platform_connections),
         *((plan.listen, plan.connections) for plan in extras.fronts),
     ]
-    shared = cfg.console is not None  # by it staff learn when a process that starts beside this one is ready
+    # A second process may listen at the same address only if a console can tell operators when it is ready.
+    shared = cfg.console is not None
     burst = max(1, shares.burst // len(listeners))
     return [
-        Server(core, address, most, system, shared, burst=burst, reasons=reasons)
-        for address, most in listeners
+        Server(core, address, max_connections, system, shared, burst=burst, reasons=reasons)
+        for address, max_connections in listeners
     ]
 
 
 def descriptor_shares(cfg: config.Config, extras: config.Extras) -> Shares:
-    """Who may hold how many descriptors."""
+    """Divide the file descriptors between fronts, calls and console; warn if they are too few."""
     listeners = 1 + len(extras.fronts) + (extras.fleet is not None)
     shares = shares_of(cfg.sockets, listeners, cfg.console is not None)
     if shares.total > cfg.sockets:
-        LOG.warning("limits.sockets: %d descriptors are too few to keep the roles apart", cfg.sockets)
+        LOG.warning(
+            "limits.sockets: %d descriptors are too few for separate shares of fronts, calls and console",
+            cfg.sockets,
+        )
     return shares
 
 
 def build_adapters(
     cfg: config.Config, seq: int, system: System, max_calls: int, reasons: Reasons
 ) -> Adapters:
-    """The platform's adapters, bound to what the configuration tells."""
+    """Return factories for the platform's adapters, bound to the configuration."""
     return Adapters(
         partners=lambda settled, released: Hosts(
             cfg.settings.kinds,
@@ -96,10 +98,10 @@
             most_open=max_calls,
             reasons=reasons,
         ),
-        directory=lambda told, failed: Watch(
+        directory=lambda on_update, failed: Watch(
             cfg.discovery,
             seq,
-            told,
+            on_update,
             failed,
             system,
             most_line=cfg.memory_bytes // 8,
@@ -110,19 +112,21 @@
 
 
 def watch_answer_timeout_s(cfg: config.Config) -> float:
-    """How long (s) a watch may wait for its answer.
+    """Return how long (s) a watch request may wait for its answer.
 
-    An agent beside the relay answers at once or, while discovery is down, not at all; what it gets then
-    counts as told at once. So an ask that hangs must not outlast its return by a drain's grace.
+    An agent on the relay's machine that pushes the list answers at once or, while discovery is down, not at
+    all. What it receives counts as announced to the relay at that moment. So after discovery returns, a
+    request that hangs must time out within the grace of a drain.
     """
     min_s = max(MIN_ANSWER_S, cfg.settings.drain_grace_us / 4e6)
     return min(FIRST_S, min_s) if cfg.settings.list_is_pushed else FIRST_S
 
 
 def newest_list(handover: HandoverState | None, known: EndpointList) -> EndpointList:
-    """The newer one of the list that was handed over and the one that the configuration knows.
+    """Return the newer of the endpoint list that was handed over and the configured one.
 
-    A list too long to be handed over is asked for anew: the known one may lack a drain that was heard of.
+    If the list was too long to be handed over, return an empty one, so that it is requested again: the
+    configured list may lack a drain that the former owner knew of.
     """
     if handover is not None and handover.seq < 0:
         return EndpointList(0, True, ())
@@ -133,9 +137,9 @@
 
 
 async def serve(cfg: config.Config, system: System, extras: config.Extras = config.DEFAULT_EXTRAS) -> int:
-    """Run until SIGTERM or until the step loop breaks; the exit code."""
+    """Run a relay until SIGTERM or a crash of its core; return the exit code."""
     process = RelayProcess(cfg, system, extras)
-    del cfg  # it holds the list as it was known, by far the largest thing here with many destinations
+    del cfg  # frees the configured endpoint list, by far the largest object with many destinations
     return await process.run()
 
 
@@ -157,30 +161,29 @@
         )
         self._journal: Journal | None = None
         self._fronts: list[Server] = []
-        self._intake: Intake | None = None  # what the fronts talk to
+        self._intake: Intake | None = None  # receives what clients submit to the fronts
         self._coordinator: UpgradeCoordinator | None = None
-        self._persist_timer: asyncio.TimerHandle | None = (
-            None  # the next attempt to keep what a reload put aside
-        )
+        # The next attempt to write down which ROUTER_DISCOVERY a reload has overridden.
+        self._persist_timer: asyncio.TimerHandle | None = None
         self._fleet_agent: Agent | None = None
         self._shares = descriptor_shares(cfg, extras)
-        self._group_size = 0  # of the group, as it was counted; 0: as the settings tell
+        self._group_size = 0  # relays of the group as counted by the fleet view; 0: use the settings
 
     @property
     def core(self) -> RelayCore | None:
-        """The relay's core, once the journal is taken up."""
+        """The relay core, once the journal has been replayed."""
         return self._operator_interface.driver
 
     @property
     def terminating(self) -> bool:
-        """Whether SIGTERM has come."""
+        """Whether SIGTERM was received."""
         return self._terminated.is_set()
 
     async def run(self) -> int:
-        """Come up, serve, shut down; the exit code."""
+        """Start, serve and shut down; return the exit code."""
         for number in (signal.SIGTERM, signal.SIGINT):
             self._loop.add_signal_handler(number, self._terminated.set)
-        # Until the process is gone, also while it shuts down: a signal without a handler would end it.
+        # Installed until the process ends, also during shutdown: SIGHUP without a handler would kill it.
         self._loop.add_signal_handler(signal.SIGHUP, self.handle_sighup)
         console = await self._open_console()
         self._metrics.reasons.start()
@@ -202,7 +205,10 @@
                 self._coordinator.close()
 
     async def _open_console(self) -> Console | None:
-        """Listen for on-call staff, before all that takes time; imported only where it is asked for."""
+        """Open the operators' console, if configured, before any step of the start that takes time.
+
+        The modules for console and upgrades are imported only if it is configured.
+        """
         cfg = self._cfg
         if cfg.console is None:
             return None
@@ -215,10 +221,11 @@
         )  # fmt: skip
         console = Console(self._operator_interface, cfg.console, self._shares.callers - 1, self._system)
         await console.start()
-        LOG.info("%s has its console at %s:%d", cfg.name, *cfg.console)
+        LOG.info("%s: console listening at %s:%d", cfg.name, *cfg.console)
         return console
 
     async def _serve(self) -> int:
+        """Become the owner, serve until shutdown or a crash of the core, and return the exit code."""
         coordinator = self._coordinator
         if coordinator is None:
             self.set_intake(self.start_core(None))
@@ -227,7 +234,7 @@
                 return 0
             coordinator.take_over()
         await self._listen()
-        LOG.info("%s serves at %s:%d", self._cfg.name, *self._cfg.listen)
+        LOG.info("%s: serving clients at %s:%d", self._cfg.name, *self._cfg.listen)
         self._operator_interface.serving = True
         shutdown = self._loop.create_task(self._shut_down())
         pending: set[asyncio.Future[Any]] = {shutdown, self._exit_code}
@@ -239,13 +246,13 @@
             return self._exit_code.result()
         if upgrade_task is not None:
             if upgrade_task.done():
-                upgrade_task.result()  # it never ends by itself: this raises
+                upgrade_task.result()  # it never returns, so this raises its exception
             upgrade_task.cancel()
         shutdown.result()
         return 0
 
     async def _completes_before_sigterm(self, awaitable: Any) -> bool:
-        """Whether it ended before SIGTERM came."""
+        """Run an awaitable until SIGTERM; return whether it completed before."""
         task, sigterm = self._loop.create_task(awaitable), self._loop.create_task(self._terminated.wait())
         await asyncio.wait({task, sigterm}, return_when=asyncio.FIRST_COMPLETED)
         sigterm.cancel()
@@ -256,6 +263,7 @@
         return False
 
     async def _listen(self) -> None:
+        """Open the fronts; after a takeover, direct new connections to this process."""
         assert self._intake is not None
         self._fronts = build_fronts(
             self._cfg, self._extras, self._intake, self._system, self._metrics.reasons
@@ -263,10 +271,10 @@
         for front in self._fronts:
             await front.start()
             if self._coordinator is not None and self._coordinator.had_predecessor and not front.prevail():
-                LOG.warning("upgrade: new connections cannot be steered here; any process gets them")
+                LOG.warning("upgrade: cannot steer new connections to this process; any process may get them")
 
     def start_core(self, handover: HandoverState | None) -> RelayCore:
-        """Read the journal and go on from it."""
+        """Replay the journal and start a core from it."""
         cfg, system = self._cfg, self._system
         disk_bytes = cfg.disk_bytes - (cfg.console is not None) * reserved_space(cfg.disk_bytes).total
         self._journal = Journal(cfg.state, disk_bytes, system.disk, self._extras.durable)
@@ -290,16 +298,14 @@
         core.start(known, handover)
         if self.core is not None:
             core.sent_before = self.core.gauges.sends
-        self._operator_interface.driver, self._operator_interface.names = (
-            core,
-            set(),
-        )  # the list itself answers from now on
+        # From now on the core's own list says which hosts are known.
+        self._operator_interface.driver, self._operator_interface.names = core, set()
         if self._extras.fleet is not None:
             self._join_fleet(self._extras.fleet)
         return core
 
     def _join_fleet(self, plan: config.FleetPlan) -> None:
-        """Keep a view of the fleet, which says for how large a group parts are reckoned."""
+        """Start the agent for the fleet view, whose group size determines this relay's share of quotas."""
         from mallowlug.fleet.agent import Agent, Place  # noqa: PLC0415
 
         cfg = self._cfg
@@ -313,13 +319,13 @@
         self._fleet_agent.open()
 
     def _apply_group_size(self, size: int) -> None:
-        """The group is of another size: through the module, as any setting is."""
+        """Apply a changed group size as a change of the settings."""
         self._group_size = size
         if self.core is not None:
             self.core.change_settings(self._effective_settings(self._cfg.settings))
 
     def _effective_settings(self, settings: Settings) -> Settings:
-        """Settings with the group as it was counted, where it is, and no more calls out than descriptors."""
+        """Return settings with the counted group size, if any, and no more open calls than descriptors."""
         max_calls, group_size = (
             min(settings.max_calls, self._shares.calls),
             self._group_size or settings.group_size,
@@ -327,9 +333,10 @@
         return replace(settings, max_calls=max_calls, group_size=group_size)
 
     def retire(self) -> None:
-        """Close the journal and let go of everything that is out."""
+        """Close the journal and abandon the open calls."""
         assert self.core is not None and self._journal is not None
-        if self._fleet_agent is not None:  # its address is the successor's, who is the same relay's next life
+        # The successor takes over the address, as the same relay after a restart: no leave is announced.
+        if self._fleet_agent is not None:
             self._fleet_agent.close(leaving=False)
             self._fleet_agent = self._operator_interface.fleet = None
         self.core.retire()
@@ -337,20 +344,17 @@
         self._journal = None
 
     def set_intake(self, intake: Intake) -> None:
-        """What clients bring goes there from now on."""
+        """Send what clients submit to this intake from now on."""
         self._intake = intake
         for front in self._fronts:
             front.core = intake
 
     def refresh_disabled_hosts(self) -> None:
-        """The other process's staff may have put a host out or back."""
+        """Read again which hosts are disabled, as an operator may have changed them at the other process."""
         self._disabled_hosts.refresh()
 
     def handle_sighup(self) -> None:
-        """SIGHUP: read the file again and go by its settings and to the discovery that it names.
-
-        What cannot be used changes nothing. Limits and addresses of this process count from the next start.
-        """
+        """Reload the configuration, count the result and pass the SIGHUP on to the other process."""
         if self.reload_config():
             self._metrics.loaded += 1
         else:
@@ -359,15 +363,19 @@
             self._coordinator.announce_sighup()
 
     def reload_config(self) -> bool:
-        """Go by the file as it is now; False where it cannot be used."""
+        """Read the file again and apply its settings and discovery address; return False if it is unusable.
+
+        An unusable file changes nothing. Limits and this process's own addresses apply only from the next
+        start.
+        """
         try:
             cfg = config.load(self._system, reloading=True, shape=self._cfg.shape)
         except config.ConfigError as error:
-            LOG.error("SIGHUP: the old configuration stays: %s", error)
+            LOG.error("SIGHUP: the file is unusable, keeping the configuration in force: %s", error)
             return False
-        LOG.info("SIGHUP: discovery at %s:%d", *cfg.discovery)
+        LOG.info("SIGHUP: configuration reloaded, discovery at %s:%d", *cfg.discovery)
         if cfg.listen != self._cfg.listen:
-            LOG.warning("SIGHUP: a changed address of the relay waits for the next start")
+            LOG.warning("SIGHUP: the changed listen address applies only from the next start")
         self._apply_config(cfg)
         self._persist_overridden_discovery()
         if self.core is not None:
@@ -376,13 +384,13 @@
         return True
 
     def _apply_config(self, cfg: config.Config) -> None:
-        """These settings and this address count; limits and the process's own addresses stay."""
+        """Take over settings and discovery address; limits and the process's own addresses stay."""
         names = ("settings", "discovery", "shape", "file_json", "overridden_discovery")
         self._cfg = replace(self._cfg, **{name: getattr(cfg, name) for name in names})
 
     def _persist_overridden_discovery(self) -> None:
-        """Tell later lives that the variable counts no more, again until the disk takes it."""
-        if self._persist_timer is not None:  # one chain of attempts, however many reloads ask for it
+        """Record the overridden ``ROUTER_DISCOVERY`` for later restarts; retry until it is written."""
+        if self._persist_timer is not None:  # one chain of retries, however many reloads
             self._persist_timer.cancel()
         self._persist_timer = None
         if (variable := self._cfg.overridden_discovery) and not config.persist_overridden_discovery(
@@ -391,7 +399,7 @@
             self._persist_timer = self._loop.call_later(PERSIST_RETRY_S, self._persist_overridden_discovery)
 
     def handover_state(self) -> HandoverState:
-        """What binds a successor beside the journal: what the core knows, and what is in force here."""
+        """Return the state that a successor needs and that is not in the journal, with the configuration."""
         assert self.core is not None
         cfg, state = self._cfg, self.core.handover_state()
         state.config, state.aside = cfg.file_json.decode(), cfg.overridden_discovery
@@ -399,25 +407,26 @@
         return state
 
     def apply_config_in_force(self, handover: HandoverState | None) -> None:
-        """Go by what counts at the take-over, not by what was read when this process started.
+        """Apply the configuration in force at the takeover; it may differ from the one read at the start.
 
-        The file as it is now counts, as at any start. Where it cannot be used, or lacks what the one in force
-        had, the process before this one knows what does; where that is gone, this one goes on as it was.
+        The file as it is now applies, as at any start. If it is unusable, or lacks keys of the configuration
+        in force, the configuration that the former owner handed over applies; without one, this process keeps
+        the one that it read at its start.
         """
         former = self._config_in_force(handover)
         in_force = former or self._cfg
         try:
             cfg = config.load_for_takeover(self._system, self._cfg, in_force)
         except config.ConfigError as error:
-            LOG.error("take-over: the file cannot be used, what was in force stays: %s", error)
+            LOG.error("takeover: the file is unusable, keeping the configuration in force: %s", error)
             cfg = in_force
         self._apply_config(cfg)
         self._metrics.know(cls.name for cls in cfg.settings.classes)
         self._persist_overridden_discovery()
-        LOG.info("take-over: discovery at %s:%d", *cfg.discovery)
+        LOG.info("takeover: discovery at %s:%d", *cfg.discovery)
 
     def _config_in_force(self, handover: HandoverState | None) -> config.Config | None:
-        """What the process before this one went by, as far as it has told."""
+        """Return the configuration that the former owner handed over, if there is a valid one."""
         if handover is None or not handover.config:
             return None
         try:
@@ -425,15 +434,16 @@
                 self._system, handover.config, handover.discovery, handover.aside
             )
         except config.ConfigError as error:
-            LOG.error("take-over: the former configuration cannot be read: %s", error)
+            LOG.error("takeover: the configuration that was handed over is invalid: %s", error)
             return None
 
     async def _shut_down(self) -> None:
-        """After SIGTERM: serve on while calls can still end, then part from clients between their requests.
+        """After SIGTERM, go on serving while calls can still end, then close connections between requests.
 
         A connection that ends with a request unanswered loses a message. So connections are closed while the
-        server still listens: a request that crosses the close comes again on a new one and gets its answer.
-        A process that has a successor gets no new connections any more, and closes each behind an answer.
+        server still listens: a client whose request crosses the close can repeat it on a new connection and
+        get its answer. A process with a successor gets no new connections, and closes each one after an
+        answer.
         """
         await self._terminated.wait()
         LOG.info("SIGTERM: shutting down")
@@ -442,8 +452,10 @@
         assert self.core is not None
         self.core.shut_down(start_s + SHUTDOWN_LIMIT_S)
 
-        def parted() -> bool:
-            return self.core is not None and self.core.idle and not any(f.clients for f in self._fronts)
+        def drained() -> bool:
+            return (
+                self.core is not None and self.core.idle and not any(front.clients for front in self._fronts)
+            )
 
         if has_successor := self._coordinator is not None and self._coordinator.spool_writer is not None:
             for front in self._fronts:
@@ -451,15 +463,15 @@
             await asyncio.sleep(STOP_LISTENING_S)
             for front in self._fronts:
                 front.shut()
-        await self._wait_until(start_s + KEEP_SERVING_S, parted, start_s + 0.5)
+        await self._wait_until(start_s + KEEP_SERVING_S, drained, start_s + 0.5)
         for front in self._fronts:
             front.drain_clients()
         await self._wait_until(
-            start_s + SHUTDOWN_LIMIT_S, parted, start_s + (0.0 if has_successor else KEEP_SERVING_S + 0.3)
+            start_s + SHUTDOWN_LIMIT_S, drained, start_s + (0.0 if has_successor else KEEP_SERVING_S + 0.3)
         )
-        LOG.info("SIGTERM: shut down")
+        LOG.info("SIGTERM: shutdown complete")
 
     async def _wait_until(self, deadline_s: float, done: Callable[[], bool], earliest_s: float) -> None:
-        """Wait until it is done, between two times."""
+        """Wait until ``done()`` holds, but between ``earliest_s`` and ``deadline_s`` of loop time."""
         while self._loop.time() < deadline_s and not (self._loop.time() >= earliest_s and done()):
             await asyncio.sleep(POLL_S)
--- a/mallowlug/config.py
+++ b/mallowlug/config.py
@@ -1,4 +1,4 @@
-"""What a relay is told: environment and JSON file to one typed value."""
+"""A relay's configuration: reads the environment and the JSON file into one typed value."""
 
 from __future__ import annotations
 
@@ -17,16 +17,16 @@
 from mossfront.settings import settings_of, whole
 
 LOG = logging.getLogger(__name__)
-OVERRIDDEN_FILE = "overruled"  # file in the lasting folder: the ROUTER_DISCOVERY that a reload has put aside
+OVERRIDDEN_FILE = "overruled"  # in the state folder: the ROUTER_DISCOVERY that a reload has overridden
 
 
 class ConfigError(ValueError):
-    """The deployment told something that cannot be used."""
+    """The environment, the file or the operator file is unusable."""
 
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    """Everything that one relay runs by."""
+    """The whole configuration of one relay."""
 
     name: str
     listen: Address
@@ -39,15 +39,15 @@
     memory_bytes: int
     sockets: int
     known: EndpointList
-    console: Address | None = None  # where on-call staff and their tools call
-    shape: Any = ...  # the keys of the file, which a later one must have too
-    file_json: bytes = b""  # the file as JSON without its list of hosts; kept only where there is a console
-    overridden_discovery: str = ""  # the value of ROUTER_DISCOVERY that a reload has put aside
+    console: Address | None = None  # where operators and their tools connect
+    shape: Any = ...  # the keys of the file, which a reloaded file must have too; see ``key_shape``
+    file_json: bytes = b""  # the file without its list of hosts; empty without a console
+    overridden_discovery: str = ""  # the value of ROUTER_DISCOVERY that a reload has overridden
 
 
 @dataclass(frozen=True, slots=True)
 class FrontPlan:
-    """A listener beside the platform's, and how many connections it may hold."""
+    """An additional listener, and how many connections it may hold."""
 
     kind: str
     listen: Address
@@ -56,35 +56,35 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetPlan:
-    """This relay's place in a fleet whose members know of each other."""
+    """This relay's membership in a fleet of relays that keep a view of each other."""
 
     name: str
     listen: Address
-    address: str  # host:port that others are told
+    address: str  # host:port that is announced to the others
     seeds: tuple[str, ...] = ()
     zone: str = ""
-    period_s: float = 1.0  # between two probes
-    settle_s: float = 30.0  # how long a majority holds a death before parts grow
+    period_s: float = 1.0  # s between two probes
+    settle_s: float = 30.0  # s for which a majority must agree on a death before shares grow
 
 
 @dataclass(frozen=True, slots=True)
 class Extras:
-    """What an operator file switches on; as it stands here, nothing."""
+    """The options of an operator file; the defaults enable nothing."""
 
     log_level: str = "INFO"
     log_format: str = "text"
     fronts: tuple[FrontPlan, ...] = ()
-    durable: bool = False  # the journal outlasts the loss of the machine's power
-    active_destinations: int = 1024  # destinations that stay awake, used or not
-    inactive_after_s: float = 60.0  # s without a use after which one beyond them may sleep
-    fleet: FleetPlan | None = None  # its own view of the other relays; None: it has none
+    durable: bool = False  # sync the journal, so that it survives a power loss
+    active_destinations: int = 1024  # destinations that stay active, used or not
+    inactive_after_s: float = 60.0  # s without use after which one beyond these becomes inactive
+    fleet: FleetPlan | None = None  # None: no view of other relays is kept
 
 
 DEFAULT_EXTRAS = Extras()
 
 
 def address_of(text: str) -> Address:
-    """``host:port`` as the pair that sockets take; ``ConfigError`` where it is none."""
+    """Parse ``host:port`` into a socket address; raises ``ConfigError`` if it is not one."""
     try:
         return parse_address(text)
     except ValueError as error:
@@ -92,9 +92,9 @@
 
 
 def flatten(value: Any, path: str = "") -> Iterator[tuple[str, str]]:
-    """Nested JSON as the path=value pairs that the adapter's settings reader takes.
+    """Flatten nested JSON to the path=value pairs of the simulator's wire.
 
-    Both come from one object, so one reader serves the simulator and the sockets alike.
+    So one settings reader serves both the simulator and the relay on sockets.
     """
     if isinstance(value, dict):
         for name, item in value.items():
@@ -110,7 +110,7 @@
 
 
 def wire_text(value: Any) -> str:
-    """One plain value in the wire's spelling."""
+    """Format one scalar as the simulator's wire does."""
     if isinstance(value, bool):
         return "true" if value else "false"
     if isinstance(value, float) and value.is_integer():
@@ -119,12 +119,12 @@
 
 
 def parse_seed(value: Any) -> int:
-    """The seed is hexadecimal text; a plain number serves too."""
+    """Parse the seed: hexadecimal text or a number."""
     return int(value, 16) if isinstance(value, str) else int(value)
 
 
 def read_overridden_discovery(state: Path, disk: Disk) -> str:
-    """The value of ``ROUTER_DISCOVERY`` that counts no more, because a reload put the file before it."""
+    """Return the value of ``ROUTER_DISCOVERY`` that a reload has overridden; "" if there is none."""
     try:
         return disk.read(state / OVERRIDDEN_FILE).decode()
     except (OSError, ValueError):
@@ -134,11 +134,12 @@
 def choose_discovery(
     system: System, raw: dict[str, Any], reloading: bool, overridden: str = ""
 ) -> tuple[Address, str]:
-    """The address of discovery, and the variable's value that it has put aside ("" for none).
+    """Return the discovery address and the value of ``ROUTER_DISCOVERY`` that is overridden ("" if none).
 
-    The variable goes before the file, but only until a reload. A supervisor starts every life with the
-    variables of the first. So a reload that changes the address has to be remembered (``put_aside``), or the
-    next life would go back to the address that was left. ``aside``: what this relay has put aside already.
+    The variable takes precedence over the file, but only until a reload. A supervisor restarts the process
+    with the variables of its first start. So a reload that changes the address has to be recorded (see
+    ``persist_overridden_discovery``), or a restart would go back to the old address. ``overridden`` is the
+    value that this relay has overridden already.
     """
     variable, state = system.environ.get("ROUTER_DISCOVERY", ""), Path(system.environ["ROUTER_STATE"])
     if (
@@ -152,21 +153,21 @@
 
 
 def persist_overridden_discovery(system: System, variable: str) -> bool:
-    """Remember, for the lives to come, which value of the variable counts no more; whether that is kept."""
+    """Record for later restarts which value of the variable is overridden; return whether it is recorded."""
     state = Path(system.environ["ROUTER_STATE"])
     try:
         return read_overridden_discovery(state, system.disk) == variable or write_file(
             system.disk, state / OVERRIDDEN_FILE, variable.encode()
         )
     except OSError as error:
-        LOG.error("reload: the next life will not know of it: %s", error)
+        LOG.error("reload: cannot record the overridden ROUTER_DISCOVERY for a restart: %s", error)
         return False
 
 
 def key_shape(value: Any) -> Any:
-    """The keys of a JSON value: of objects, and of a list's objects those that all of them have.
+    """Return the keys of a JSON value: those of objects, and for a list those that all its objects have.
 
-    None stands for a plain value, an empty list for one of plain values, ``...`` for anything.
+    None stands for a scalar, an empty list for a list of scalars, ``...`` for any value.
     """
     if isinstance(value, dict):
         return {key: key_shape(item) for key, item in value.items()}
@@ -176,7 +177,7 @@
 
 
 def missing_keys(value: Any, shape: Any, path: str = "") -> Iterator[str]:
-    """What a file has to have by an earlier one's shape and does not: a key, or the kind of its value."""
+    """Yield what a file lacks by the shape of an earlier one: keys, or values of the right type."""
     if shape is None and isinstance(value, dict | list):
         yield f"a plain value at {path}"
     elif isinstance(shape, dict):
@@ -197,12 +198,12 @@
 
 
 def without_known_hosts(raw: dict[str, Any]) -> bytes:
-    """The file as a process that takes over needs it: the list of hosts passes on by itself."""
+    """Encode the file for a handover, without the list of hosts, which is handed over separately."""
     return msgspec.json.encode({key: value for key, value in raw.items() if key != "known"})
 
 
 def read_config_file(system: System) -> dict[str, Any]:
-    """``$ROUTER_CONFIG`` as it is now; ``ConfigError`` where it is no JSON object, or cannot be read."""
+    """Read the file that ``ROUTER_CONFIG`` names; raises ``ConfigError`` if it holds no JSON object."""
     try:
         raw = msgspec.json.decode(system.disk.read(Path(system.environ["ROUTER_CONFIG"])))
     except KeyError as error:
@@ -215,9 +216,10 @@
 
 
 def load(system: System, reloading: bool = False, shape: Any = ...) -> Config:
-    """Read ``$ROUTER_CONFIG``; where a variable of its own is set, that one counts.
+    """Read the configuration; values from the environment take precedence over those of the file.
 
-    ``shape``: that of the file in force. One that lacks a key of it is incomplete, and nothing of it counts.
+    ``shape`` is that of the file in force. A file that lacks one of its keys is incomplete and is rejected
+    with ``ConfigError``.
     """
     raw = read_config_file(system)
     if missing := next(missing_keys(raw, shape), ""):
@@ -226,11 +228,11 @@
 
 
 def load_for_takeover(system: System, own: Config, in_force: Config) -> Config:
-    """The file as a process finds it that takes over; ``ConfigError`` where it cannot be used.
+    """Read the file again at a takeover; raises ``ConfigError`` if it is unusable.
 
-    ``own``: what this process read at its start; a file that has not changed since counts as it did then.
-    One that has must be as complete as the one that is ``held`` in force. The list of hosts in it is not
-    read: the process before this one may have heard of drains since.
+    ``own`` is what this process read at its start; a file that is unchanged since is accepted as it was then.
+    A changed one must have all keys of the file ``in_force``. Its list of hosts is ignored, as the former
+    owner may have learned of drains since.
     """
     raw = read_config_file(system)
     if without_known_hosts(raw) != own.file_json and (missing := next(missing_keys(raw, in_force.shape), "")):
@@ -241,7 +243,7 @@
 
 
 def config_from_handover(system: System, text: str, discovery: str, overridden: str) -> Config:
-    """What the process before this one went by, from what it handed over; ``ConfigError`` if that is none."""
+    """Rebuild the former owner's configuration from the handover state; raises ``ConfigError`` if invalid."""
     try:
         cfg = parse_config(system, msgspec.json.decode(text, type=dict[str, Any]), False, overridden)
     except msgspec.MsgspecError as error:
@@ -252,7 +254,7 @@
 def parse_config(
     system: System, raw: dict[str, Any], reloading: bool = False, overridden: str = ""
 ) -> Config:
-    """The typed value of a file's JSON; ``ConfigError`` where it cannot be used."""
+    """Build the configuration from a file's JSON; raises ``ConfigError`` if it is unusable."""
     environ = system.environ
     try:
         pairs = dict(flatten(raw["settings"]))
@@ -263,7 +265,7 @@
             listen=address_of(environ.get("ROUTER_LISTEN") or raw["listen"]),
             state=Path(environ["ROUTER_STATE"]),
             seed=parse_seed(raw.get("seed", 0)),
-            # On sockets the directory answers only when asked, whatever the simulator's site says.
+            # On sockets the directory answers only requests, whatever a simulated site is configured to do.
             settings=replace(settings_of(pairs), must_subscribe=True),
             connect_timeout_us=whole(pairs, "allowed.connect_timeout_us", 1_000_000),
             disk_bytes=int(float(limits.get("disk_mb", 3)) * 1_000_000),
--- a/mallowlug/console/__init__.py
+++ b/mallowlug/console/__init__.py
@@ -1,1 +1,1 @@
-"""Where on-call staff call: ready, figures, hosts out by hand. Imported only where it is asked for."""
+"""The operators' HTTP console: readiness, metrics, disabling hosts. Imported only if it is configured."""
--- a/mallowlug/console/calls.py
+++ b/mallowlug/console/calls.py
@@ -1,4 +1,4 @@
-"""What a call at the console means, and its answer; no I/O."""
+"""The console's HTTP calls and their responses; no I/O."""
 
 from __future__ import annotations
 
@@ -7,34 +7,34 @@
 from typing import Protocol
 from urllib.parse import parse_qsl
 
-MAX_HOST_ID_CHARS = 128  # characters of a host's id
+MAX_HOST_ID_CHARS = 128
 JSON_TYPE = "application/json"
 TEXT_TYPE, METRICS_TYPE = "text/plain; charset=utf-8", "text/plain; version=0.0.4; charset=utf-8"
 
 
 class Operations(Protocol):
-    """What the console asks of the relay."""
+    """What the console needs of the relay."""
 
     @property
     def ready(self) -> bool:
-        """Whether this process would take a message on now."""
+        """Whether this process accepts messages now."""
 
     def figures(self) -> str:
-        """The figures, in the exposition format."""
+        """Return the metrics in the Prometheus text exposition format."""
 
     def members(self) -> str:
-        """The view of the fleet as JSON; empty where none is kept."""
+        """Return the fleet view as JSON; empty if none is kept."""
 
     def disable_host(self, host: str) -> str:
-        """Leave a host out, kept for later lives; else why not (``unknown`` in front: no such host)."""
+        """Disable a host, also after restarts; return "" or an error (``unknown...`` for no such host)."""
 
     def enable_host(self, host: str) -> str:
-        """The host may serve again; else why not."""
+        """Enable a host again; return "" or an error, as ``disable_host`` does."""
 
 
 @dataclass(frozen=True, slots=True)
 class Response:
-    """An answer: status, body and what kind of text that is."""
+    """An HTTP response: status, body and content type."""
 
     status: int
     text: str
@@ -42,7 +42,7 @@
 
 
 def handle_call(method: str, target: str, relay: Operations) -> Response:
-    """Carry out one call; whatever cannot be understood changes nothing."""
+    """Carry out one call and return its response; an invalid call changes nothing."""
     path, separator, query = target.partition("?")
     table: dict[str, tuple[str, Callable[[], Response]]] = {
         "/ready": ("GET", lambda: ready_response(relay)),
@@ -62,18 +62,18 @@
 
 
 def ready_response(relay: Operations) -> Response:
-    """``GET /ready``."""
+    """Respond to ``GET /ready``."""
     return Response(200, "ready\n") if relay.ready else Response(503, "not ready\n")
 
 
 def fleet_response(relay: Operations) -> Response:
-    """``GET /fleet``."""
+    """Respond to ``GET /fleet``."""
     text = relay.members()
     return Response(200, text, JSON_TYPE) if text else Response(404, "no view of a fleet is kept here\n")
 
 
 def set_host_availability(query: str, action: Callable[[str], str]) -> Response:
-    """A host by its id, named once and nothing beside it."""
+    """Disable or enable the host that ``name``, the only parameter of the query, identifies."""
     try:
         pairs = parse_qsl(query, keep_blank_values=True, strict_parsing=True, max_num_fields=4)
     except ValueError:
--- a/mallowlug/console/server.py
+++ b/mallowlug/console/server.py
@@ -1,4 +1,4 @@
-"""The console's listener: HTTP/1.1, one call to a connection, bounded in callers, bytes and time."""
+"""The console's HTTP/1.1 server: one call per connection; connections, bytes and time are bounded."""
 
 from __future__ import annotations
 
@@ -14,19 +14,23 @@
 from mallowlug.system import System
 
 LOG = logging.getLogger(__name__)
-MAX_CALL_BYTES = 4096  # bytes of a call; none has a body
-CALL_TIMEOUT_S = 5.0  # s from a caller's coming to the last byte of its call
-CLOSE_TIMEOUT_S = 1.0  # s for a caller to take its answer; until then what it still sends is read and dropped
-SWEEP_INTERVAL_S = 0.25  # s between looks for callers past these bounds
+MAX_CALL_BYTES = 4096  # request line and headers; no call has a body
+CALL_TIMEOUT_S = 5.0  # from the accept of a connection to the last byte of its call
+CLOSE_TIMEOUT_S = 1.0  # for the client to read the response; what it sends meanwhile is discarded
+SWEEP_INTERVAL_S = 0.25  # between checks for connections past these timeouts
 
 
 class ConsoleConnection(asyncio.Protocol):
-    """One caller's connection: one call, one answer."""
+    """One connection: one call, one response."""
 
     def __init__(self, console: Console) -> None:
         self._console, self._received_bytes = console, 0
         self._parser = httptools.HttpRequestParser(self)
-        self._method, self._target, self._has_body = b"", b"", False  # the method once the call is whole
+        self._method, self._target, self._has_body = (
+            b"",
+            b"",
+            False,
+        )  # the method is set once the call is complete
         self.transport: asyncio.Transport | None = None
         self.answered = False
 
@@ -39,20 +43,20 @@
         self._console.remove(self)
 
     def on_url(self, data: bytes) -> None:
-        """Called by the parser; what follows the first call is not read."""
+        """Parser callback; the target of a call after the first is ignored."""
         if not self._method:
             self._target += data
 
     def on_body(self, _data: bytes) -> None:
-        """Called by the parser."""
+        """Parser callback."""
         self._has_body |= not self._method
 
     def on_message_complete(self) -> None:
-        """Called by the parser."""
+        """Parser callback."""
         self._method = self._method or self._parser.get_method()
 
     def data_received(self, data: bytes) -> None:
-        if self.answered:  # it is leaving: closing with something unread would break its answer off
+        if self.answered:  # closing with unread data would reset the connection before the response arrives
             return
         self._received_bytes += len(data)
         try:
@@ -74,17 +78,17 @@
         except UnicodeDecodeError:
             return Response(400, "not a call\n")
         except Exception:
-            LOG.exception("console: a call broke")
+            LOG.exception("console: a call raised an exception")
             return Response(500, "the call broke; the log says where\n")
 
     def eof_received(self) -> bool:
-        """A caller that has ended its side still gets its answer; one that said nothing is let go."""
+        """Respond to an incomplete call; a connection without any data is closed silently."""
         if not self.answered and self._received_bytes:
             self.respond(Response(400, "half a call\n"))
         return False
 
     def respond(self, response: Response) -> None:
-        """The answer, once; then this side of the connection ends."""
+        """Send the response, at most once, and close the sending side."""
         if self.answered or self.transport is None or self.transport.is_closing():
             return
         self.answered = True
@@ -100,7 +104,7 @@
 
 
 class Console:
-    """Listens for callers: those who have to say what they want, and those who have their answer."""
+    """The server, with its connections that still have to send a call and those that have a response."""
 
     def __init__(self, relay: Operations, address: Address, max_connections: int, system: System) -> None:
         self.relay, self._address, self._max_connections, self._system = (
@@ -115,7 +119,7 @@
         self._sweep_timer: asyncio.TimerHandle | None = None
 
     async def start(self) -> None:
-        """Listen; ``OSError`` where the address cannot be had."""
+        """Start to listen; raises ``OSError`` if the address is not available."""
         sock = self._system.listener(self._address)
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(
@@ -125,7 +129,7 @@
         self._close_expired()
 
     def add(self, connection: ConsoleConnection) -> None:
-        """A new caller; over the bound the oldest goes, first of those who have their answer."""
+        """Register a connection; over the limit, abort the oldest one, if possible one with its response."""
         if len(self._awaiting_call) + len(self._awaiting_close) >= self._max_connections:
             oldest = next(iter(self._awaiting_close or self._awaiting_call))
             self.remove(oldest)
@@ -134,16 +138,17 @@
         self._awaiting_call[connection] = asyncio.get_running_loop().time()
 
     def mark_answered(self, connection: ConsoleConnection) -> None:
-        """A caller has its answer."""
+        """Start the close timeout of a connection whose response was sent."""
         self.remove(connection)
         self._awaiting_close[connection] = asyncio.get_running_loop().time()
 
     def remove(self, connection: ConsoleConnection) -> None:
-        """A caller is gone."""
+        """Forget a connection."""
         self._awaiting_call.pop(connection, None)
         self._awaiting_close.pop(connection, None)
 
     def _close_expired(self) -> None:
+        """Abort connections past the close timeout, and answer those past the call timeout with 408."""
         loop = asyncio.get_running_loop()
         self._sweep_timer = loop.call_later(SWEEP_INTERVAL_S, self._close_expired)
         for connections, timeout_s in (
@@ -158,11 +163,11 @@
                         connection.transport.abort()
                 else:
                     connection.respond(Response(408, "a call has an end\n"))
-                    if not connection.answered:  # closing already
+                    if not connection.answered:  # it is closing already
                         self.remove(connection)
 
     def close(self) -> None:
-        """Stop listening."""
+        """Stop listening and close all connections."""
         if self._sweep_timer is not None:
             self._sweep_timer.cancel()
         if self._server is not None:
--- a/mallowlug/operator/__init__.py
+++ b/mallowlug/operator/__init__.py
@@ -1,1 +1,1 @@
-"""The operator file: what an installation switches on beside the platform's relay."""
+"""The operator file: options of an installation beyond the platform's configuration."""
--- a/mallowlug/operator/logs.py
+++ b/mallowlug/operator/logs.py
@@ -1,7 +1,7 @@
-"""Logs for machines: JSON, one event a line, with the relay, its life and the message where there is one.
+"""Structured logs: JSON, one event per line, with the relay, its run and the message if there is one.
 
-Only an operator file that asks for it imports this. The relay logs through the standard library, and
-structlog renders what it logged; so text and JSON say the same.
+Imported only if the operator file asks for JSON logs. The relay logs through the standard library and
+structlog renders the records, so text and JSON logs have the same content.
 """
 
 from __future__ import annotations
@@ -11,17 +11,17 @@
 import structlog
 from structlog.typing import EventDict, Processor, WrappedLogger
 
-EXTRA_FIELDS = ("message_id", "host")  # what a log call may name beside its text
+EXTRA_FIELDS = ("message_id", "host")  # attributes that a log call may add to its text
 
 
 def build_formatter(relay: str, run_id: str) -> logging.Formatter:
-    """Renders a record as ``{"timestamp", "level", "logger", "relay", "life", "event", ...}``.
+    """Return a formatter to ``{"timestamp", "level", "logger", "relay", "life", "event", ...}``.
 
-    ``timestamp`` is ISO 8601 in UTC; ``message_id`` and ``host`` are there where the event has one, and
-    ``exception`` holds a list of causes with their frames.
+    ``timestamp`` is ISO 8601 in UTC and ``life`` is ``run_id``. ``message_id`` and ``host`` are present if
+    the event has them; ``exception`` holds a list of causes with their frames.
     """
 
-    def whose(_logger: WrappedLogger, _method: str, event: EventDict) -> EventDict:
+    def add_relay(_logger: WrappedLogger, _method: str, event: EventDict) -> EventDict:
         return {"relay": relay, "life": run_id, **event}
 
     enrichers: list[Processor] = [
@@ -29,7 +29,7 @@
         structlog.stdlib.add_log_level,
         structlog.stdlib.add_logger_name,
         structlog.processors.TimeStamper(fmt="iso", utc=True),
-        whose,
+        add_relay,
         structlog.processors.dict_tracebacks,
     ]
     renderers: list[Processor] = [
@@ -40,7 +40,7 @@
 
 
 def install(relay: str, run_id: str) -> None:
-    """Let every handler of the root logger render so from now on."""
+    """Set the JSON formatter on all handlers of the root logger."""
     json_formatter = build_formatter(relay, run_id)
     for handler in logging.getLogger().handlers:
         handler.setFormatter(json_formatter)
--- a/mallowlug/operator/model.py
+++ b/mallowlug/operator/model.py
@@ -1,6 +1,6 @@
-"""What an operator file may say, and how it becomes the composition root's values.
+"""The model of the operator file, and its conversion to the composition root's values.
 
-Only a run with ``--operator`` imports this: the validation library takes memory that some days have not.
+Imported only by a run with ``--operator``: some deployments lack the memory for the validation library.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 
 def check_address(text: str) -> str:
-    """``host:port``."""
+    """Validate ``host:port``."""
     try:
         address_of(text)
     except ConfigError as error:
@@ -27,7 +27,7 @@
 
 
 class FrontTable(toml_check.Strict):
-    """``[[front]]``: a further listener beside the platform's."""
+    """``[[front]]``: an additional listener."""
 
     kind: Literal["resp2"]
     listen: AddressText
@@ -42,38 +42,38 @@
 
 
 class JournalTable(toml_check.Strict):
-    """``[journal]``: what accepted work outlasts beside the process."""
+    """``[journal]``: whether accepted messages also survive a power loss."""
 
     durable: bool = False
 
 
 class DestinationsTable(toml_check.Strict):
-    """``[destinations]``: how many are kept ready, used or not."""
+    """``[destinations]``: how many stay active without use, and when others become inactive."""
 
     awake: int = Field(default=DEFAULT_EXTRAS.active_destinations, ge=1, le=1_000_000)
     rest_s: float = Field(default=DEFAULT_EXTRAS.inactive_after_s, ge=30.0, le=86_400.0)
 
 
 class FleetTable(toml_check.Strict):
-    """``[fleet]``: relays that keep a view of each other, by datagrams."""
+    """``[fleet]``: membership in a fleet of relays that keep a view of each other by datagrams."""
 
     name: str = Field(pattern=r"^[!-~]{1,64}$")
     listen: AddressText
-    advertise: AddressText | None = None  # what others are told, where it differs from listen
+    advertise: AddressText | None = None  # announced to the others, if it differs from listen
     seeds: tuple[AddressText, ...] = Field(default=(), strict=False, max_length=4096)
     zone: str = Field(default="", max_length=64)
     period_s: float = Field(default=1.0, ge=0.05, le=60.0)
     settle_s: float = Field(default=30.0, ge=0.0, le=3600.0)
 
     def plan(self) -> FleetPlan:
-        """As the composition root takes it."""
+        """Convert the table to the composition root's value."""
         advertised = self.advertise or self.listen
         listen = address_of(self.listen)
         return FleetPlan(self.name, listen, advertised, self.seeds, self.zone, self.period_s, self.settle_s)
 
 
 class OperatorFile(toml_check.Strict):
-    """The whole file; every table may be left out."""
+    """The whole file; every table is optional."""
 
     log: LogTable = LogTable()
     journal: JournalTable = JournalTable()
@@ -84,7 +84,7 @@
     @field_validator("front")
     @classmethod
     def reject_shared_addresses(cls, fronts: tuple[FrontTable, ...]) -> tuple[FrontTable, ...]:
-        """Two listeners cannot share an address."""
+        """Reject two fronts with the same address."""
         seen: dict[str, int] = {}
         for index, front in enumerate(fronts):
             if (first := seen.setdefault(front.listen, index)) != index:
@@ -93,7 +93,7 @@
 
 
 def load(path: Path) -> Extras:
-    """The file's extras; ``toml_check.FileMistakesError`` (a ``ValueError``) with every mistake."""
+    """Read an operator file; raises ``toml_check.FileMistakesError`` (a ``ValueError``) with all mistakes."""
     operator_file = toml_check.read(path, OperatorFile)
     fronts = tuple(
         FrontPlan(front.kind, address_of(front.listen), front.connections) for front in operator_file.front
--- a/mallowlug/system.py
+++ b/mallowlug/system.py
@@ -1,8 +1,9 @@
-"""The operating system as the relay sees it. This module alone calls it; the root hands it to who needs it.
+"""The relay's interface to the operating system.
 
-Monotonic time is not here: it is the event loop's, so timers and measured times can't disagree. Randomness is
-the seed's that the platform tells. What stands here can be replaced as a whole, and then nothing of a relay
-touches the machine: ``mallowlug/rig/sim`` does so.
+Only this module calls the operating system; the composition root passes ``System`` to the modules that need
+it. Monotonic time is taken from the event loop, so that timers and measured times cannot disagree, and
+randomness from the seed in the configuration. With another ``System`` a relay does not touch the machine at
+all: ``mallowlug/rig/sim`` runs relays that way.
 """
 
 from __future__ import annotations
@@ -22,84 +23,87 @@
 
 
 class Disk(Protocol):
-    """Files by path and by descriptor, as POSIX has them; all raise ``OSError``."""
+    """File operations by path and by descriptor with POSIX semantics; all raise ``OSError``."""
 
     def read(self, path: Path) -> bytes:
-        """A file's whole content."""
+        """Return the whole content of a file."""
 
     def open(self, path: Path, flags: int) -> int:
-        """A descriptor; a file that is made belongs to its owner alone."""
+        """Return a descriptor; a new file can be read and written by its owner only."""
 
     def write(self, fd: int, data: bytes) -> int:
-        """Append; how many bytes were taken, which may be fewer."""
+        """Append data; return how many bytes were written, which may be fewer."""
 
     def truncate(self, fd: int, size: int) -> None:
-        """Cut a file off behind so many bytes."""
+        """Truncate a file to ``size`` bytes."""
 
     def close(self, fd: int) -> None:
-        """Let go of a descriptor."""
+        """Close a descriptor."""
 
     def replace(self, source: Path, target: Path) -> None:
-        """Put one file in another's place, at once for whoever looks."""
+        """Rename ``source`` to ``target`` atomically, replacing it."""
 
     def unlink(self, path: Path) -> None:
-        """Remove a file; one that is not there is no error."""
+        """Remove a file; a missing one is no error."""
 
     def sync(self, fd: int) -> None:
-        """What the file holds is safe from the loss of the machine's power."""
+        """Flush a file's content to the disk, so that it survives a power loss."""
 
     def lock(self, fd: int) -> bool:
-        """Lock the file against other descriptors, until this one is closed; False where another has it."""
+        """Try to lock a file until the descriptor is closed; False if another descriptor holds the lock."""
 
     def names(self, folder: Path) -> list[str]:
-        """What a folder holds."""
+        """Return the names in a folder."""
 
     def sync_folder(self, path: Path) -> None:
-        """The names in a folder are safe from it."""
+        """Flush a folder's entries to the disk, so that they survive a power loss."""
 
 
 class System(Protocol):
-    """All that a relay asks of the machine beside its event loop."""
+    """All that a relay needs of the machine beside its event loop."""
 
     @property
     def environ(self) -> Mapping[str, str]:
-        """The environment's variables."""
+        """The environment variables."""
 
     @property
     def disk(self) -> Disk:
-        """The files."""
+        """The file operations."""
 
     def wall_ns(self) -> int:
-        """Nanoseconds since the epoch, by a clock that may jump."""
+        """Return the wall time in nanoseconds since the epoch; it may jump."""
 
     def boot(self) -> str:
-        """What names the run of the machine over which its monotonic clock goes on; empty where unknown."""
+        """Return the id of the machine's boot, within which the monotonic clock goes on; "" if unknown."""
 
     def stream(self, family: int) -> socket.socket:
-        """A TCP socket that does not block and does not wait for more to send; not connected."""
+        """Return an unconnected, non-blocking TCP socket with ``TCP_NODELAY``."""
 
     def listener(self, address: tuple[str, int], shared: bool = False) -> socket.socket:
-        """A TCP socket that is bound and listens; ``OSError`` where the address can't be had.
+        """Return a listening TCP socket; raises ``OSError`` if the address is not available.
 
-        ``shared``: other processes may listen there too, if theirs are shared as well.
+        ``shared`` allows other processes to listen at the same address, if theirs are shared as well.
         """
 
     def datagram(self, address: tuple[str, int]) -> socket.socket:
-        """A UDP socket that is bound and does not block; ``OSError`` where the address can't be had."""
+        """Return a bound, non-blocking UDP socket; raises ``OSError`` if the address is not available."""
 
     def steer(self, sock: socket.socket) -> bool:
-        """Of two sockets that share an address, the one that listened later gets every new connection."""
+        """Direct all new connections to the later one of two listeners that share an address.
+
+        Return False if the kernel refuses.
+        """
 
 
 def family_of(address: tuple[str, int]) -> int:
-    """The family of a numeric address."""
+    """Return the address family of a numeric address."""
     return socket.AF_INET6 if ":" in address[0] else socket.AF_INET
 
 
 def write_file(disk: Disk, path: Path, data: bytes, durable: bool = False) -> bool:
-    """Write a small file anew; False where a part of it is missing, ``OSError`` where that cannot be.
+    """Overwrite a small file; return False if it was written only in part. Raises ``OSError``.
 
-    ``durable``: what it holds, though not its name, is safe from the loss of the machine's power then.
+    ``durable`` syncs the content, but not the folder entry, so that it survives a power loss.
     """
     fd = disk.open(path, APPEND | TRUNCATE)
     try:
@@ -112,9 +116,10 @@
 
 
 def replace_file(disk: Disk, path: Path, data: bytes, durable: bool = False) -> bool:
-    """Put a small file in another's place by one rename, so that nobody finds a part of it.
+    """Replace a small file atomically by a rename, so that no reader sees a part of it.
 
-    False where it could not be written whole, and the old one stands; ``OSError`` where that cannot be.
+    Return False, and keep the old file, if the new one could not be written whole. Raises ``OSError``.
+    ``durable`` makes the new file and its name survive a power loss.
     """
     temporary = path.with_name(f"{path.name}.new")
     if not write_file(disk, temporary, data, durable):
@@ -126,7 +131,7 @@
 
 
 class PosixDisk:
-    """The machine's files."""
+    """The file operations of the machine."""
 
     write = staticmethod(os.write)
     truncate = staticmethod(os.ftruncate)
@@ -136,22 +141,22 @@
 
     @staticmethod
     def read(path: Path) -> bytes:
-        """A file's whole content."""
+        """Return the whole content of a file."""
         return path.read_bytes()
 
     @staticmethod
     def open(path: Path, flags: int) -> int:
-        """A descriptor; a file that is made belongs to its owner alone."""
+        """Return a descriptor; a new file can be read and written by its owner only."""
         return os.open(path, flags, 0o600)
 
     @staticmethod
     def unlink(path: Path) -> None:
-        """Remove a file; one that is not there is no error."""
+        """Remove a file; a missing one is no error."""
         path.unlink(missing_ok=True)
 
     @staticmethod
     def lock(fd: int) -> bool:
-        """Lock the file; False where another descriptor has it."""
+        """Try to lock a file; False if another descriptor holds the lock."""
         try:
             fcntl.flock(fd, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except BlockingIOError:
@@ -160,12 +165,12 @@
 
     @staticmethod
     def names(folder: Path) -> list[str]:
-        """What a folder holds."""
+        """Return the names in a folder."""
         return os.listdir(folder)
 
     @staticmethod
     def sync_folder(path: Path) -> None:
-        """The names in a folder are safe from the loss of the machine's power."""
+        """Flush a folder's entries to the disk, so that they survive a power loss."""
         fd = os.open(path, os.O_RDONLY | os.O_DIRECTORY)
         try:
             os.fsync(fd)
@@ -174,7 +179,7 @@
 
 
 class Posix:
-    """The machine that the process runs on."""
+    """The machine on which the process runs."""
 
     environ: Mapping[str, str] = os.environ
     disk: Disk = PosixDisk()
@@ -182,7 +187,7 @@
 
     @staticmethod
     def boot() -> str:
-        """What names the run of the machine over which its monotonic clock goes on; empty where unknown."""
+        """Return the id of the machine's boot, within which the monotonic clock goes on; "" if unknown."""
         try:
             return BOOT_ID_FILE.read_text(encoding="ascii").strip()
         except (OSError, ValueError):
@@ -190,7 +195,7 @@
 
     @staticmethod
     def stream(family: int) -> socket.socket:
-        """A TCP socket that does not block and does not wait for more to send; not connected."""
+        """Return an unconnected, non-blocking TCP socket with ``TCP_NODELAY``."""
         sock = socket.socket(family, socket.SOCK_STREAM)
         sock.setblocking(False)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -198,12 +203,12 @@
 
     @staticmethod
     def listener(address: tuple[str, int], shared: bool = False) -> socket.socket:
-        """A TCP socket that is bound and listens; ``OSError`` where the address can't be had."""
+        """Return a listening TCP socket; raises ``OSError`` if the address is not available."""
         return socket.create_server(address, family=family_of(address), reuse_port=shared)
 
     @staticmethod
     def datagram(address: tuple[str, int]) -> socket.socket:
-        """A UDP socket that is bound and does not block; ``OSError`` where the address can't be had."""
+        """Return a bound, non-blocking UDP socket; raises ``OSError`` if the address is not available."""
         sock = socket.socket(family_of(address), socket.SOCK_DGRAM)
         try:
             sock.setblocking(False)
@@ -215,8 +220,8 @@
 
     @staticmethod
     def steer(sock: socket.socket) -> bool:
-        """A filter for the sockets of one address that names the second; without one, any is drawn."""
-        import ctypes  # noqa: PLC0415  # takes memory, and is needed only in an upgrade
+        """Attach a BPF filter that always selects the second socket; without one the kernel picks any."""
+        import ctypes  # noqa: PLC0415  # takes memory and is needed only in an upgrade
 
         program = ctypes.create_string_buffer(struct.pack("HBBI", BPF_RETURN, 0, 0, 1))
         filter_program = struct.pack("HxxxxxxP", 1, ctypes.addressof(program))
--- a/mallowlug/toml_check.py
+++ b/mallowlug/toml_check.py
@@ -1,4 +1,4 @@
-"""A TOML file against a model: every mistake with its key and line, never only the first."""
+"""Validates a TOML file against a model and reports every mistake with its key and line."""
 
 from __future__ import annotations
 
@@ -21,14 +21,14 @@
 
 
 class Strict(BaseModel):
-    """A table in which every key has to be known and of its type."""
+    """Base class of tables: unknown keys and values of another type are mistakes."""
 
     model_config = ConfigDict(extra="forbid", frozen=True, strict=True)
 
 
 @dataclass(frozen=True, slots=True, order=True)
 class Mistake:
-    """What is wrong in one place; line 0 is the file as a whole."""
+    """One mistake in a file; line 0 stands for the whole file."""
 
     line: int
     key: str
@@ -36,32 +36,32 @@
 
 
 class FileMistakesError(ValueError):
-    """A file that cannot be used, with all that is wrong in it."""
+    """A file is unusable; ``mistakes`` holds all mistakes in it, sorted by line."""
 
     def __init__(self, path: Path, mistakes: Sequence[Mistake]) -> None:
         self.path, self.mistakes = path, tuple(sorted(mistakes))
         super().__init__("\n".join(self.lines()))
 
     def lines(self) -> Iterator[str]:
-        """One line for each mistake, as ``file:line: key: reason``."""
+        """Yield one line for each mistake, as ``file:line: key: reason``."""
         for mistake in self.mistakes:
             place = f"{self.path}:{mistake.line}" if mistake.line else str(self.path)
             yield f"{place}: {mistake.key}: {mistake.reason}" if mistake.key else f"{place}: {mistake.reason}"
 
 
 def split_dotted_key(dotted: str) -> tuple[str, ...]:
-    """A dotted key's parts, without their quotes."""
+    """Split a dotted key into its parts, without quotes."""
     return tuple(part.strip("\"'") for part in re.findall(KEY_PART, dotted))
 
 
 def key_lines(text: str) -> dict[KeyPath, int]:
-    """The line of each key and table header; the parser that read the text keeps none."""
+    """Return the line of each key and table header, as ``tomllib`` does not report lines."""
     lines: dict[KeyPath, int] = {}
     table: KeyPath = ()
     counts: dict[tuple[str, ...], int] = {}
     open_quote = ""
     for number, line in enumerate(text.splitlines(), 1):
-        if open_quote:  # within a string of many lines nothing is a key
+        if open_quote:  # skip the content of multi-line strings
             open_quote = "" if open_quote in line else open_quote
             continue
         if header := TABLE_HEADER.match(line):
@@ -83,7 +83,7 @@
 
 
 def line_of(lines: dict[KeyPath, int], key: KeyPath) -> int:
-    """The line of a key, else of what holds it."""
+    """Return the line of a key, or else of the innermost table around it; 0 if there is none."""
     while key and key not in lines:
         if inner_lines := [line for place, line in lines.items() if place[: len(key)] == key]:
             return min(inner_lines)
@@ -92,7 +92,7 @@
 
 
 def read(path: Path, model: type[Model]) -> Model:
-    """The file as the model's value; ``FileMistakesError`` names all that is wrong."""
+    """Read a file into a model; raises ``FileMistakesError`` with all mistakes."""
     try:
         text = path.read_text(encoding="utf-8")
         raw = tomllib.loads(text)
