--- a/tests/test_command_line.py
+++ b/tests/test_command_line.py
@@ -1,4 +1,4 @@
-"""The command line: what is not usable ends with 2 and says why; rooms do without each other's libraries."""
+"""The command line: usage errors exit with 2 and a reason; groups work without each other's libraries."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 @pytest.mark.parametrize(
-    ("words", "told"),
+    ("words", "message"),
     [
         (["nonsense"], "No such command 'nonsense'"),
         (["check"], "Missing argument 'FILE'"),
@@ -23,10 +23,10 @@
     ],
 )
 def test_unusable_command_line_exits_with_2(
-    words: list[str], told: str, capsys: pytest.CaptureFixture[str]
+    words: list[str], message: str, capsys: pytest.CaptureFixture[str]
 ) -> None:
     assert cli.main(words) == 2
-    assert told in capsys.readouterr().err
+    assert message in capsys.readouterr().err
 
 
 def test_group_without_its_libraries_names_the_package(
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -1,4 +1,4 @@
-"""The console: what a call means, and what callers may do to it."""
+"""The console: the meaning of calls, and resistance to malformed and idle connections."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @dataclass
 class FakeRelay:
-    """A relay as the console sees it, that notes what it is told."""
+    """A relay that records the operations of the console."""
 
     ready: bool = True
     actions: list[str] = field(default_factory=list)
@@ -41,7 +41,7 @@
     ("method", "target", "status", "actions"),
     [
         ("GET", "/ready", 200, []),
-        ("GET", "/fleet", 404, []),  # where no view is kept
+        ("GET", "/fleet", 404, []),  # no fleet view
         ("GET", "/metrics", 200, []),
         ("POST", "/hosts/disable?name=s-1", 200, ["out s-1"]),
         ("POST", "/hosts/enable?name=s%2d1", 200, ["back s-1"]),
@@ -79,7 +79,7 @@
 
 @pytest.fixture
 async def console():  # type: ignore[no-untyped-def]
-    """A console with room for four callers."""
+    """A console that allows four connections; yields its port."""
     port = free_port()
     console = Console(FakeRelay(), ("127.0.0.1", port), 4, POSIX)
     await console.start()
@@ -88,7 +88,7 @@
 
 
 async def exchange(port: int, *pieces: bytes) -> bytes:
-    """All that is answered to some bytes, until the end."""
+    """Send pieces of bytes and return the whole response, up to the close."""
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     for piece in pieces:
         writer.write(piece)
@@ -118,13 +118,13 @@
 async def test_any_input_gets_one_response_and_a_close(
     console: int, pieces: list[bytes], status: bytes
 ) -> None:
-    told = await exchange(console, *pieces)
-    assert told.startswith(b"HTTP/1.1 " + status), told
-    assert told.count(b"HTTP/1.1 ") == 1
+    response = await exchange(console, *pieces)
+    assert response.startswith(b"HTTP/1.1 " + status), response
+    assert response.count(b"HTTP/1.1 ") == 1
 
 
 async def test_idle_connections_do_not_block_calls(console: int) -> None:
-    """More of them than there is room for: the oldest go, and a call is answered at once."""
+    """With more connections than allowed the oldest are closed, and a call is answered at once."""
     quiet = [await asyncio.open_connection("127.0.0.1", console) for _ in range(12)]
     for _, writer in quiet[6:]:
         writer.write(b"GET /rea")
@@ -150,7 +150,7 @@
 
 
 async def test_console_is_not_imported_without_an_address() -> None:
-    """Some days have 32 MB."""
+    """Some deployments have 32 MB of memory."""
     code = "import sys, mallowlug.cli.run; sys.exit(any('mallowlug.console' in name for name in sys.modules))"
     process = await asyncio.create_subprocess_exec(sys.executable, "-c", code, cwd=ROOT)
     assert await soon(process.wait()) == 0
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -1,4 +1,4 @@
-"""The operator file: every mistake is named, and without one the relay is the platform's relay."""
+"""The operator file: every mistake is reported, and without one no option is enabled."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
 
 
 def mistakes(path: Path, text: str) -> list[Mistake]:
-    """What is wrong with a file of that text."""
+    """Return the mistakes in a file with this text."""
     path.write_text(text, encoding="utf-8")
     with pytest.raises(FileMistakesError) as caught:
         model.load(path)
@@ -110,9 +110,9 @@
     path = tmp_path / "operator.toml"
     path.write_text(INVALID_FILE, encoding="utf-8")
     assert main(["check", str(path)]) == 2
-    told = capsys.readouterr().err.splitlines()
-    assert len(told) == 6
-    assert told[0].startswith(f"{path}:1: colour: ")
+    error_lines = capsys.readouterr().err.splitlines()
+    assert len(error_lines) == 6
+    assert error_lines[0].startswith(f"{path}:1: colour: ")
 
 
 def test_shipped_file_enables_nothing() -> None:
@@ -134,7 +134,7 @@
 
 
 def test_optional_modules_are_not_imported_by_run() -> None:
-    """Some days have 32 MB: off means not even imported."""
+    """Some deployments have 32 MB of memory: disabled options are not even imported."""
     code = "import sys, mallowlug.cli.run; print(*sys.modules)"
     command = [sys.executable, "-c", code]
     loaded = subprocess.run(command, cwd=ROOT, capture_output=True, text=True, check=True)
@@ -146,7 +146,7 @@
 
 
 async def write_second_front(world: World, connections: int) -> tuple[str, int]:
-    """Write an operator file with a listener beside the platform's; its address."""
+    """Write an operator file with an additional listener; return its address."""
     address = "127.77." + ".".join(world.address.split(".")[2:])
     (world.folder / "operator.toml").write_text(
         f'[[front]]\nkind = "resp2"\nlisten = "{address}:{world.port}"\nconnections = {connections}\n'
@@ -163,7 +163,7 @@
     first = await world.run()
     second = Client(*await soon(asyncio.open_connection(address, port)))
     assert await second.hand_in("m1") == b"+OK"
-    assert await first.hand_in("m1") == b"+OK"  # known already: one message, whichever front it came by
+    assert await first.hand_in("m1") == b"+OK"  # a duplicate, although by another front
     assert await first.hand_in("m2") == b"+OK"
     await host.call(1)
     assert sorted(ref for request in host.seen for ref in request.ids) == ["m1", "m2"]
@@ -174,17 +174,17 @@
 
 
 def test_json_log_record_has_message_id_and_traceback() -> None:
-    made = logs.build_formatter("n1", "c0ffee")
+    formatter = logs.build_formatter("n1", "c0ffee")
     try:
         raise ValueError("why")
     except ValueError:
         record = logging.LogRecord("mallowlug.x", logging.ERROR, "", 0, "%s broke", ("it",), sys.exc_info())
     record.message_id, record.secret = "9b1f", "not a field"
-    told = json.loads(made.format(record))
-    assert "\n" not in made.format(record)
-    assert (told["message_id"], told["event"], told["life"]) == ("9b1f", "it broke", "c0ffee")
-    assert told["exception"][0]["exc_value"] == "why"
-    assert "secret" not in told
+    event = json.loads(formatter.format(record))
+    assert "\n" not in formatter.format(record)
+    assert (event["message_id"], event["event"], event["life"]) == ("9b1f", "it broke", "c0ffee")
+    assert event["exception"][0]["exc_value"] == "why"
+    assert "secret" not in event
 
 
 async def test_front_connections_above_the_descriptor_limit_are_rejected(world: World) -> None:
@@ -193,15 +193,15 @@
         sys.executable, "-m", "mallowlug", "run", "--operator", str(world.folder / "operator.toml"),
         cwd=ROOT, env=world.environment(), stderr=asyncio.subprocess.PIPE,
     )  # fmt: skip
-    _, told = await soon(process.communicate())
+    _, stderr = await soon(process.communicate())
     assert process.returncode == 2
-    line = json.loads(told)
+    line = json.loads(stderr)
     assert (line["relay"], line["life"], line["level"]) == ("n0", "8c1f30d27a5be964", "critical")
     assert line["event"].startswith("configuration: front: at most 256 connections")
 
 
 async def test_without_operator_file_one_listener_and_no_pydantic(world: World) -> None:
-    world.settings["x"] = delivered.__name__  # a word that nobody knows changes nothing
+    world.settings["x"] = delivered.__name__  # an unknown setting is ignored
     await world.run()
     assert world.process is not None
     maps = Path(f"/proc/{world.process.pid}/maps").read_text(encoding="utf-8")
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -1,4 +1,4 @@
-"""SIGHUP: the file is read again under load, on the real process."""
+"""Reloads by SIGHUP, on a real process."""
 
 from __future__ import annotations
 
@@ -8,32 +8,32 @@
 
 
 def watches(directory: Directory) -> list[str]:
-    """The watches that were asked for there."""
+    """Return the watch requests that a directory received."""
     return [request.target for request in directory.seen if request.method == "GET"]
 
 
 async def test_reload_moves_the_watch_at_the_held_version(world: World) -> None:
-    """SIGHUP without a handler ends the process; a watch that stays tells nothing any more."""
+    """Guards against a SIGHUP that ends the process, and against a watch that stays at the old address."""
     host = await world.add("h1")
     client = await world.run()
     await world.directory.until(lambda: watches(world.directory))
     await client.hand_in("m1")
-    await host.call(0)  # the list was read
+    await host.call(0)  # so the list was read
     old = await world.move()
     seq = world.directory.seq
     await world.reload()
     await world.directory.until(lambda: watches(world.directory))
     assert watches(world.directory) == [f"/discovery/hosts?watch=1&from={seq}"]
-    late = await world.add("h2", block=2)
+    new_host = await world.add("h2", block=2)
     await client.insist("m2", dest=2)
-    assert (await late.call(0)).ids == ["m2"]
+    assert (await new_host.call(0)).ids == ["m2"]
     left = next(request for request in old.seen if request.method == "GET")
     await soon(left.writer.wait_closed())  # the relay ends the old watch
     assert await client.command(b"PING") == b"+PONG"
 
 
 async def test_old_watch_stays_until_the_new_address_answers(world: World) -> None:
-    """No change may be lost between the two."""
+    """No change may be lost between the two watches."""
     client = await world.run()
     await world.directory.until(lambda: watches(world.directory))
     host = await world.add("h1")
@@ -44,9 +44,9 @@
     await world.reload()
     await world.directory.until(lambda: watches(world.directory))
     world.directory, world.formers = old, [world.directory]
-    late = await world.add("h2", block=2)
+    new_host = await world.add("h2", block=2)
     await client.insist("m2", dest=2)
-    assert (await late.call(0)).ids == ["m2"]
+    assert (await new_host.call(0)).ids == ["m2"]
 
 
 async def test_unconfirmed_notices_go_to_the_new_address(world: World) -> None:
@@ -96,7 +96,7 @@
 
 
 async def test_sighup_during_shutdown(world: World) -> None:
-    """It must neither end the process early nor be lost: notices are still owed."""
+    """It must neither end the process early nor be ignored: notices are still pending."""
     host = await world.add("h1", silent)
     client = await world.run()
     await client.hand_in("m1", "unsafe")
@@ -113,7 +113,7 @@
 
 @pytest.mark.parametrize("moved_again", [False, True])
 async def test_reload_overrides_the_discovery_variable(world: World, moved_again: bool) -> None:
-    """A supervisor starts the next life with the variable of the first; a new variable counts again."""
+    """A supervisor restarts with the first variables; a changed variable takes precedence again."""
     variable = f"127.0.0.1:{world.directory.port}"
     world.variables["ROUTER_DISCOVERY"] = variable
     first = await world.move()
--- a/tests/test_seams.py
+++ b/tests/test_seams.py
@@ -1,4 +1,4 @@
-"""The relay touches the machine in one place each: clock, disk, network and randomness."""
+"""Clock, disk, network and randomness are accessed only through ``mallowlug/system.py``."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 def forbidden_uses(text: str) -> Iterator[str]:
-    """What in a module's text goes to the machine past ``mallowlug/system.py``."""
+    """Yield the imports and calls that access the machine without ``mallowlug/system.py``."""
     for node in ast.walk(ast.parse(text)):
         if isinstance(node, ast.Import):
             yield from (alias.name for alias in node.names if alias.name in FORBIDDEN_MODULES)
@@ -55,12 +55,12 @@
 
 
 @pytest.mark.parametrize(
-    "planted",
+    "source",
     [
         "import time\ntime.time()", "from os import write", "import socket\nsocket.socket()",
         "import random\nrandom.random()", "import asyncio\nasyncio.open_connection('h', 1)",
         "from pathlib import Path\nPath('x').read_text()", "open('x')", "import secrets",
     ],
 )  # fmt: skip
-def test_forbidden_use_is_detected(planted: str) -> None:
-    assert list(forbidden_uses(planted))
+def test_forbidden_use_is_detected(source: str) -> None:
+    assert list(forbidden_uses(source))
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -1,7 +1,8 @@
-"""A process that takes over goes by what is in force then, not by what it read when it started.
+"""A process that takes over applies the configuration in force, not the one that it read at its start.
 
-Two real processes on one folder, and a reload between the second's start and its take-over. `deaf` lets
-neither hear of the other's SIGHUP, as on a full disk: only what is handed over, or the file, can tell.
+Two real processes share a folder, and a reload happens between the second's start and its takeover.
+`block_sighup_exchange` keeps each from learning of the other's SIGHUP, as a full disk does; the second can
+then learn of the reload only from the handover state or the configuration file.
 """
 
 from __future__ import annotations
@@ -32,12 +33,12 @@
 
 
 def block_sighup_exchange(world: World) -> None:
-    """Nothing can be written where processes tell each other of a SIGHUP."""
+    """Make the file unwritable by which processes pass a SIGHUP on."""
     (world.state / "hup").mkdir()
 
 
 async def start_waiting_process(world: World) -> tuple[Process, int]:
-    """A second process that waits, as the first one stands still."""
+    """Stop the first process and start a second one that waits to take over."""
     assert world.process is not None
     os.kill(world.process.pid, signal.SIGSTOP)
     process, console = await start_second_process(world)
@@ -46,13 +47,13 @@
 
 
 def resume_first_process(world: World) -> None:
-    """The first process goes on; signals that came meanwhile are there at once."""
+    """Resume the first process, which then receives pending signals."""
     assert world.process is not None
     os.kill(world.process.pid, signal.SIGCONT)
 
 
 async def wait_for_metric(console: int, name: str = "conf_loaded_total") -> None:
-    """Wait until a process has taken a file, or turned it down."""
+    """Wait until a process has counted a loaded, or a rejected, file."""
 
     async def counted() -> None:
         while f"relay_{name} 1\n" not in (await called(console, "GET", "/metrics"))[1]:
@@ -62,26 +63,26 @@
 
 
 async def assert_result_at_new_address(world: World, client: Client, ref: str, cls: str = "unsafe") -> None:
-    """An unsafe message whose call breaks has its end told at the address that is in force."""
+    """Check that a failed message's result is sent to the discovery address in force."""
     world.hosts["h1"].default = lambda request: request.reset()
     assert await client.hand_in(ref, cls) == b"+OK"
     assert await world.directory.notice(ref) == {"ref": ref, "result": "dead"}
 
 
 def truncate_config(world: World) -> None:
-    """The file is cut off in the middle; nobody is told."""
+    """Truncate the configuration file without a signal."""
     path = world.folder / "config.json"
     path.write_text(path.read_text(encoding="utf-8")[:200], encoding="utf-8")
 
 
 @pytest.mark.parametrize("broken", [False, True])
 async def test_reload_before_the_takeover_applies_to_the_new_owner(world: World, broken: bool) -> None:
-    """Where the file is broken by then, the former process's settings go over, and its address."""
+    """If the file is broken by the takeover, the former owner's settings and address are handed over."""
     client, console = await start_relay(world, "h1")
     host, old = world.hosts["h1"], world.directory
     host.default = silent
     await client.hand_in("m0", "unsafe")
-    await host.call(0)  # it is out, so the first process does not hand over at once
+    await host.call(0)  # an open call delays the handover
     block_sighup_exchange(world)
     process, second = await start_waiting_process(world)
     await world.move()
@@ -101,7 +102,7 @@
 
 
 async def test_file_applies_when_nothing_was_handed_over(world: World) -> None:
-    """The first process is killed as it stands still: it never heard of the file, nor told of it."""
+    """The first process is killed while stopped: it neither reloaded the file nor handed anything over."""
     await start_relay(world, "h1")
     block_sighup_exchange(world)
     process, second = await start_waiting_process(world)
@@ -130,13 +131,13 @@
 
 
 async def test_waiting_process_reloads_on_sighup_to_the_owner(world: World) -> None:
-    """The first process took it, and is killed; the file is cut off meanwhile."""
+    """The first process reloads the file and is killed; then the file is truncated."""
     _, console = await start_relay(world, "h1")
     world.hosts["h1"].default = silent
     client = await world.client()
     await client.hand_in("m0", "unsafe")
     await world.hosts["h1"].call(0)
-    process, second = await start_second_process(world)  # it waits for that call, 1.2 s at most
+    process, second = await start_second_process(world)  # waits for the open call, 1.2 s at most
     await wait_until_ready(second, False)
     await world.move()
     world.settings["request_classes"] = [*CLASSES, NEW_CLASS]
@@ -144,11 +145,11 @@
     await wait_for_metric(console)
     assert world.process is not None
 
-    async def heard() -> None:
+    async def sighup_recorded() -> None:
         while not (world.state / "hup").exists():
             pass
 
-    await soon(heard())
+    await soon(sighup_recorded())
     world.process.kill()
     await world.process.wait()
     await wait_until_ready(second)
@@ -158,7 +159,7 @@
 
 
 async def test_reclaiming_process_applies_the_reload_of_the_dead_owner(world: World) -> None:
-    """It got a SIGHUP as the owner, which the first, a door, could not hear of, and is killed."""
+    """The new owner reloads on a SIGHUP that the former one cannot learn of, and is killed."""
     _, console = await start_relay(world, "h1")
     block_sighup_exchange(world)
     process, second = await start_second_process(world)
@@ -177,7 +178,7 @@
                 client = await world.client()
                 if await client.hand_in("m0", "new") == b"+OK":
                     return client
-            except OSError:  # a connection that the process that is gone had not taken yet
+            except OSError:  # a connection in the accept queue of the killed process
                 pass
 
     client = await soon(owner_again())
@@ -186,7 +187,7 @@
 
 
 async def test_overridden_discovery_is_handed_over_when_it_could_not_be_persisted(world: World) -> None:
-    """Both were started with the address that was left, in their environment."""
+    """Both processes have the old discovery address in their environment."""
     (world.state / config.OVERRIDDEN_FILE).mkdir()
     world.variables["ROUTER_DISCOVERY"] = f"127.0.0.1:{world.directory.port}"
     _, console = await start_relay(world, "h1")
@@ -203,7 +204,7 @@
 
 
 def load_changed_config(folder: Path, monkeypatch: pytest.MonkeyPatch, **changes: Any) -> config.Config:
-    """A world's file with these keys changed, read."""
+    """Write a configuration with these keys changed, and load it."""
     world = World(folder)
     for name, value in world.environment().items():
         monkeypatch.setenv(name, value)
@@ -236,8 +237,8 @@
 
 
 def test_config_is_handed_over_whole_or_omitted(tmp_path: Path) -> None:
-    """The list is left out before it; only where it alone is too long the file has to do."""
-    rng = random.Random(1)  # what nothing makes shorter
+    """The endpoint list is dropped first; the configuration only if it is too long by itself."""
+    rng = random.Random(1)  # incompressible
     rows = {
         dest: [[rng.randbytes(512).hex(), "127.0.0.1", 80, "a", "k", "ready", 1.0, False]]
         for dest in range(1000)
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -1,4 +1,4 @@
-"""Upgrades on real processes: a second process beside the first, on one folder, under its clients' hands."""
+"""Upgrades on real processes: a second process takes over the state folder while clients are connected."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 async def start_second_process(world: World) -> tuple[Process, int]:
-    """One more process of the relay on the same folder and addresses, but for its console."""
+    """Start another process of the relay with the same folder and addresses, but its own console port."""
     console = free_port()
     environment = world.environment() | {"ROUTER_CONSOLE": f"127.0.0.1:{console}"}
     process = await asyncio.create_subprocess_exec(
@@ -37,7 +37,7 @@
 
 
 async def wait_until_ready(console: int, ready: bool = True) -> None:
-    """Wait for the console's yes, or its no."""
+    """Wait until the console reports ready, or not ready."""
 
     async def reached() -> None:
         while True:
@@ -52,7 +52,7 @@
 
 
 async def start_relay(world: World, *hosts: str) -> tuple[Client, int]:
-    """A relay with a console and hosts that it knows from its start."""
+    """Start a relay with a console and with configured hosts; return a client and the console port."""
     for host in hosts:
         await world.add(host)
     world.known = list(world.directory.hosts.values())
@@ -63,7 +63,7 @@
 
 
 async def upgrade(world: World) -> int:
-    """An upgrade up to the yes of the new process; its console."""
+    """Upgrade until the new process is ready; return its console port."""
     former = world.process
     process, console = await start_second_process(world)
     await wait_until_ready(console)
@@ -75,20 +75,20 @@
 
 
 async def stop_former(world: World) -> None:
-    """The former process is told to end, and does."""
+    """Stop the former process by SIGTERM and check its exit code."""
     world.former.terminate()
     assert await soon(world.former.wait()) == 0
 
 
 def call_counts(world: World) -> Counter[str]:
-    """How often each message came to any host."""
+    """Count the calls of each message at all hosts."""
     return Counter(ref for host in world.hosts.values() for request in host.seen for ref in request.ids)
 
 
 async def test_repeated_upgrades_under_load_deliver_each_message_once(world: World) -> None:
-    """Three upgrades one after the other; clients keep their connections until these are closed."""
+    """Three upgrades in a row; clients keep their connections until the relay closes them."""
     await start_relay(world, "h1", "h2")
-    stop, sent, met = asyncio.Event(), list[str](), list[str]()
+    stop, sent, retried = asyncio.Event(), list[str](), list[str]()
 
     async def load(name: str, client: Client) -> None:
         number = 0
@@ -99,8 +99,8 @@
                 answer = await client.hand_in(ref, "unsafe")
             except OSError:
                 answer = b""
-            if not answer:  # the connection was closed between two requests: once more, on a new one
-                met.append(ref)
+            if not answer:  # closed between two requests: repeat on a new connection
+                retried.append(ref)
                 client = await world.client()
                 answer = await client.hand_in(ref, "unsafe")
             assert answer == b"+OK"
@@ -114,21 +114,21 @@
     stop.set()
     await asyncio.gather(*tasks)
 
-    async def all_there() -> None:  # the last one may come to either host
+    async def all_delivered() -> None:  # the last message may be sent to either host
         while not call_counts(world).keys() >= set(sent):
             await asyncio.sleep(0.01)
 
-    await soon(all_there())
+    await soon(all_delivered())
     assert set(call_counts(world).values()) == {1}
     assert world.directory.notices == []
     assert len(sent) > 100
-    assert len(met) <= 3 * 3 * 2  # each of three connections may be closed once by each process
+    assert len(retried) <= 3 * 3 * 2  # each of three connections may be closed once by each process
 
-    async def tidy() -> None:
+    async def files_removed() -> None:
         while {path.name for path in world.state.iterdir()} - {"journal", "clock", "owner", "next"}:
             await asyncio.sleep(0.01)
 
-    await soon(tidy())
+    await soon(files_removed())
 
 
 async def test_handover_waits_for_open_calls(world: World) -> None:
@@ -141,7 +141,7 @@
     await asyncio.sleep(0)
     call.answer()
     await wait_until_ready(console)
-    await client.hand_in("u2", "unsafe")  # the old process passes it on
+    await client.hand_in("u2", "unsafe")  # the former process spools it
     await host.call(1)
     assert call_counts(world) == {"u1": 1, "u2": 1}
     assert world.directory.notices == []
@@ -149,7 +149,7 @@
 
 
 async def test_call_open_past_the_handover_is_in_doubt(world: World) -> None:
-    """The unsafe one is failed and not repeated; the safe one is."""
+    """The in-doubt unsafe message fails and is not retried; the safe one is retried."""
     client, _ = await start_relay(world, "h1")
     host = world.hosts["h1"]
     host.default = silent
@@ -169,7 +169,7 @@
     await upgrade(world)
     for number in range(5):
         assert await client.hand_in(f"m{number}", "unsafe") == b"+OK"
-    assert await client.hand_in("m0", "unsafe") == b"+OK"  # the same once more
+    assert await client.hand_in("m0", "unsafe") == b"+OK"  # a duplicate
     assert await client.hand_in("x1", "nobody") == b"-ERR unknown class"
     await world.hosts["h1"].until(lambda: len(call_counts(world)) == 5)
     assert set(call_counts(world).values()) == {1}
@@ -202,10 +202,10 @@
     await client.hand_in("after", "unsafe")
     await world.hosts["h1"].until(lambda: call_counts(world)["after"] == 1)
     await wait_until_ready(console)
-    late = await world.add("h2", block=2)
-    await late.until(lambda: call_counts(world).keys() == {"held", "spooled", "after"})
+    new_host = await world.add("h2", block=2)
+    await new_host.until(lambda: call_counts(world).keys() == {"held", "spooled", "after"})
     assert set(call_counts(world).values()) == {1}
-    again, third = await start_second_process(world)  # and the next upgrade goes as any
+    again, third = await start_second_process(world)  # the next upgrade works, too
     await wait_until_ready(third)
     assert await (await world.client()).hand_in("last") == b"+OK"
     await world.hosts["h1"].until(lambda: call_counts(world)["last"] == 1)
@@ -214,7 +214,7 @@
 
 @pytest.mark.parametrize("before", [True, False])
 async def test_former_process_killed_before_or_after_the_handover(world: World, before: bool) -> None:
-    """Before the handover, or as a door whose messages are in its file."""
+    """It is killed before the handover, or after it with messages in its spool file."""
     world.name(2)
     client, _ = await start_relay(world, "h1")
     assert await client.hand_in("m1", "unsafe", dest=2) == b"+OK"
@@ -225,19 +225,19 @@
         await wait_until_ready(console)
     else:
         await wait_until_ready(console)
-        os.kill(process.pid, signal.SIGSTOP)  # the owner does not read now
+        os.kill(process.pid, signal.SIGSTOP)  # the owner does not read the spool now
         assert await client.hand_in("m2", "unsafe", dest=2) == b"+OK"
         world.process.kill()
         await world.process.wait()
         os.kill(process.pid, signal.SIGCONT)
-    late = await world.add("h2", block=2)
-    await late.until(lambda: len(call_counts(world)) == (1 if before else 2))
+    new_host = await world.add("h2", block=2)
+    await new_host.until(lambda: len(call_counts(world)) == (1 if before else 2))
     await called(console, "GET", "/ready")
     assert set(call_counts(world).values()) == {1}
 
 
 async def test_spooler_and_owner_killed_together(world: World) -> None:
-    """The next life reads journal and spool; what was adopted is not adopted again."""
+    """A restart reads journal and spool file, and does not adopt a message again."""
     world.name(2)
     client, _ = await start_relay(world, "h1")
     await upgrade(world)
@@ -256,7 +256,7 @@
 
 
 async def test_retry_after_waits_and_drains_are_handed_over(world: World) -> None:
-    """Its configuration knows an old list; what the old process heard last counts."""
+    """The new process applies the former owner's state, not the older list in its configuration."""
     client, _ = await start_relay(world, "h1", "h2")
     known = list(world.known)
     for name in ("h1", "h2"):
@@ -273,7 +273,7 @@
     await stop_former(world)
     assert await (await world.client()).hand_in("m9", d=500) == b"+OK"
     assert (await world.directory.notice("m9"))["result"] == "bounced"
-    for host in (world.hosts["h1"], world.hosts["h2"]):  # but for what crossed the first answer
+    for host in (world.hosts["h1"], world.hosts["h2"]):  # only calls that crossed the first answer
         assert all(request.at_s - host.seen[0].at_s < 0.1 for request in host.seen)
 
 
@@ -283,15 +283,15 @@
     os.kill(process.pid, signal.SIGCONT)
     assert (await called(console, "POST", "/hosts/disable?name=h1"))[0] == 200
     await wait_until_ready(second)
-    assert (await called(console, "POST", "/hosts/disable?name=h2"))[0] == 200  # told to the door
+    assert (await called(console, "POST", "/hosts/disable?name=h2"))[0] == 200  # sent to the spooling process
     assert (await called(second, "POST", "/hosts/enable?name=h1"))[0] == 200
 
-    async def heard() -> None:
+    async def applied() -> None:
         while (world.state / "out").read_bytes() != b'"h2"\n':
             await asyncio.sleep(0.01)
 
-    await soon(heard())
-    await asyncio.sleep(0.1)  # the door's word has 1 s, and takes 20 ms
+    await soon(applied())
+    await asyncio.sleep(0.1)  # the rules allow 1 s; the owner polls every 20 ms
     for number in range(4):
         await client.hand_in(f"m{number}")
         await world.hosts["h1"].call(number)
@@ -307,30 +307,30 @@
     world.former.send_signal(signal.SIGHUP)
     direct = await world.client()
 
-    async def known(client: Client, name: str) -> None:
+    async def class_known(client: Client, name: str) -> None:
         number = 0
         while await client.hand_in(f"{name}{number}", "new") != b"+OK":
             number += 1
             await asyncio.sleep(0.02)
 
-    await soon(known(client, "door"))
-    await soon(known(direct, "owner"))
+    await soon(class_known(client, "door"))
+    await soon(class_known(direct, "owner"))
     text = (await called(second, "GET", "/metrics"))[1]
-    assert "relay_conf_loaded_total 0\n" in text  # it was not this process that got the signal
+    assert "relay_conf_loaded_total 0\n" in text  # the other process received the signal
 
 
 async def test_sighup_to_a_waiting_process_applies_after_the_takeover(world: World) -> None:
-    """Two of them close together, the first for a file that is cut off."""
+    """Two in short succession, the first with a truncated file."""
     await start_relay(world, "h1")
     assert world.process is not None
-    os.kill(world.process.pid, signal.SIGSTOP)  # it does not hand over meanwhile
+    os.kill(world.process.pid, signal.SIGSTOP)  # it cannot hand over meanwhile
     process, console = await start_second_process(world)
 
     async def counted(name: str) -> None:
         while f"relay_{name} 1\n" not in (await called(console, "GET", "/metrics"))[1]:
             await asyncio.sleep(0.01)
 
-    await wait_until_ready(console, False)  # it listens, and says no
+    await wait_until_ready(console, False)  # it listens and reports not ready
     whole = (world.folder / "config.json").read_text(encoding="utf-8")
     (world.folder / "config.json").write_text(whole[: len(whole) // 2], encoding="utf-8")
     process.send_signal(signal.SIGHUP)
@@ -359,7 +359,7 @@
 
     watching = [asyncio.create_task(watch(port)) for port in (one, two)]
     await asyncio.wait(watching, return_when=asyncio.FIRST_COMPLETED)
-    await soon(asyncio.gather(*watching))  # the third follows the second
+    await soon(asyncio.gather(*watching))  # the third process takes over from the second
     assert len(ready) == 2
     assert (await called(console, "GET", "/metrics"))[0] == 200
     assert world.process is not None and world.process.returncode is None
@@ -378,16 +378,19 @@
     assert not third.try_become_owner() and second.has_successor()
     third.release_all()
     assert not second.has_successor() and not first.try_reclaim()
-    second.release_all()  # it dies
+    second.release_all()  # as if it was killed
     assert first.try_reclaim() and first.owns
 
 
 def test_reclaim_attempt_is_not_mistaken_for_a_waiting_successor(tmp_path: Path) -> None:
-    """The owner looks in the middle of the door's look; it handed over to nobody once, every few seconds."""
+    """The owner checks for a successor while the former owner tries to reclaim.
+
+    It once took the attempt for a waiting successor and handed over to no process, every few seconds.
+    """
     seen = list[bool]()
 
     class Between(PosixDisk):
-        """Whose calls the owner looks between."""
+        """A disk that lets the owner check for a successor after each lock attempt."""
 
         @staticmethod
         def lock(fd: int) -> bool:
@@ -404,18 +407,18 @@
 
 
 def test_unfinished_file_of_a_live_spooler_is_kept(tmp_path: Path) -> None:
-    """The door was told that its file is gone, and refused a message, once in some runs."""
-    living, dead = tmp_path / "new.door.1", tmp_path / "new.door.2"
-    lock = Lock(living, POSIX.disk)
+    """Clean-up once removed the new file of a live spooling process, which then refused a message."""
+    locked, unlocked = tmp_path / "new.door.1", tmp_path / "new.door.2"
+    lock = Lock(locked, POSIX.disk)
     assert lock.acquire()
-    dead.touch()
+    unlocked.touch()
     SpoolReader(tmp_path, POSIX.disk).remove_unfinished_files()
-    assert living.exists() and not dead.exists()
+    assert locked.exists() and not unlocked.exists()
     lock.release()
 
 
 class NoDescriptorsDisk(PosixDisk):
-    """A machine without descriptors."""
+    """A disk on which no descriptor is free."""
 
     @staticmethod
     def open(path: Path, flags: int) -> int:
@@ -427,7 +430,7 @@
 
 
 def test_owner_keeps_serving_without_descriptors(tmp_path: Path, caplog: pytest.LogCaptureFixture) -> None:
-    """Crowds of clients use descriptors up; the looks go on many times a second, and are told once."""
+    """Many clients can use up all descriptors; the locks are polled on, and the failure is logged once."""
     line = OwnershipLocks(tmp_path, NoDescriptorsDisk())
     assert [line.has_successor() for _ in range(50)] == [False] * 50
     assert not line.try_become_owner() and not line.try_reclaim()
@@ -436,7 +439,7 @@
 
 
 def test_handover_file_is_bounded_and_corrupt_files_are_ignored(tmp_path: Path) -> None:
-    rng = random.Random(1)  # ids that nothing makes shorter: a kilobyte each
+    rng = random.Random(1)  # incompressible ids of 1 kB each
     rows = {
         dest: [[rng.randbytes(512).hex(), "127.0.0.1", 80, "a", "k", "ready", 1.0, False]]
         for dest in range(1000)
@@ -459,7 +462,7 @@
 
 
 async def test_upgrade_with_all_console_connections_occupied(world: World) -> None:
-    """Callers that say nothing sit at both consoles."""
+    """Idle connections occupy the consoles of both processes."""
     _, console = await start_relay(world, "h1")
     idle = [await asyncio.open_connection("127.0.0.1", console) for _ in range(100)]
     await upgrade(world)
