--- a/mallowlug/cli/run.py
+++ b/mallowlug/cli/run.py
@@ -18,9 +18,8 @@
 
 def run(operator: Path | None = None) -> int:
     """Read the configuration and serve; return the exit code, 2 if the configuration is unusable."""
-    signal.signal(
-        signal.SIGHUP, signal.SIG_IGN
-    )  # until the handler is installed: the file is being read anyway
+    # Until the handler is installed a SIGHUP needs no action: the file is being read anyway.
+    signal.signal(signal.SIGHUP, signal.SIG_IGN)
     logging.basicConfig(
         level=logging.INFO,
         stream=sys.stderr,
--- a/mallowlug/compose.py
+++ b/mallowlug/compose.py
@@ -37,7 +37,7 @@
 
 LOG = logging.getLogger("mallowlug")
 VERSION = "0.2.0"  # of the program, as announced to the other relays of a fleet
-# Seconds after SIGTERM. Clients are served until the first, as no other process would accept their messages.
+# Seconds after SIGTERM: until then clients are still served, as no other process would accept their messages.
 KEEP_SERVING_S = 2.6
 SHUTDOWN_LIMIT_S = 3.2  # the process has ended by itself; SIGKILL follows after 3.7 s at the earliest
 STOP_LISTENING_S = 0.3  # a process with a successor stops listening: its accept queue is empty by then
--- a/mallowlug/console/server.py
+++ b/mallowlug/console/server.py
@@ -26,11 +26,8 @@
     def __init__(self, console: Console) -> None:
         self._console, self._received_bytes = console, 0
         self._parser = httptools.HttpRequestParser(self)
-        self._method, self._target, self._has_body = (
-            b"",
-            b"",
-            False,
-        )  # the method is set once the call is complete
+        # The method is set once the call is complete.
+        self._method, self._target, self._has_body = b"", b"", False
         self.transport: asyncio.Transport | None = None
         self.answered = False
 
@@ -56,7 +53,9 @@
         self._method = self._method or self._parser.get_method()
 
     def data_received(self, data: bytes) -> None:
-        if self.answered:  # closing with unread data would reset the connection before the response arrives
+        if (
+            self.answered
+        ):  # discard: closing with unread data would reset the connection and lose the response
             return
         self._received_bytes += len(data)
         try:
--- a/mallowlug/upgrade/spool.py
+++ b/mallowlug/upgrade/spool.py
@@ -153,10 +153,11 @@
     def __init__(self, folder: Path, disk: Disk, durable: bool = False) -> None:
         self._folder, self._disk, self._durable = folder, disk, durable
 
-    def remove_unfinished_files(
-        self,
-    ) -> None:  # raises ``OSError``: a process that cannot read its folder must not start
-        """Remove files that a killed writer had begun; those that a live writer holds locked stay."""
+    def remove_unfinished_files(self) -> None:
+        """Remove files that a killed writer had begun; those that a live writer holds locked stay.
+
+        ``OSError`` is not caught: a process that cannot read its folder must not start.
+        """
         for name in self._disk.names(self._folder):
             lock = Lock(self._folder / name, self._disk)
             if name.startswith(UNFINISHED_PREFIX) and lock.acquire():
@@ -203,7 +204,7 @@
                         name,
                     )
                 self._disk.unlink(self._folder / name)
-                if self._durable:  # else a power loss could restore a file that the journal has forgotten
+                if self._durable:  # else a power loss could restore the file, to be adopted again
                     self._disk.sync_folder(self._folder)
                 core.forget_spool(name)
         finally:
