--- a/mallowlug/cli/main.py
+++ b/mallowlug/cli/main.py
@@ -1,6 +1,6 @@
-"""``mallowlug COMMAND``: what people call by hand. The platform's ``run`` line names no command.
+"""The command line ``mallowlug COMMAND``. The platform starts the relay without a command.
 
-Exit codes: 0 well, 1 not as wanted, 2 not usable (also a command line that is not), 3 unknown.
+Exit codes: 0 success, 1 failure, 2 unusable input or command line, 3 unknown.
 """
 
 from __future__ import annotations
@@ -14,34 +14,34 @@
 import click.shell_completion
 
 FILE = click.Path(path_type=Path)
-# Groups that are imported when asked for, most of them with libraries of their own.
-ROOMS = {"fleet": "mallowlug.cli.fleet", "rig": "mallowlug.rig.cli", "sim": "mallowlug.rig.sim_cli"}
+# Command groups that are imported on use; most need additional libraries.
+LAZY_GROUPS = {"fleet": "mallowlug.cli.fleet", "rig": "mallowlug.rig.cli", "sim": "mallowlug.rig.sim_cli"}
 
 
-class Rooms(click.Group):
-    """A group whose rooms are imported when asked for, so that the others do without their libraries."""
+class LazyGroups(click.Group):
+    """A group that imports its subgroups on use, so that commands work without the others' libraries."""
 
     def list_commands(self, ctx: click.Context) -> list[str]:
-        """All names, in order."""
-        return sorted([*super().list_commands(ctx), *ROOMS])
+        """Return all command names, sorted."""
+        return sorted([*super().list_commands(ctx), *LAZY_GROUPS])
 
     def get_command(self, ctx: click.Context, name: str) -> click.Command | None:
-        """A command; one whose libraries are not installed says so when it is called."""
-        if name not in ROOMS:
+        """Return a command; without its libraries, one that reports the missing library when it is run."""
+        if name not in LAZY_GROUPS:
             return super().get_command(ctx, name)
         try:
-            found = import_module(ROOMS[name]).group
+            group = import_module(LAZY_GROUPS[name]).group
         except ModuleNotFoundError as error:
             if error.name is None or error.name.partition(".")[0] == "mallowlug":
                 raise
-            return missing(name, error.name)
-        assert isinstance(found, click.Group)
-        return found
+            return unavailable_command(name, error.name)
+        assert isinstance(group, click.Group)
+        return group
 
 
-def missing(name: str, library: str) -> click.Command:
-    """What stands for a room whose extra is not installed."""
-    told = f"mallowlug {name} needs {library}: pip install 'mallowlug[rig]'"
+def unavailable_command(name: str, library: str) -> click.Command:
+    """Return a placeholder for a group whose optional dependencies are not installed."""
+    message = f"mallowlug {name} needs {library}: pip install 'mallowlug[rig]'"
 
     @click.command(
         name,
@@ -50,23 +50,23 @@
         context_settings={"ignore_unknown_options": True},
     )
     @click.argument("words", nargs=-1, type=click.UNPROCESSED)
-    def stands_for(words: tuple[str, ...]) -> int:
-        click.echo(told, err=True)
+    def placeholder(words: tuple[str, ...]) -> int:
+        click.echo(message, err=True)
         return 2
 
-    return stands_for
+    return placeholder
 
 
-@click.group(cls=Rooms, no_args_is_help=False)
+@click.group(cls=LazyGroups, no_args_is_help=False)
 @click.version_option(package_name="mallowlug")
-def top() -> None:
+def root() -> None:
     """A relay for parking-payment messages: one final answer for each, by six rules."""
 
 
-@top.command("check")
+@root.command("check")
 @click.argument("file", type=FILE)
 def check(file: Path) -> int:
-    """Name every mistake in an operator FILE."""
+    """Report every mistake in an operator FILE."""
     from mallowlug.operator import model  # noqa: PLC0415
 
     try:
@@ -74,12 +74,12 @@
     except ValueError as error:
         click.echo(str(error), err=True)
         return 2
-    click.echo(f"{file}: in order; fronts beside the platform's: {len(extras.fronts)}")
+    click.echo(f"{file}: valid; additional fronts: {len(extras.fronts)}")
     return 0
 
 
-@top.command("run")
-@click.option("--operator", type=FILE, help="The operator file; without one nothing is switched on.")
+@root.command("run")
+@click.option("--operator", type=FILE, help="The operator file; without one all options have their defaults.")
 def serve(operator: Path | None) -> int:
     """Serve in the foreground, as `python -m mallowlug` does."""
     from mallowlug.cli.run import run  # noqa: PLC0415
@@ -87,18 +87,18 @@
     return run(operator)
 
 
-@top.command("completion")
+@root.command("completion")
 @click.argument("shell", type=click.Choice(["bash", "zsh", "fish"]))
 def completion(shell: str) -> int:
-    """Print what lets a SHELL complete commands and options; put it into the shell's start file."""
-    found = click.shell_completion.get_completion_class(shell)
-    assert found is not None
-    click.echo(found(top, {}, "mallowlug", "_MALLOWLUG_COMPLETE").source())
+    """Print a completion script for SHELL; add it to the shell's startup file."""
+    shell_completion = click.shell_completion.get_completion_class(shell)
+    assert shell_completion is not None
+    click.echo(shell_completion(root, {}, "mallowlug", "_MALLOWLUG_COMPLETE").source())
     return 0
 
 
-def called(command: click.Command, argv: Sequence[str] | None, name: str) -> int:
-    """Run a command line; its exit code. What cannot be used is told on standard error, with 2."""
+def run_command(command: click.Command, argv: Sequence[str] | None, name: str) -> int:
+    """Run a command line and return its exit code; usage errors are printed to standard error, with 2."""
     try:
         words = list(sys.argv[1:] if argv is None else argv)
         code: int | None = command.main(words, prog_name=name, standalone_mode=False)
@@ -111,5 +111,5 @@
 
 
 def main(argv: Sequence[str] | None = None) -> int:
-    """Run one command; its exit code."""
-    return called(top, argv, "mallowlug")
+    """Run one command and return its exit code."""
+    return run_command(root, argv, "mallowlug")
--- a/mallowlug/config.py
+++ b/mallowlug/config.py
@@ -1,4 +1,4 @@
-"""What a relay is told: environment and JSON file to one typed value."""
+"""A relay's configuration: reads the environment and the JSON file into one typed value."""
 
 from __future__ import annotations
 
@@ -12,21 +12,21 @@
 
 from mallowlug.core.model import Address, EndpointList, parse_address
 from mallowlug.directory.discovery import read_list
-from mallowlug.system import Disk, System, save
+from mallowlug.system import Disk, System, write_file
 from mossfront.interface import Settings
 from mossfront.settings import settings_of, whole
 
 LOG = logging.getLogger(__name__)
-OVERRULED = "overruled"  # file in the lasting folder: the ROUTER_DISCOVERY that a reload has put aside
+OVERRIDDEN_FILE = "overruled"  # in the state folder: the ROUTER_DISCOVERY that a reload has overridden
 
 
 class ConfigError(ValueError):
-    """The deployment told something that cannot be used."""
+    """The environment, the file or the operator file is unusable."""
 
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    """Everything that one relay runs by."""
+    """The whole configuration of one relay."""
 
     name: str
     listen: Address
@@ -39,15 +39,15 @@
     memory_bytes: int
     sockets: int
     known: EndpointList
-    console: Address | None = None  # where on-call staff and their tools call
-    shape: Any = ...  # the keys of the file, which a later one must have too
-    told: bytes = b""  # the file as JSON without its list of hosts; kept only where there is a console
-    aside: str = ""  # the value of ROUTER_DISCOVERY that a reload has put aside
+    console: Address | None = None  # where operators and their tools connect
+    shape: Any = ...  # the keys of the file, which a reloaded file must have too; see ``key_shape``
+    file_json: bytes = b""  # the file without its list of hosts; empty without a console
+    overridden_discovery: str = ""  # the value of ROUTER_DISCOVERY that a reload has overridden
 
 
 @dataclass(frozen=True, slots=True)
 class FrontPlan:
-    """A listener beside the platform's, and how many connections it may hold."""
+    """An additional listener, and how many connections it may hold."""
 
     kind: str
     listen: Address
@@ -56,35 +56,35 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetPlan:
-    """This relay's place in a fleet whose members know of each other."""
+    """This relay's membership in a fleet of relays that keep a view of each other."""
 
     name: str
     listen: Address
-    address: str  # host:port that others are told
+    address: str  # host:port that is announced to the others
     seeds: tuple[str, ...] = ()
     zone: str = ""
-    period_s: float = 1.0  # between two probes
-    settle_s: float = 30.0  # how long a majority holds a death before parts grow
+    period_s: float = 1.0  # s between two probes
+    settle_s: float = 30.0  # s for which a majority must agree on a death before shares grow
 
 
 @dataclass(frozen=True, slots=True)
 class Extras:
-    """What an operator file switches on; as it stands here, nothing."""
+    """The options of an operator file; the defaults enable nothing."""
 
     log_level: str = "INFO"
     log_format: str = "text"
     fronts: tuple[FrontPlan, ...] = ()
-    durable: bool = False  # the journal outlasts the loss of the machine's power
-    awake: int = 1024  # destinations that stay awake, used or not
-    rest_s: float = 60.0  # s without a use after which one beyond them may sleep
-    fleet: FleetPlan | None = None  # its own view of the other relays; None: it has none
+    durable: bool = False  # sync the journal, so that it survives a power loss
+    active_destinations: int = 1024  # destinations that stay active, used or not
+    inactive_after_s: float = 60.0  # s without use after which one beyond these becomes inactive
+    fleet: FleetPlan | None = None  # None: no view of other relays is kept
 
 
-NOTHING = Extras()
+DEFAULT_EXTRAS = Extras()
 
 
 def address_of(text: str) -> Address:
-    """``host:port`` as the pair that sockets take; ``ConfigError`` where it is none."""
+    """Parse ``host:port`` into a socket address; raises ``ConfigError`` if it is not one."""
     try:
         return parse_address(text)
     except ValueError as error:
@@ -92,25 +92,25 @@
 
 
 def flatten(value: Any, path: str = "") -> Iterator[tuple[str, str]]:
-    """Nested JSON as the path=value pairs that the adapter's settings reader takes.
+    """Flatten nested JSON to the path=value pairs of the simulator's wire.
 
-    Both come from one object, so one reader serves the simulator and the sockets alike.
+    So one settings reader serves both the simulator and the relay on sockets.
     """
     if isinstance(value, dict):
         for name, item in value.items():
             yield from flatten(item, f"{path}.{name}" if path else str(name))
     elif isinstance(value, list) and any(isinstance(item, dict) for item in value):
         yield f"{path}.count", str(len(value))
-        for at, item in enumerate(value):
-            yield from flatten(item, f"{path}.{at}")
+        for index, item in enumerate(value):
+            yield from flatten(item, f"{path}.{index}")
     elif isinstance(value, list):
-        yield path, ",".join(plain(item) for item in value)
+        yield path, ",".join(wire_text(item) for item in value)
     elif value is not None:
-        yield path, plain(value)
+        yield path, wire_text(value)
 
 
-def plain(value: Any) -> str:
-    """One plain value in the wire's spelling."""
+def wire_text(value: Any) -> str:
+    """Format one scalar as the simulator's wire does."""
     if isinstance(value, bool):
         return "true" if value else "false"
     if isinstance(value, float) and value.is_integer():
@@ -118,61 +118,66 @@
     return str(value).replace(" ", "_").replace(",", "_")
 
 
-def seed_of(value: Any) -> int:
-    """The seed is hexadecimal text; a plain number serves too."""
+def parse_seed(value: Any) -> int:
+    """Parse the seed: hexadecimal text or a number."""
     return int(value, 16) if isinstance(value, str) else int(value)
 
 
-def overruled(state: Path, disk: Disk) -> str:
-    """The value of ``ROUTER_DISCOVERY`` that counts no more, because a reload put the file before it."""
+def read_overridden_discovery(state: Path, disk: Disk) -> str:
+    """Return the value of ``ROUTER_DISCOVERY`` that a reload has overridden; "" if there is none."""
     try:
-        return disk.read(state / OVERRULED).decode()
+        return disk.read(state / OVERRIDDEN_FILE).decode()
     except (OSError, ValueError):
         return ""
 
 
-def discovery_of(
-    system: System, raw: dict[str, Any], reloading: bool, aside: str = ""
+def choose_discovery(
+    system: System, raw: dict[str, Any], reloading: bool, overridden: str = ""
 ) -> tuple[Address, str]:
-    """The address of discovery, and the variable's value that it has put aside ("" for none).
+    """Return the discovery address and the value of ``ROUTER_DISCOVERY`` that is overridden ("" if none).
 
-    The variable goes before the file, but only until a reload. A supervisor starts every life with the
-    variables of the first. So a reload that changes the address has to be remembered (``put_aside``), or the
-    next life would go back to the address that was left. ``aside``: what this relay has put aside already.
+    The variable takes precedence over the file, but only until a reload. A supervisor restarts the process
+    with the variables of its first start. So a reload that changes the address has to be recorded (see
+    ``persist_overridden_discovery``), or a restart would go back to the old address. ``overridden`` is the
+    value that this relay has overridden already.
     """
     variable, state = system.environ.get("ROUTER_DISCOVERY", ""), Path(system.environ["ROUTER_STATE"])
-    if variable and not reloading and variable not in (aside, overruled(state, system.disk)):
+    if (
+        variable
+        and not reloading
+        and variable not in (overridden, read_overridden_discovery(state, system.disk))
+    ):
         return address_of(variable), ""
     address = address_of(raw["discovery"])
     return address, variable if variable and (not reloading or address_of(variable) != address) else ""
 
 
-def put_aside(system: System, variable: str) -> bool:
-    """Remember, for the lives to come, which value of the variable counts no more; whether that is kept."""
+def persist_overridden_discovery(system: System, variable: str) -> bool:
+    """Record for later restarts which value of the variable is overridden; return whether it is recorded."""
     state = Path(system.environ["ROUTER_STATE"])
     try:
-        return overruled(state, system.disk) == variable or save(
-            system.disk, state / OVERRULED, variable.encode()
+        return read_overridden_discovery(state, system.disk) == variable or write_file(
+            system.disk, state / OVERRIDDEN_FILE, variable.encode()
         )
     except OSError as error:
-        LOG.error("reload: the next life will not know of it: %s", error)
+        LOG.error("reload: cannot record the overridden ROUTER_DISCOVERY for a restart: %s", error)
         return False
 
 
-def shape_of(value: Any) -> Any:
-    """The keys of a JSON value: of objects, and of a list's objects those that all of them have.
+def key_shape(value: Any) -> Any:
+    """Return the keys of a JSON value: those of objects, and for a list those that all its objects have.
 
-    None stands for a plain value, an empty list for one of plain values, ``...`` for anything.
+    None stands for a scalar, an empty list for a list of scalars, ``...`` for any value.
     """
     if isinstance(value, dict):
-        return {key: shape_of(item) for key, item in value.items()}
+        return {key: key_shape(item) for key, item in value.items()}
     if isinstance(value, list) and value and all(isinstance(item, dict) for item in value):
-        return [{key: shape_of(value[0][key]) for key in value[0] if all(key in item for item in value)}]
+        return [{key: key_shape(value[0][key]) for key in value[0] if all(key in item for item in value)}]
     return [] if isinstance(value, list) else value if value is ... else None
 
 
-def lacking(value: Any, shape: Any, path: str = "") -> Iterator[str]:
-    """What a file has to have by an earlier one's shape and does not: a key, or the kind of its value."""
+def missing_keys(value: Any, shape: Any, path: str = "") -> Iterator[str]:
+    """Yield what a file lacks by the shape of an earlier one: keys, or values of the right type."""
     if shape is None and isinstance(value, dict | list):
         yield f"a plain value at {path}"
     elif isinstance(shape, dict):
@@ -183,22 +188,22 @@
             if value.get(key) is None:
                 yield f"{path}.{key}" if path else key
             else:
-                yield from lacking(value[key], inner, f"{path}.{key}" if path else key)
+                yield from missing_keys(value[key], inner, f"{path}.{key}" if path else key)
     elif isinstance(shape, list):
         if not isinstance(value, list):
             yield path
             return
-        for at, item in enumerate(value):
-            yield from lacking(item, shape[0] if shape else None, f"{path}.{at}")
+        for index, item in enumerate(value):
+            yield from missing_keys(item, shape[0] if shape else None, f"{path}.{index}")
 
 
-def without_list(raw: dict[str, Any]) -> bytes:
-    """The file as a process that takes over needs it: the list of hosts passes on by itself."""
+def without_known_hosts(raw: dict[str, Any]) -> bytes:
+    """Encode the file for a handover, without the list of hosts, which is handed over separately."""
     return msgspec.json.encode({key: value for key, value in raw.items() if key != "known"})
 
 
-def file_of(system: System) -> dict[str, Any]:
-    """``$ROUTER_CONFIG`` as it is now; ``ConfigError`` where it is no JSON object, or cannot be read."""
+def read_config_file(system: System) -> dict[str, Any]:
+    """Read the file that ``ROUTER_CONFIG`` names; raises ``ConfigError`` if it holds no JSON object."""
     try:
         raw = msgspec.json.decode(system.disk.read(Path(system.environ["ROUTER_CONFIG"])))
     except KeyError as error:
@@ -211,51 +216,56 @@
 
 
 def load(system: System, reloading: bool = False, shape: Any = ...) -> Config:
-    """Read ``$ROUTER_CONFIG``; where a variable of its own is set, that one counts.
+    """Read the configuration; values from the environment take precedence over those of the file.
 
-    ``shape``: that of the file in force. One that lacks a key of it is incomplete, and nothing of it counts.
+    ``shape`` is that of the file in force. A file that lacks one of its keys is incomplete and is rejected
+    with ``ConfigError``.
     """
-    raw = file_of(system)
-    if missing := next(lacking(raw, shape), ""):
+    raw = read_config_file(system)
+    if missing := next(missing_keys(raw, shape), ""):
         raise ConfigError(f"missing {missing}")
-    return config_of(system, raw, reloading)
+    return parse_config(system, raw, reloading)
 
 
-def load_again(system: System, own: Config, held: Config) -> Config:
-    """The file as a process finds it that takes over; ``ConfigError`` where it cannot be used.
+def load_for_takeover(system: System, own: Config, in_force: Config) -> Config:
+    """Read the file again at a takeover; raises ``ConfigError`` if it is unusable.
 
-    ``own``: what this process read at its start; a file that has not changed since counts as it did then.
-    One that has must be as complete as the one that is ``held`` in force. The list of hosts in it is not
-    read: the process before this one may have heard of drains since.
+    ``own`` is what this process read at its start; a file that is unchanged since is accepted as it was then.
+    A changed one must have all keys of the file ``in_force``. Its list of hosts is ignored, as the former
+    owner may have learned of drains since.
     """
-    raw = file_of(system)
-    if without_list(raw) != own.told and (missing := next(lacking(raw, held.shape), "")):
+    raw = read_config_file(system)
+    if without_known_hosts(raw) != own.file_json and (missing := next(missing_keys(raw, in_force.shape), "")):
         raise ConfigError(f"missing {missing}")
-    return config_of(system, raw | ({"known": None} if "known" in raw else {}), False, held.aside)
+    return parse_config(
+        system, raw | ({"known": None} if "known" in raw else {}), False, in_force.overridden_discovery
+    )
 
 
-def in_force(system: System, text: str, discovery: str, aside: str) -> Config:
-    """What the process before this one went by, from what it handed over; ``ConfigError`` if that is none."""
+def config_from_handover(system: System, text: str, discovery: str, overridden: str) -> Config:
+    """Rebuild the former owner's configuration from the handover state; raises ``ConfigError`` if invalid."""
     try:
-        cfg = config_of(system, msgspec.json.decode(text, type=dict[str, Any]), False, aside)
+        cfg = parse_config(system, msgspec.json.decode(text, type=dict[str, Any]), False, overridden)
     except msgspec.MsgspecError as error:
         raise ConfigError(str(error)) from error
-    return replace(cfg, discovery=address_of(discovery), aside=aside)
+    return replace(cfg, discovery=address_of(discovery), overridden_discovery=overridden)
 
 
-def config_of(system: System, raw: dict[str, Any], reloading: bool = False, aside: str = "") -> Config:
-    """The typed value of a file's JSON; ``ConfigError`` where it cannot be used."""
+def parse_config(
+    system: System, raw: dict[str, Any], reloading: bool = False, overridden: str = ""
+) -> Config:
+    """Build the configuration from a file's JSON; raises ``ConfigError`` if it is unusable."""
     environ = system.environ
     try:
         pairs = dict(flatten(raw["settings"]))
         limits, console = raw.get("limits", {}), environ.get("ROUTER_CONSOLE") or raw.get("console")
-        discovery, put = discovery_of(system, raw, reloading, aside)
+        discovery, overridden_now = choose_discovery(system, raw, reloading, overridden)
         return Config(
             name=environ.get("ROUTER_NAME") or str(raw["name"]),
             listen=address_of(environ.get("ROUTER_LISTEN") or raw["listen"]),
             state=Path(environ["ROUTER_STATE"]),
-            seed=seed_of(raw.get("seed", 0)),
-            # On sockets the directory answers only when asked, whatever the simulator's site says.
+            seed=parse_seed(raw.get("seed", 0)),
+            # On sockets the directory answers only requests, whatever a simulated site is configured to do.
             settings=replace(settings_of(pairs), must_subscribe=True),
             connect_timeout_us=whole(pairs, "allowed.connect_timeout_us", 1_000_000),
             disk_bytes=int(float(limits.get("disk_mb", 3)) * 1_000_000),
@@ -263,10 +273,10 @@
             sockets=int(limits.get("sockets", 1024)),
             known=read_list(raw["known"]) if raw.get("known") else EndpointList(0, True, ()),
             console=address_of(console) if console else None,
-            shape=shape_of(raw | ({"known": ...} if "known" in raw else {})),
-            told=without_list(raw) if console else b"",
+            shape=key_shape(raw | ({"known": ...} if "known" in raw else {})),
+            file_json=without_known_hosts(raw) if console else b"",
             discovery=discovery,
-            aside=put,
+            overridden_discovery=overridden_now,
         )
     except KeyError as error:
         raise ConfigError(f"missing {error.args[0]}") from None
--- a/mallowlug/upgrade/coordinator.py
+++ b/mallowlug/upgrade/coordinator.py
@@ -1,7 +1,8 @@
-"""The places of one process in an upgrade, one after the other: waiting, owner, door.
+"""The roles of one process in an upgrade: first waiting, then owner, then spooling for its successor.
 
-Nothing here opens a socket or knows how a relay is put together: ``Staff`` does both. What two processes have
-to hear of each other's staff (hosts out by hand, a SIGHUP) passes through small files that both look at.
+This module opens no socket and does not compose the relay; ``ProcessControl`` does both. Operators' actions
+at one process that also concern the other (hosts disabled by an operator, SIGHUP) are passed on through small
+files that both processes poll.
 """
 
 from __future__ import annotations
@@ -18,219 +19,231 @@
 from mallowlug.core.reserved_space import ROOMY
 from mallowlug.system import APPEND, Disk
 from mallowlug.upgrade import handover_file
-from mallowlug.upgrade.locks import Succession
-from mallowlug.upgrade.spool import Adoption, Door
+from mallowlug.upgrade.locks import OwnershipLocks
+from mallowlug.upgrade.spool import SpoolReader, SpoolWriter
 
 LOG = logging.getLogger(__name__)
-STEP_S, REST_S = 0.02, 0.1  # s between looks while two processes may be there, and else
-DRAIN_S = 1.2  # s for calls that are out to end before the messages pass on; ready is due after 6 s
-BESIDE_S = 15.0  # s after a handover in which the other process is counted on
-HUP = "hup"  # file: a byte for each SIGHUP that either process got
+POLL_S, IDLE_POLL_S = 0.02, 0.1  # poll intervals while a second process may exist, and otherwise
+CALL_DRAIN_S = 1.2  # s for open calls to end before the handover; the successor must be ready within 6 s
+OVERLAP_S = 15.0  # s after a takeover for which the other process is assumed to exist
+HUP_FILE = "hup"  # holds one byte for each SIGHUP that either process received
 
 
-class Staff(Protocol):
-    """What the process does for its places."""
+class ProcessControl(Protocol):
+    """What the coordinator needs of the process around it."""
 
     @property
-    def driver(self) -> RelayCore | None:
-        """The relay's core, while this process owns the messages; then as it was."""
+    def core(self) -> RelayCore | None:
+        """The relay core; None before the first takeover, the retired one after a handover."""
 
-    def catch_up(self, binds: HandoverState | None) -> None:
-        """Go by what is in force at the take-over."""
+    def apply_config_in_force(self, handover: HandoverState | None) -> None:
+        """Apply the configuration in force at the takeover."""
 
-    def take_up(self, binds: HandoverState | None) -> RelayCore:
-        """Read the journal and go on from it."""
+    def start_core(self, handover: HandoverState | None) -> RelayCore:
+        """Replay the journal and start a core from it."""
 
-    def binds(self) -> HandoverState:
-        """What binds a successor beside the journal."""
+    def handover_state(self) -> HandoverState:
+        """The state that a successor needs and that is not in the journal."""
 
     def retire(self) -> None:
-        """Close the journal and let go of everything that is out."""
+        """Close the journal and abandon the open calls."""
 
-    def serve_by(self, core: Intake) -> None:
-        """What clients bring goes there from now on."""
+    def set_intake(self, intake: Intake) -> None:
+        """Send what clients submit to this intake from now on."""
 
-    def hear(self) -> None:
-        """The other process's staff may have put a host out or back."""
+    def refresh_disabled_hosts(self) -> None:
+        """Read again which hosts are disabled, as an operator may have changed them at the other process."""
 
-    def reread(self) -> bool:
-        """The other process got a SIGHUP."""
+    def reload_config(self) -> bool:
+        """Read the configuration file again, after a SIGHUP at the other process."""
 
     @property
-    def told_to_end(self) -> bool:
-        """Whether SIGTERM has come."""
+    def terminating(self) -> bool:
+        """Whether SIGTERM was received."""
 
 
-class Beside:
-    """The owner's intake: what a door took on before comes first, where order is kept."""
+class OrderedIntake:
+    """The owner's intake while spool files may exist: keeps the order of spooled and new messages."""
 
-    def __init__(self, driver: RelayCore, adoption: Adoption) -> None:
-        self._driver, self._adoption = driver, adoption
-        self.clock = driver.clock
+    def __init__(self, core: RelayCore, spool_reader: SpoolReader) -> None:
+        self._core, self._spool_reader = core, spool_reader
+        self.clock = core.clock
 
     @property
     def refusal(self) -> Refused:
-        """A refusal at the door, with when to come back."""
-        return self._driver.refusal
+        """The refusal for a front that cannot accept a request, with a wait before a retry."""
+        return self._core.refusal
 
-    def submit(self, handed: Submission, body: bytes) -> Answer:
-        """As the core does."""
-        if handed.order:
-            self._adoption.look(self._driver)
-        return self._driver.submit(handed, body)
+    def submit(self, submission: Submission, body: bytes) -> Answer:
+        """Submit to the core; before an ordered message, adopt what a former owner accepted earlier."""
+        if submission.order:
+            self._spool_reader.adopt_spooled(self._core)
+        return self._core.submit(submission, body)
 
 
-class Shift:
-    """One process's way through its places."""
+class UpgradeCoordinator:
+    """Takes one process through its roles, back to owner if its successor dies."""
 
     def __init__(
-        self, folder: Path, disk: Disk, staff: Staff, durable: bool = False, *, most_binds: int = ROOMY.binds
+        self,
+        folder: Path,
+        disk: Disk,
+        process: ProcessControl,
+        durable: bool = False,
+        *,
+        max_handover_bytes: int = ROOMY.binds,
     ) -> None:
-        """``most_binds``: bytes of the file that is handed over."""
-        self._most_binds = most_binds
-        self._folder, self._disk, self._staff, self._durable = folder, disk, staff, durable
-        self.line = Succession(folder, disk)
-        self._adoption = Adoption(folder, disk, durable)
-        self._heard = 0  # of the SIGHUPs that either process got: how many this one goes by
-        self._heard = self._count_hups()
-        self._kept: HandoverState | None = None  # what this process has handed over
-        self._owed = False  # whether this process got one that the other cannot have heard of yet
-        self._beside_s = 0.0  # loop's time until which another process is counted on
-        self.door: Door | None = None
-        self.followed = False  # whether this process took over from one that was there
-
-    async def come_up(self) -> None:
-        """Wait until this process owns the messages."""
-        self.followed = not self.line.step_up()
-        while not self.line.owns:
-            await asyncio.sleep(STEP_S / 2)
-            self._share()  # a file that is broken by the time of the take-over may be whole now
-            self.line.step_up()
-
-    def take_up(self) -> None:
-        """Go on from what the one before has left.
-
-        In this order, so that a file that changes in this very moment is heeded all the same: the count of
-        the SIGHUPs first, so that a later one is news; then what was handed over, which no process changes
-        any more; then the file itself.
+        """``max_handover_bytes`` limits the handover file."""
+        self._max_handover_bytes = max_handover_bytes
+        self._folder, self._disk, self._process, self._durable = folder, disk, process, durable
+        self.locks = OwnershipLocks(folder, disk)
+        self._spool_reader = SpoolReader(folder, disk, durable)
+        self._sighups_seen = 0  # SIGHUPs of both processes that this one has applied
+        self._sighups_seen = self._count_sighups()
+        self._handed_over: HandoverState | None = None  # the state this process wrote at its last handover
+        self._sighup_pending = False  # a SIGHUP of this process is not in the file yet
+        self._overlap_until_s = 0.0  # loop time until which another process is assumed to exist
+        self.spool_writer: SpoolWriter | None = None
+        self.had_predecessor = False  # whether another process owned the messages when this one started
+
+    async def wait_for_ownership(self) -> None:
+        """Wait until this process owns the messages, and apply operators' actions meanwhile."""
+        self.had_predecessor = not self.locks.try_become_owner()
+        while not self.locks.owns:
+            await asyncio.sleep(POLL_S / 2)
+            self._exchange_news()  # the file may be valid now and broken at the takeover
+            self.locks.try_become_owner()
+
+    def take_over(self) -> None:
+        """Become the owner: apply the handover state and the configuration, and start the core.
+
+        The order makes sure that a configuration file that changes meanwhile is not missed: first the count
+        of SIGHUPs, so that a later one is noticed; then the handover file, which no process changes any more;
+        then the configuration file itself.
         """
-        self._adoption.tidy()
-        self._heard = self._count_hups()
-        binds = handover_file.take(self._folder, self._disk)
-        if self.followed or self.door is not None:
-            self._staff.hear()
-            self._staff.catch_up(binds)
-        driver = self._staff.take_up(binds or self._kept)
-        self._kept = None
-        handover_file.drop(self._folder, self._disk)
-        self._adoption.look(driver)
+        self._spool_reader.remove_unfinished_files()
+        self._sighups_seen = self._count_sighups()
+        handover = handover_file.read(self._folder, self._disk)
+        if self.had_predecessor or self.spool_writer is not None:
+            self._process.refresh_disabled_hosts()
+            self._process.apply_config_in_force(handover)
+        core = self._process.start_core(handover or self._handed_over)
+        self._handed_over = None
+        handover_file.delete(self._folder, self._disk)
+        self._spool_reader.adopt_spooled(core)
         loop = asyncio.get_running_loop()
-        self._staff.serve_by(Beside(driver, self._adoption))
-        self._beside_s = loop.time() + BESIDE_S
+        self._process.set_intake(OrderedIntake(core, self._spool_reader))
+        self._overlap_until_s = loop.time() + OVERLAP_S
 
-    async def serve(self) -> None:
-        """From owner to door and back, for as long as the process lasts."""
+    async def run(self) -> None:
+        """Alternate between owner and spooling for as long as the process runs."""
         while True:
-            await self._own()
+            await self._run_as_owner()
             if not await self._hand_over():
                 continue
-            await self._keep_the_door()
-            LOG.warning("upgrade: the process that was to follow is gone; taking the messages back")
-            if self.door is not None:
-                self.door.close()
-            self.take_up()
-            self.door = None
-
-    async def _own(self) -> None:
-        """Serve until somebody waits to follow."""
+            await self._run_as_spooler()
+            LOG.warning("upgrade: the successor is gone; reclaiming ownership of the messages")
+            if self.spool_writer is not None:
+                self.spool_writer.close()
+            self.take_over()
+            self.spool_writer = None
+
+    async def _run_as_owner(self) -> None:
+        """Serve as the owner until a successor waits."""
         loop = asyncio.get_running_loop()
-        while not self.line.wanted():
-            beside = loop.time() < self._beside_s
-            if self._staff.driver is not None and self._adoption.look(self._staff.driver):
-                beside, self._beside_s = True, max(self._beside_s, loop.time() + BESIDE_S / 5)
-            self._share()
-            if not beside and self._staff.driver is not None:
-                self._staff.serve_by(self._staff.driver)
-            await asyncio.sleep(STEP_S if beside else REST_S)
+        while not self.locks.has_successor():
+            overlap = loop.time() < self._overlap_until_s
+            if self._process.core is not None and self._spool_reader.adopt_spooled(self._process.core):
+                overlap, self._overlap_until_s = True, max(self._overlap_until_s, loop.time() + OVERLAP_S / 5)
+            self._exchange_news()
+            if not overlap and self._process.core is not None:
+                self._process.set_intake(self._process.core)
+            await asyncio.sleep(POLL_S if overlap else IDLE_POLL_S)
 
     async def _hand_over(self) -> bool:
-        """Start nothing more, let end what is out, write down what binds, let go.
+        """Pause the core, let open calls end, write the handover file and release ownership.
 
-        Not while the disk does not take what the journal owes it: the next process would read an older state.
+        Return False, and go on as the owner, if the journal or the handover file cannot be written: the
+        successor would start from an older state.
         """
-        driver, loop = self._staff.driver, asyncio.get_running_loop()
-        assert driver is not None
-        LOG.info("upgrade: a process waits to follow; letting calls end")
+        core, loop = self._process.core, asyncio.get_running_loop()
+        assert core is not None
+        LOG.info("upgrade: a successor waits; letting open calls end before the handover")
         start_s = loop.time()
-        self._share()
-        driver.pause(True)
-        while driver.busy and loop.time() < start_s + DRAIN_S:
-            self._share()
-            await asyncio.sleep(STEP_S / 4)
-        self._adoption.look(driver)
-        self._share()  # the last moment: from here to the end nothing else runs in this process
-        binds = self._staff.binds()
+        self._exchange_news()
+        core.pause(True)
+        while core.busy and loop.time() < start_s + CALL_DRAIN_S:
+            self._exchange_news()
+            await asyncio.sleep(POLL_S / 4)
+        self._spool_reader.adopt_spooled(core)
+        self._exchange_news()  # the last exchange: nothing else runs in this process from here to the end
+        handover = self._process.handover_state()
         if not (
-            driver.flush_journal() and handover_file.keep(self._folder, self._disk, binds, self._most_binds)
+            core.flush_journal()
+            and handover_file.write(self._folder, self._disk, handover, self._max_handover_bytes)
         ):
-            LOG.warning("upgrade: the disk is full or failing; serving on")
-            driver.pause(False)
-            await asyncio.sleep(REST_S)
+            LOG.warning("upgrade: the journal or the handover file cannot be written; staying the owner")
+            core.pause(False)
+            await asyncio.sleep(IDLE_POLL_S)
             return False
-        # Whoever follows may have read it, and be gone: then the waits in it still bind this process. Not the
-        # list, as that one may have heard of a drain since.
-        binds.seq, binds.rows = -1, {}
-        self._kept = binds
-        self.door = Door(self._folder, self._disk, driver, self._durable)
-        self._staff.retire()
-        self._staff.serve_by(self.door)
-        self.line.hand_over()
-        LOG.info("upgrade: handed over after %.2f s", loop.time() - start_s)
+        # If the successor dies after it has deleted the file, this process still has to honour the waits in
+        # it. It must not reuse the endpoint list: the successor may have learned of a drain since.
+        handover.seq, handover.rows = -1, {}
+        self._handed_over = handover
+        self.spool_writer = SpoolWriter(self._folder, self._disk, core, self._durable)
+        self._process.retire()
+        self._process.set_intake(self.spool_writer)
+        self.locks.release_ownership()
+        LOG.info("upgrade: handed over ownership after %.2f s", loop.time() - start_s)
         return True
 
-    async def _keep_the_door(self) -> None:
-        """Pass on what clients still bring, until the end, or until nobody follows."""
-        while self._staff.told_to_end or not self.line.take_back():
-            self._share()
-            await asyncio.sleep(STEP_S)
-
-    def _share(self) -> None:
-        """Hear what the other process's staff were told, and let it hear what this one's were."""
-        self._staff.hear()
-        if self._heard != (now := self._count_hups()):
-            self._heard = now
-            self._staff.reread()
-        self._tell()
-
-    def _count_hups(self) -> int:
+    async def _run_as_spooler(self) -> None:
+        """Spool what clients still submit, until the process ends or its successor is gone."""
+        while self._process.terminating or not self.locks.try_reclaim():
+            self._exchange_news()
+            await asyncio.sleep(POLL_S)
+
+    def _exchange_news(self) -> None:
+        """Apply operators' actions at the other process, and pass on a SIGHUP that this one received."""
+        self._process.refresh_disabled_hosts()
+        if self._sighups_seen != (count := self._count_sighups()):
+            self._sighups_seen = count
+            self._process.reload_config()
+        self._record_sighup()
+
+    def _count_sighups(self) -> int:
         try:
-            return len(self._disk.read(self._folder / HUP))
+            return len(self._disk.read(self._folder / HUP_FILE))
         except FileNotFoundError:
             return 0
-        except OSError:  # no descriptor is left, perhaps: that is no news
-            return self._heard
+        except OSError:  # perhaps no descriptor is free: assume no new SIGHUP
+            return self._sighups_seen
 
-    def tell_hup(self) -> None:
-        """This process got a SIGHUP: the other one hears of it, if need be once the disk has room."""
-        self._owed = True
-        self._tell()
+    def announce_sighup(self) -> None:
+        """Pass a SIGHUP of this process on to the other; retried while the file cannot be written."""
+        self._sighup_pending = True
+        self._record_sighup()
 
-    def _tell(self) -> None:
-        """Count it for both. Appending, since two that write at once must not hide each other's."""
-        if not self._owed:
+    def _record_sighup(self) -> None:
+        """Append a pending SIGHUP to the file.
+
+        A byte is appended, not a count rewritten: of two processes that write at once, neither may hide the
+        other's SIGHUP.
+        """
+        if not self._sighup_pending:
             return
         try:
-            fd = self._disk.open(self._folder / HUP, APPEND)
+            fd = self._disk.open(self._folder / HUP_FILE, APPEND)
             try:
-                self._owed = self._disk.write(fd, b".") == 0
+                self._sighup_pending = self._disk.write(fd, b".") == 0
             finally:
                 self._disk.close(fd)
         except OSError as error:
-            LOG.debug("upgrade: the other process does not hear of the SIGHUP yet: %s", error)
-        self._heard += not self._owed
-
-    def leave(self) -> None:
-        """The process ends."""
-        if self.door is not None:
-            self.door.close()
-        self.line.leave()
+            LOG.debug("upgrade: cannot pass the SIGHUP on to the other process yet: %s", error)
+        self._sighups_seen += not self._sighup_pending
+
+    def close(self) -> None:
+        """Close the spool file and release the locks, as the process ends."""
+        if self.spool_writer is not None:
+            self.spool_writer.close()
+        self.locks.release_all()
--- a/mallowlug/upgrade/handover_file.py
+++ b/mallowlug/upgrade/handover_file.py
@@ -1,7 +1,7 @@
-"""The file in which a process that hands over tells its successor what binds it beside the journal.
+"""The file that carries the handover state, which is not in the journal, from an owner to its successor.
 
-A file that is missing, torn or absurd costs what it would have told, and no message. It is JSON, compressed
-where it would be too long as it is: a list of a thousand hosts and what was learned of each have room.
+A missing, truncated or invalid file loses this state but no message. The content is JSON, compressed with
+zlib if it would exceed the size limit: a list of a thousand hosts with what was learned of each fits.
 """
 
 from __future__ import annotations
@@ -14,67 +14,73 @@
 
 from mallowlug.core.handover import HandoverState
 from mallowlug.core.reserved_space import ROOMY
-from mallowlug.system import Disk, swap
+from mallowlug.system import Disk, replace_file
 
 LOG = logging.getLogger(__name__)
 FILE = "binds"
-MOST_PLAIN = 16 << 20  # bytes of what a file may hold; one that claims more is absurd
+MAX_DECOMPRESSED_BYTES = 16 << 20  # a file that decompresses to more is invalid
 
 
-def keep(folder: Path, disk: Disk, binds: HandoverState, most: int = ROOMY.binds) -> bool:
-    """Write it down in one piece; of what does not fit into ``most`` bytes the ids that are over go first,
-    then the list, and the directory's is waited for.
+def write(folder: Path, disk: Disk, state: HandoverState, max_bytes: int = ROOMY.binds) -> bool:
+    """Write the state atomically; return whether it was written.
 
-    False where it is not kept: told waits would be forgotten, so nothing may be handed over then.
+    If it exceeds ``max_bytes``, parts of it are dropped in this order: the ids of finished messages, the
+    endpoint list (the successor then waits for the directory's list), what was learned of endpoints, and the
+    configuration. ``state`` itself is changed.
+
+    If the result is False, ownership must not be handed over: Retry-After waits would be forgotten.
     """
-    data = packed(binds, most)
-    if len(data) > most:
-        binds.over = []
-        data = packed(binds, most)
-    if len(data) > most:
-        binds.seq, binds.rows = -1, {}
-        data = packed(binds, most)
-    if len(data) > most:
-        binds.learned = []
-        data = packed(binds, most)
-    if len(data) > most:  # the file alone tells the successor what counts
-        binds.config = ""
-        data = packed(binds, most)
+    data = encode_state(state, max_bytes)
+    if len(data) > max_bytes:
+        state.over = []
+        data = encode_state(state, max_bytes)
+    if len(data) > max_bytes:
+        state.seq, state.rows = -1, {}
+        data = encode_state(state, max_bytes)
+    if len(data) > max_bytes:
+        state.learned = []
+        data = encode_state(state, max_bytes)
+    if len(data) > max_bytes:  # the successor then reads the configuration file alone
+        state.config = ""
+        data = encode_state(state, max_bytes)
     try:
-        return swap(disk, folder / FILE, data)
+        return replace_file(disk, folder / FILE, data)
     except OSError as error:
-        LOG.error("handover: what binds beside the journal was not kept: %s", error)
+        LOG.error("handover: cannot write the handover file: %s", error)
         return False
 
 
-def packed(binds: HandoverState, most: int) -> bytes:
-    """The file's bytes."""
-    data = msgspec.json.encode(binds)
-    return data if len(data) <= most else zlib.compress(data)
+def encode_state(state: HandoverState, max_bytes: int) -> bytes:
+    """Encode the state as JSON, compressed if it is longer than ``max_bytes``."""
+    data = msgspec.json.encode(state)
+    return data if len(data) <= max_bytes else zlib.compress(data)
+
 
+def decompress(data: bytes) -> bytes:
+    """Return the JSON content of a plain or compressed file.
 
-def unpacked(data: bytes) -> bytes:
-    """The JSON in a file's bytes; ``zlib.error`` where there is none."""
+    Raises ``zlib.error`` if the data is neither, is truncated, or is too large.
+    """
     if data.startswith(b"{"):
         return data
-    plain = zlib.decompressobj()
-    found = plain.decompress(data, MOST_PLAIN)
-    if not plain.eof:
-        raise zlib.error("cut short, or far too long")
-    return found
+    decompressor = zlib.decompressobj()
+    content = decompressor.decompress(data, MAX_DECOMPRESSED_BYTES)
+    if not decompressor.eof:
+        raise zlib.error("truncated, or too large when decompressed")
+    return content
 
 
-def take(folder: Path, disk: Disk) -> HandoverState | None:
-    """What the one before has left."""
+def read(folder: Path, disk: Disk) -> HandoverState | None:
+    """Read the state that the former owner left; None if there is none or it cannot be read."""
     try:
-        return msgspec.json.decode(unpacked(disk.read(folder / FILE)), type=HandoverState)
+        return msgspec.json.decode(decompress(disk.read(folder / FILE)), type=HandoverState)
     except FileNotFoundError:
         return None
     except (OSError, zlib.error, msgspec.MsgspecError) as error:
-        LOG.error("handover: what binds beside the journal cannot be read: %s", error)
+        LOG.error("handover: cannot read the handover file: %s", error)
         return None
 
 
-def drop(folder: Path, disk: Disk) -> None:
-    """It is heeded: a life that comes later must not go by it."""
+def delete(folder: Path, disk: Disk) -> None:
+    """Remove the file once it is applied, so that no later restart applies it again."""
     disk.unlink(folder / FILE)
