--- a/mallowlug/compose.py
+++ b/mallowlug/compose.py
@@ -10,12 +10,12 @@
 from typing import TYPE_CHECKING, Any
 
 from mallowlug import config
-from mallowlug.core.clock import clock_of
-from mallowlug.core.descriptors import Shares, shares_of
+from mallowlug.core.clock import create_clock
+from mallowlug.core.descriptors import DescriptorShares, split_descriptors
 from mallowlug.core.disabled_hosts import DisabledHosts
 from mallowlug.core.handover import HandoverState
 from mallowlug.core.journal import Journal
-from mallowlug.core.listings import Listings, listed_of
+from mallowlug.core.listings import Listings, endpoint_from_row
 from mallowlug.core.metrics import Metrics
 from mallowlug.core.model import EndpointList
 from mallowlug.core.operator_interface import OperatorInterface
@@ -55,16 +55,16 @@
         raise config.ConfigError(f"front: at most {cfg.sockets // 4} connections beside the platform's")
     plans = [(cfg.listen, left), *((plan.listen, plan.connections) for plan in extras.fronts)]
     shared = cfg.console is not None  # by it staff learn when a process that starts beside this one is ready
-    burst = max(1, shares.burst // len(plans))
+    burst = max(1, shares.accept_burst // len(plans))
     return [
         Server(core, address, most, system, shared, burst=burst, reasons=reasons) for address, most in plans
     ]
 
 
-def shares_in(cfg: config.Config, extras: config.Extras) -> Shares:
+def shares_in(cfg: config.Config, extras: config.Extras) -> DescriptorShares:
     """Who may hold how many descriptors."""
     listeners = 1 + len(extras.fronts) + (extras.fleet is not None)
-    shares = shares_of(cfg.sockets, listeners, cfg.console is not None)
+    shares = split_descriptors(cfg.sockets, listeners, cfg.console is not None)
     if shares.total > cfg.sockets:
         LOG.warning("limits.sockets: %d descriptors are too few to keep the roles apart", cfg.sockets)
     return shares
@@ -110,7 +110,7 @@
         return EndpointList(0, True, ())
     if binds is None or binds.seq < known.seq or not binds.rows:
         return known
-    hosts = tuple(listed_of(tuple(row), dest) for dest, rows in binds.rows.items() for row in rows)
+    hosts = tuple(endpoint_from_row(tuple(row), dest) for dest, rows in binds.rows.items() for row in rows)
     return EndpointList(binds.seq, True, hosts)
 
 
@@ -132,9 +132,11 @@
         self._terminated = asyncio.Event()
         room = reserved_space(cfg.disk_bytes)
         self._figures = Metrics(cls.name for cls in cfg.settings.classes)
-        self._outs = DisabledHosts(cfg.state, system.disk, extras.durable, most_bytes=room.outs)
+        self._outs = DisabledHosts(
+            cfg.state, system.disk, extras.durable, max_bytes=room.disabled_hosts_bytes
+        )
         self._desk = OperatorInterface(self._figures, self._outs)
-        self._desk.names = {listed.entry.host for listed in cfg.known.hosts} if cfg.console else set()
+        self._desk.known_hosts = {listed.entry.host for listed in cfg.known.hosts} if cfg.console else set()
         self._journal: Journal | None = None
         self._fronts: list[Server] = []
         self._core: Intake | None = None  # what the fronts talk to
@@ -147,7 +149,7 @@
     @property
     def driver(self) -> RelayCore | None:
         """The relay's core, once the journal is taken up."""
-        return self._desk.driver
+        return self._desk.core
 
     @property
     def told_to_end(self) -> bool:
@@ -189,9 +191,9 @@
 
         self._shift = Shift(
             cfg.state, self._system.disk, self, self._extras.durable,
-            most_binds=reserved_space(cfg.disk_bytes).binds,
+            most_binds=reserved_space(cfg.disk_bytes).handover_bytes,
         )  # fmt: skip
-        console = Console(self._desk, cfg.console, self._shares.callers - 1, self._system)
+        console = Console(self._desk, cfg.console, self._shares.console_connections - 1, self._system)
         await console.start()
         LOG.info("%s has its console at %s:%d", cfg.name, *cfg.console)
         return console
@@ -244,7 +246,7 @@
     def take_up(self, binds: HandoverState | None) -> RelayCore:
         """Read the journal and go on from it."""
         cfg, system = self._cfg, self._system
-        disk_bytes = cfg.disk_bytes - (cfg.console is not None) * reserved_space(cfg.disk_bytes).total
+        disk_bytes = cfg.disk_bytes - (cfg.console is not None) * reserved_space(cfg.disk_bytes).total_bytes
         self._journal = Journal(cfg.state, disk_bytes, system.disk, self._extras.durable)
         known, self._known = list_of(binds, self._known), EndpointList(0, True, ())
 
@@ -256,17 +258,17 @@
             settings=self._within(cfg.settings),
             seed=cfg.seed,
             journal=self._journal,
-            plugs=plugs_of(cfg, known.seq, system, self._shares.calls, self._figures.reasons),
-            clock=clock_of(system, cfg.state, self._loop.time),
+            adapters=plugs_of(cfg, known.seq, system, self._shares.calls, self._figures.reasons),
+            clock=create_clock(system, cfg.state, self._loop.time),
             listings=Listings(self._extras.awake, self._extras.rest_s),
-            figures=self._figures,
-            outs=self._outs,
-            crashed=crashed,
+            metrics=self._figures,
+            disabled_hosts=self._outs,
+            on_crash=crashed,
         )
         driver.start(known, binds)
         if self.driver is not None:
-            driver.sent_before = self.driver.gauges.sends
-        self._desk.driver, self._desk.names = driver, set()  # the list itself answers from now on
+            driver.sent_by_former_core = self.driver.gauges.sends
+        self._desk.core, self._desk.known_hosts = driver, set()  # the list itself answers from now on
         if self._extras.fleet is not None:
             self._join(self._extras.fleet)
         return driver
@@ -322,9 +324,9 @@
         What cannot be used changes nothing. Limits and addresses of this process count from the next start.
         """
         if self.reread():
-            self._figures.loaded += 1
+            self._figures.configs_loaded += 1
         else:
-            self._figures.invalid += 1
+            self._figures.configs_invalid += 1
         if self._shift is not None:
             self._shift.tell_hup()
 
@@ -380,7 +382,7 @@
             LOG.error("take-over: the file cannot be used, what was in force stays: %s", error)
             cfg = held
         self._go_by(cfg)
-        self._figures.know(cls.name for cls in cfg.settings.classes)
+        self._figures.add_groups(cls.name for cls in cfg.settings.classes)
         self._put_aside()
         LOG.info("take-over: discovery at %s:%d", *cfg.discovery)
 
--- a/mallowlug/console/calls.py
+++ b/mallowlug/console/calls.py
@@ -19,10 +19,10 @@
     def ready(self) -> bool:
         """Whether this process would take a message on now."""
 
-    def figures(self) -> str:
+    def metrics_text(self) -> str:
         """The figures, in the exposition format."""
 
-    def members(self) -> str:
+    def fleet_json(self) -> str:
         """The view of the fleet as JSON; empty where none is kept."""
 
     def disable_host(self, host: str) -> str:
@@ -46,7 +46,7 @@
     path, sign, query = target.partition("?")
     table: dict[str, tuple[str, Callable[[], Said]]] = {
         "/ready": ("GET", lambda: ready(relay)),
-        "/metrics": ("GET", lambda: Said(200, relay.figures(), FIGURES)),
+        "/metrics": ("GET", lambda: Said(200, relay.metrics_text(), FIGURES)),
         "/fleet": ("GET", lambda: fleet(relay)),
         "/hosts/disable": ("POST", lambda: by_hand(query, relay.disable_host)),
         "/hosts/enable": ("POST", lambda: by_hand(query, relay.enable_host)),
@@ -68,7 +68,7 @@
 
 def fleet(relay: Operated) -> Said:
     """``GET /fleet``."""
-    text = relay.members()
+    text = relay.fleet_json()
     return Said(200, text, JSON) if text else Said(404, "no view of a fleet is kept here\n")
 
 
--- a/mallowlug/core/clock.py
+++ b/mallowlug/core/clock.py
@@ -21,9 +21,9 @@
 class Clock:
     """Microseconds since the epoch, in step with the loop's time."""
 
-    def __init__(self, offset_us: int, monotonic_s: Callable[[], float], keep: Callable[[], bool]) -> None:
-        self._offset_us, self._monotonic_s, self._keep = offset_us, monotonic_s, keep
-        self.saved = keep()  # for the lives to come
+    def __init__(self, offset_us: int, monotonic_s: Callable[[], float], store: Callable[[], bool]) -> None:
+        self._offset_us, self._monotonic_s, self._store = offset_us, monotonic_s, store
+        self.saved = store()  # for the lives to come
 
     def __call__(self) -> int:
         """Microseconds since the epoch."""
@@ -31,19 +31,19 @@
 
     def retry_save(self) -> None:
         """Try again to keep it, where the disk did not take it."""
-        self.saved = self.saved or self._keep()
+        self.saved = self.saved or self._store()
 
 
-def clock_of(system: System, folder: Path, monotonic_s: Callable[[], float]) -> Clock:
+def create_clock(system: System, folder: Path, monotonic_s: Callable[[], float]) -> Clock:
     """The clock of the lives before this one, else one that is set by the wall and kept for those to come."""
     boot, path = system.boot(), folder / FILE
-    if (offset_us := kept(system, path, boot)) is not None:
+    if (offset_us := load_offset(system, path, boot)) is not None:
         return Clock(offset_us, monotonic_s, lambda: True)
-    found_us = system.wall_ns() // 1000 - int(monotonic_s() * 1e6)
-    return Clock(found_us, monotonic_s, lambda: keep(system, path, f"{boot} {found_us}\n"))
+    offset_us_now = system.wall_ns() // 1000 - int(monotonic_s() * 1e6)
+    return Clock(offset_us_now, monotonic_s, lambda: store_offset(system, path, f"{boot} {offset_us_now}\n"))
 
 
-def kept(system: System, path: Path, boot: str) -> int | None:
+def load_offset(system: System, path: Path, boot: str) -> int | None:
     """The distance that was kept in this run of the machine; None for none, or for one that is torn."""
     try:
         named, _, offset = system.disk.read(path).decode("ascii").partition(" ")
@@ -52,7 +52,7 @@
         return None
 
 
-def keep(system: System, path: Path, line: str) -> bool:
+def store_offset(system: System, path: Path, line: str) -> bool:
     """Keep it; where that cannot be, a next life would go by the wall clock."""
     try:
         whole = save(system.disk, path, line.encode("ascii"))
--- a/mallowlug/core/listings.py
+++ b/mallowlug/core/listings.py
@@ -15,20 +15,29 @@
 from mallowlug.core.model import EndpointList, ResolvedEndpoint
 from mossfront.interface import EndpointEntry, Listing
 
-LOOKED_AT = 16  # destinations that are asked to sleep at once
+MAX_IDLE_PER_CHECK = 16  # destinations that are asked to sleep at once
 # Host, address, port, zone, kind, listing, hint, later.
 Row = tuple[str, str, int, str, str, str, float, bool]
-ROWS = msgspec.json.Decoder(list[Row])
+ROWS_DECODER = msgspec.json.Decoder(list[Row])
 pack = msgspec.json.Encoder().encode
 
 
-def row_of(listed: ResolvedEndpoint, later: bool) -> Row:
+def row_from_endpoint(endpoint: ResolvedEndpoint, added_later: bool) -> Row:
     """An endpoint as it is kept; ``later``: it came after the first list, and may be new and cold."""
-    entry, (address, port) = listed.entry, listed.address
-    return entry.host, address, port, entry.zone, entry.kind, entry.listing.value, entry.rate_hint, later
-
-
-def listed_of(row: Row, dest: int) -> ResolvedEndpoint:
+    entry, (address, port) = endpoint.entry, endpoint.address
+    return (
+        entry.host,
+        address,
+        port,
+        entry.zone,
+        entry.kind,
+        entry.listing.value,
+        entry.rate_hint,
+        added_later,
+    )
+
+
+def endpoint_from_row(row: Row, dest: int) -> ResolvedEndpoint:
     """What ``row_of`` has kept."""
     host, address, port, zone, kind, listing, hint, _ = row
     return ResolvedEndpoint(EndpointEntry(host, dest, zone, kind, Listing(listing), hint), (address, port))
@@ -37,21 +46,26 @@
 class Listings:
     """Every destination that is listed, and which of them are awake."""
 
-    def __init__(self, awake: int, rest_s: float) -> None:
-        self._most, self._rest_s = awake, rest_s
+    def __init__(self, max_active: int, min_idle_s: float) -> None:
+        self._max_active, self._min_idle_s = max_active, min_idle_s
         self._rows: dict[int, bytes] = {}  # by destination: its endpoints
         self.hosts = 0  # endpoints that are listed, of all destinations
-        self._awake: OrderedDict[int, float] = OrderedDict()  # by when they were used last (s)
+        self._active: OrderedDict[int, float] = OrderedDict()  # by when they were used last (s)
 
-    def lists(self, host: str) -> bool:
+    def is_listed(self, host: str) -> bool:
         """Whether an endpoint of that id is listed; it looks through all, and is for a person's question."""
-        word = pack(host)
-        rows = (row for packed in self._rows.values() if word in packed for row in ROWS.decode(packed))
+        packed_id = pack(host)
+        rows = (
+            row
+            for packed in self._rows.values()
+            if packed_id in packed
+            for row in ROWS_DECODER.decode(packed)
+        )
         return any(row[0] == host for row in rows)
 
     def all_rows(self) -> dict[int, list[Row]]:
         """All rows, for a successor to go on from."""
-        return {dest: ROWS.decode(packed) for dest, packed in self._rows.items()}
+        return {dest: ROWS_DECODER.decode(packed) for dest, packed in self._rows.items()}
 
     def __contains__(self, dest: int) -> bool:
         return dest in self._rows
@@ -62,37 +76,39 @@
     @property
     def over_limit(self) -> bool:
         """Whether more are awake than may stay so without being used."""
-        return len(self._awake) > self._most
+        return len(self._active) > self._max_active
 
-    def follow(self, news: EndpointList, now_s: float) -> EndpointList:
+    def apply(self, update: EndpointList, now_s: float) -> EndpointList:
         """Take news in; the part of it that those who know only what is awake have to hear.
 
         A whole list stays one: it names every endpoint that is awake and listed.
         """
         changed: dict[int, dict[str, ResolvedEndpoint]] = {}
-        later = bool(self._rows)
-        for listed in news.hosts:
+        added_later = bool(self._rows)
+        for listed in update.hosts:
             changed.setdefault(listed.entry.dest, {})[listed.entry.host] = listed
-        if news.full:
+        if update.full:
             for dest in [dest for dest in self._rows if dest not in changed]:
-                self.hosts -= len(ROWS.decode(self._rows.pop(dest)))
+                self.hosts -= len(ROWS_DECODER.decode(self._rows.pop(dest)))
         for dest, hosts in changed.items():
-            self._take(dest, hosts, news.full, later)
+            self._apply_destination(dest, hosts, update.full, added_later)
         for dest in changed:
-            if len(self._awake) >= self._most:
+            if len(self._active) >= self._max_active:
                 break
-            self._awake.setdefault(dest, now_s)
-        heard = tuple(listed for listed in news.hosts if listed.entry.dest in self._awake)
-        return EndpointList(news.seq, news.full, heard)
+            self._active.setdefault(dest, now_s)
+        active_hosts = tuple(listed for listed in update.hosts if listed.entry.dest in self._active)
+        return EndpointList(update.seq, update.full, active_hosts)
 
-    def _take(self, dest: int, hosts: dict[str, ResolvedEndpoint], whole: bool, later: bool) -> None:
+    def _apply_destination(
+        self, dest: int, hosts: dict[str, ResolvedEndpoint], full: bool, added_later: bool
+    ) -> None:
         """One destination's news."""
-        former = {row[0]: row for row in ROWS.decode(self._rows[dest])} if dest in self._rows else {}
-        rows = {} if whole else dict(former)
+        former = {row[0]: row for row in ROWS_DECODER.decode(self._rows[dest])} if dest in self._rows else {}
+        rows = {} if full else dict(former)
         for host, listed in hosts.items():
             rows.pop(host, None)
             if listed.entry.listing is not Listing.GONE:
-                rows[host] = row_of(listed, former[host][-1] if host in former else later)
+                rows[host] = row_from_endpoint(listed, former[host][-1] if host in former else added_later)
         self.hosts += len(rows) - len(former)
         if rows:
             self._rows[dest] = pack(list(rows.values()))
@@ -101,30 +117,30 @@
 
     def activate(self, dest: int, now_s: float) -> Iterator[tuple[bool, EndpointList]]:
         """A destination is used. Where it slept: its endpoints, with whether these came later."""
-        slept = dest not in self._awake
-        self._awake[dest] = now_s
-        self._awake.move_to_end(dest)
-        if slept and dest in self._rows:
-            rows = ROWS.decode(self._rows[dest])
-            for later in (False, True):
-                if found := tuple(listed_of(row, dest) for row in rows if row[-1] is later):
-                    yield later, EndpointList(0, False, found)
+        was_inactive = dest not in self._active
+        self._active[dest] = now_s
+        self._active.move_to_end(dest)
+        if was_inactive and dest in self._rows:
+            rows = ROWS_DECODER.decode(self._rows[dest])
+            for added_later in (False, True):
+                if endpoints := tuple(endpoint_from_row(row, dest) for row in rows if row[-1] is added_later):
+                    yield added_later, EndpointList(0, False, endpoints)
 
     def idle_destinations(self, now_s: float) -> list[int]:
         """Destinations that may sleep now, if nothing binds them; each is asked about again only later."""
-        found: list[int] = []
-        while len(self._awake) - len(found) > self._most and len(found) < LOOKED_AT:
-            dest, used_s = next(iter(self._awake.items()))
-            if now_s - used_s < self._rest_s:
+        idle: list[int] = []
+        while len(self._active) - len(idle) > self._max_active and len(idle) < MAX_IDLE_PER_CHECK:
+            dest, used_s = next(iter(self._active.items()))
+            if now_s - used_s < self._min_idle_s:
                 break
-            self._awake[dest] = now_s
-            self._awake.move_to_end(dest)
-            found.append(dest)
-        return found
+            self._active[dest] = now_s
+            self._active.move_to_end(dest)
+            idle.append(dest)
+        return idle
 
     def deactivate(self, dest: int) -> EndpointList:
         """A destination sleeps: to the partners' side it is as if its endpoints were gone."""
-        self._awake.pop(dest, None)
-        rows = ROWS.decode(self._rows[dest]) if dest in self._rows else []
-        gone = (listed_of((*row[:5], Listing.GONE.value, *row[6:]), dest) for row in rows)
+        self._active.pop(dest, None)
+        rows = ROWS_DECODER.decode(self._rows[dest]) if dest in self._rows else []
+        gone = (endpoint_from_row((*row[:5], Listing.GONE.value, *row[6:]), dest) for row in rows)
         return EndpointList(0, False, tuple(gone))
--- a/mallowlug/core/metrics.py
+++ b/mallowlug/core/metrics.py
@@ -11,7 +11,7 @@
 from mallowlug.core.reasons import Event, Reasons
 
 STATES = ("answered", "deferred", "errored")
-MOST_GROUPS = 64  # classes that are told apart: settings that change all day must not grow the process
+MAX_GROUPS = 64  # classes that are told apart: settings that change all day must not grow the process
 HELP = {
     "transactions_total": ("counter", "Messages that ended: delivered; refused or handed back; failed."),
     "sends_total": ("counter", "Messages written whole to hosts."),
@@ -43,55 +43,55 @@
     """The counts of one process."""
 
     def __init__(self, groups: Iterable[str]) -> None:
-        self.ends: dict[tuple[str, str], int] = {}
-        self.loaded, self.invalid = 0, 0
+        self.end_counts: dict[tuple[str, str], int] = {}
+        self.configs_loaded, self.configs_invalid = 0, 0
         self.reasons = Reasons()
-        self.know(groups)
+        self.add_groups(groups)
 
-    def know(self, groups: Iterable[str]) -> None:
+    def add_groups(self, groups: Iterable[str]) -> None:
         """Classes that are there from now on; those that are dropped keep their counts."""
         for group in groups:
-            for state in STATES if len(self.ends) < MOST_GROUPS * len(STATES) else ():
-                self.ends.setdefault((group, state), 0)
+            for state in STATES if len(self.end_counts) < MAX_GROUPS * len(STATES) else ():
+                self.end_counts.setdefault((group, state), 0)
 
-    def ended(self, group: str, state: str) -> None:
+    def count_end(self, group: str, state: str) -> None:
         """One message of a class has ended; a class that no settings named is not counted."""
-        if (group, state) in self.ends:
-            self.ends[group, state] += 1
+        if (group, state) in self.end_counts:
+            self.end_counts[group, state] += 1
 
-    def text(self, now: Gauges) -> str:
+    def render(self, gauges: Gauges) -> str:
         """All figures."""
         plain = {
-            "sends_total": now.sends,
-            "current": now.current,
-            "cluster_size": now.cluster_size,
-            "cluster_unhealthy": now.cluster_unhealthy,
-            "conf_loaded_total": self.loaded,
-            "conf_invalid_total": self.invalid,
+            "sends_total": gauges.sends,
+            "current": gauges.current,
+            "cluster_size": gauges.cluster_size,
+            "cluster_unhealthy": gauges.cluster_unhealthy,
+            "conf_loaded_total": self.configs_loaded,
+            "conf_invalid_total": self.configs_invalid,
         }
-        lines = head("transactions_total")
-        for (group, state), count in self.ends.items():
-            lines.append(f'relay_transactions_total{{group="{escaped(group)}",state="{state}"}} {count}')
+        lines = header_lines("transactions_total")
+        for (group, state), count in self.end_counts.items():
+            lines.append(f'relay_transactions_total{{group="{escape_label(group)}",state="{state}"}} {count}')
         for name, value in plain.items():
-            lines += [*head(name), f"relay_{name} {value}"]
+            lines += [*header_lines(name), f"relay_{name} {value}"]
         for event in Event:
-            lines += labelled(f"{event.value}_total", "reason", self.reasons.total(event))
-        lines += labelled("host_phases", "phase", now.phases)
+            lines += format_labelled(f"{event.value}_total", "reason", self.reasons.total(event))
+        lines += format_labelled("host_phases", "phase", gauges.phases)
         return "\n".join(lines) + "\n"
 
 
-def labelled(name: str, label: str, counts: Mapping[str, int]) -> list[str]:
+def format_labelled(name: str, label: str, counts: Mapping[str, int]) -> list[str]:
     """A figure with one label."""
-    samples = [f'relay_{name}{{{label}="{escaped(value)}"}} {count}' for value, count in counts.items()]
-    return [*head(name), *samples]
+    samples = [f'relay_{name}{{{label}="{escape_label(value)}"}} {count}' for value, count in counts.items()]
+    return [*header_lines(name), *samples]
 
 
-def head(name: str) -> list[str]:
+def header_lines(name: str) -> list[str]:
     """The two lines ahead of a figure."""
-    kind, told = HELP[name]
-    return [f"# HELP relay_{name} {told}", f"# TYPE relay_{name} {kind}"]
+    kind, help_text = HELP[name]
+    return [f"# HELP relay_{name} {help_text}", f"# TYPE relay_{name} {kind}"]
 
 
-def escaped(value: str) -> str:
+def escape_label(value: str) -> str:
     """A label's value as the format wants it."""
     return value.replace("\\", r"\\").replace('"', r"\"").replace("\n", r"\n")
--- a/mallowlug/core/model.py
+++ b/mallowlug/core/model.py
@@ -41,7 +41,7 @@
     """Nothing was kept; handing it in again after so many milliseconds is harmless."""
 
     wait_ms: int
-    reason: RejectReason = field(default=RejectReason.ENDING, compare=False)
+    reason: RejectReason = field(default=RejectReason.SHUTTING_DOWN, compare=False)
 
 
 @dataclass(frozen=True, slots=True)
--- a/mallowlug/core/ports.py
+++ b/mallowlug/core/ports.py
@@ -38,7 +38,7 @@
     def refusal(self) -> Refused:
         """What a front says where it cannot take a request on, as while it parts from its clients."""
 
-    def submit(self, handed: Submission, body: bytes) -> Answer:
+    def submit(self, submission: Submission, body: bytes) -> Answer:
         """Take a message on, refuse it with a wait, or fail it; never raises for what a client sent.
 
         ``Accepted`` is said only once the journal has the message. An id that is known already, open or over,
@@ -94,13 +94,13 @@
     def messages_written(self) -> int:
         """Messages whose calls were written whole, since the start."""
 
-    def apply(self, news: EndpointList) -> None:
+    def apply(self, update: EndpointList) -> None:
         """Follow the list at once."""
 
     def set_kinds(self, kinds: Iterable[Kind]) -> None:
         """Go by these kinds of endpoints from now on."""
 
-    def set_disabled(self, host: str, out: bool) -> None:
+    def set_disabled(self, host: str, disabled: bool) -> None:
         """Begin no call to a host that is out by hand, whatever the list says, until it is back."""
 
     def remaining_waits(self) -> dict[str, int]:
@@ -118,7 +118,7 @@
     def send(self, call: Call) -> object:
         """Begin a call; returns at once. What it returns is the adapter's own affair."""
 
-    def cancel(self, ref: str, attempt: int) -> None:
+    def cancel(self, message_id: str, attempt: int) -> None:
         """Call one attempt off; it is settled by what is proved then."""
 
     def close_idle(self, host: str) -> None:
--- a/mallowlug/core/reasons.py
+++ b/mallowlug/core/reasons.py
@@ -14,7 +14,7 @@
 from mossfront.interface import GiveUpReason, Verdict
 
 LOG = logging.getLogger(__name__)
-SUMMARY_S = 10.0  # s between two lines of the log
+SUMMARY_INTERVAL_S = 10.0  # s between two lines of the log
 
 
 class Event(StrEnum):
@@ -30,13 +30,13 @@
     """Why a client's connection was closed."""
 
     BY_CLIENT = "ended by the client"
-    BROKEN = "broken"
-    SILENT = "no request"
+    CONNECTION_ERROR = "broken"
+    NO_REQUEST = "no request"
     UNFINISHED = "a request without end"
     ERRORS = "too many errors"
-    ENDING = "the relay ends"
+    SHUTTING_DOWN = "the relay ends"
     HANDED_OVER = "handed over to another process"
-    ROOM = "its descriptor is needed"
+    DESCRIPTOR_NEEDED = "its descriptor is needed"
     LINGERED = "the client did not end its side"
 
 
@@ -45,11 +45,11 @@
 
     FAILED = "its call failed"
     NOT_KEPT = "not kept for another call"
-    UNWANTED = "its host gets no more calls"
+    HOST_INACTIVE = "its host gets no more calls"
     POLICY = "the next call opens a fresh one"
     IDLE = "idle too long, or ended by the host"
-    ROOM = "its descriptor is needed"
-    ENDING = "the relay ends"
+    DESCRIPTOR_NEEDED = "its descriptor is needed"
+    SHUTTING_DOWN = "the relay ends"
 
 
 class RejectReason(StrEnum):
@@ -58,9 +58,9 @@
     UNKNOWN_CLASS = "unknown class"
     NO_KEY = "k is missing"
     UNKNOWN_DESTINATION = "unknown destination"
-    FULL = "no room for one more"
-    DISK = "the journal takes nothing"
-    ENDING = "the relay ends"
+    BACKLOG_FULL = "no room for one more"
+    JOURNAL_FULL = "the journal takes nothing"
+    SHUTTING_DOWN = "the relay ends"
 
 
 UNKNOWN_OUTCOME = "unknown, of a former process"  # how an attempt ended that a restart found
@@ -78,15 +78,15 @@
     def __init__(self) -> None:
         # Frequent events are added here by their owner.
         self.counts = Counter({(event, reason): 0 for event in Event for reason in REASONS[event]})
-        self._told = self.counts.copy()  # as of the last line
+        self._last_logged = self.counts.copy()  # as of the last line
         self._timer: asyncio.TimerHandle | None = None
 
     def count(self, event: Event, reason: str, *, message_id: str = "", host: str = "") -> None:
         """One event happened."""
         self.counts[event, reason] += 1
         if LOG.isEnabledFor(logging.DEBUG):
-            named = {"message_id": message_id, "host": host}
-            extra = {field: value for field, value in named.items() if value}
+            log_fields = {"message_id": message_id, "host": host}
+            extra = {field: value for field, value in log_fields.items() if value}
             LOG.debug("%s: %s %s", event.value, reason, " ".join(extra.values()), extra=extra)
 
     def total(self, event: Event) -> dict[str, int]:
@@ -95,25 +95,25 @@
 
     def start(self) -> None:
         """Tell the log every few seconds."""
-        self._timer = asyncio.get_running_loop().call_later(SUMMARY_S, self._tell_again)
+        self._timer = asyncio.get_running_loop().call_later(SUMMARY_INTERVAL_S, self._log_periodically)
 
     def stop(self) -> None:
         """Tell the log what it does not know yet, and no more."""
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
-        self.tell()
+        self.log_summary()
 
-    def _tell_again(self) -> None:
-        self.tell()
+    def _log_periodically(self) -> None:
+        self.log_summary()
         self.start()
 
-    def tell(self) -> None:
+    def log_summary(self) -> None:
         """A line of what has been counted since the last one; none where nothing was."""
-        fresh, self._told = self.counts - self._told, self.counts.copy()
+        increments, self._last_logged = self.counts - self._last_logged, self.counts.copy()
         events = []
         for event in Event:
-            counted = [f"{reason} {count}" for (known, reason), count in fresh.items() if known is event]
+            counted = [f"{reason} {count}" for (known, reason), count in increments.items() if known is event]
             if counted:
                 events.append(f"{event.value}: {', '.join(sorted(counted))}")
         if events:
--- a/mallowlug/core/relay.py
+++ b/mallowlug/core/relay.py
@@ -39,37 +39,41 @@
 from mossfront import interface as api
 
 LOG = logging.getLogger(__name__)
-REST_S = 0.25  # s between looks for destinations that may sleep
-OWED_S = 0.1  # s between attempts to write down what the disk did not take
-REMEMBERED_ON = 512  # of them told to a successor
-REMEMBERED = 4096  # ids that are over, so that a request that a client repeats is not taken for a new one
-NEAR_US = 50_000  # us: the protocol's slack; so near its end an answer may have come behind a message's time
-UNKNOWN_US = 1 << 60  # us: an attempt so old that no window covers it
-DROPPED_S = 2.0  # s in which a class that is dropped is still taken on, by its rules
-FIELDS = [field.name for field in fields(Submission)]
+IDLE_CHECK_INTERVAL_S = 0.25  # s between looks for destinations that may sleep
+FLUSH_RETRY_S = 0.1  # s between attempts to write down what the disk did not take
+MAX_HANDED_OVER_IDS = 512  # of them told to a successor
+MAX_REMEMBERED_IDS = (
+    4096  # ids that are over, so that a request that a client repeats is not taken for a new one
+)
+DEADLINE_SLACK_US = (
+    50_000  # us: the protocol's slack; so near its end an answer may have come behind a message's time
+)
+UNKNOWN_AGE_US = 1 << 60  # us: an attempt so old that no window covers it
+DROPPED_CLASS_GRACE_S = 2.0  # s in which a class that is dropped is still taken on, by its rules
+SUBMISSION_FIELDS = [field.name for field in fields(Submission)]
 
 
-def told_of(cls: api.MessageClass, most: int) -> dict[str, Any]:
+def rules_to_record(cls: api.MessageClass, max_attempts: int) -> dict[str, Any]:
     """A set of rules as the journal keeps it."""
-    return {**asdict(cls), "effect": cls.effect.value, "most": most}
+    return {**asdict(cls), "effect": cls.effect.value, "most": max_attempts}
 
 
-def rules_of(told: dict[str, Any]) -> api.DeliveryRules:
+def rules_from_record(record: dict[str, Any]) -> api.DeliveryRules:
     """What the journal has kept; ``KeyError``, ``TypeError`` or ``ValueError`` where it makes no sense."""
-    fields_ = {name: value for name, value in told.items() if name != "most"}
-    cls = api.MessageClass(**{**fields_, "effect": api.Effect(told["effect"])})
-    return api.DeliveryRules(cls, int(told["most"]))
+    class_fields = {name: value for name, value in record.items() if name != "most"}
+    cls = api.MessageClass(**{**class_fields, "effect": api.Effect(record["effect"])})
+    return api.DeliveryRules(cls, int(record["most"]))
 
 
 @dataclass(slots=True)
 class HeldMessage:
     """A message that owes its end, and how many attempts it had."""
 
-    handed: Submission
+    submission: Submission
     body: bytes
     effect: api.Effect
     attempts: int = 0
-    last_end: str = UNKNOWN_OUTCOME  # how its last attempt ended
+    last_outcome: str = UNKNOWN_OUTCOME  # how its last attempt ended
 
 
 class RelayCore:
@@ -81,53 +85,61 @@
         settings: api.Settings,
         seed: int,
         journal: Journal,
-        plugs: Adapters,
+        adapters: Adapters,
         clock: Clock,
         listings: Listings,
-        figures: Metrics,
-        outs: DisabledHosts,
-        crashed: Callable[[BaseException], None],
+        metrics: Metrics,
+        disabled_hosts: DisabledHosts,
+        on_crash: Callable[[BaseException], None],
     ) -> None:
-        self._set, self._journal, self._crashed, self._figures = settings, journal, crashed, figures
-        self._reasons = figures.reasons
-        self.clock, self._now_s = clock, asyncio.get_running_loop().time
-        self._module = DecisionEngine(settings, seed)
-        self._partners = plugs.partners(self._settled, self._released)
-        self._directory = plugs.directory(self._listed, self._unlisted)
-        self._ends = plugs.notifier(self._confirmed)
-        self._held: dict[str, HeldMessage] = {}  # messages that owe their end to the module
-        self._over: OrderedDict[str, None] = OrderedDict()
-        self._inbox: list[api.Event] = []
-        self._timer: asyncio.TimerHandle | None = None
-        self._wake: asyncio.TimerHandle | None = None  # the last that was asked for; the module asks again
-        self._next_s = 0.0  # when the next step is allowed
-        self._stepped_s = 0.0  # the loop's time of the present step, from which its times count
-        self._stop_s: float | None = None  # once shutting down: when the last call must have ended
+        self._settings, self._journal, self._on_crash, self._metrics = settings, journal, on_crash, metrics
+        self._reasons = metrics.reasons
+        self.clock, self._loop_time = clock, asyncio.get_running_loop().time
+        self._engine = DecisionEngine(settings, seed)
+        self._partners = adapters.partners(self._part_settled, self._part_released)
+        self._directory = adapters.directory(self._apply_list_update, self._report_list_failure)
+        self._notifier = adapters.notifier(self._notice_confirmed)
+        self._held_messages: dict[str, HeldMessage] = {}  # messages that owe their end to the module
+        self._completed: OrderedDict[str, None] = OrderedDict()
+        self._pending_events: list[api.Event] = []
+        self._step_timer: asyncio.TimerHandle | None = None
+        self._engine_timer: asyncio.TimerHandle | None = (
+            None  # the last that was asked for; the module asks again
+        )
+        self._next_step_s = 0.0  # when the next step is allowed
+        self._step_time_s = 0.0  # the loop's time of the present step, from which its times count
+        self._shutdown_at_s: float | None = None  # once shutting down: when the last call must have ended
         self._classes = {cls.name: cls for cls in settings.classes}
         journal.max_attempts = settings.max_attempts
-        self._dropped: dict[str, api.MessageClass] = {}  # classes that clients may still name for a moment
-        self._numbers: dict[str, int] = {}
-        self._numbers = self._numbered(settings)
-        self._chore: asyncio.TimerHandle | None = None  # when what is owed to the disk is tried again
-        self._listings, self._outs = listings, outs
-        self._learned: dict[
+        self._dropped_classes: dict[
+            str, api.MessageClass
+        ] = {}  # classes that clients may still name for a moment
+        self._rules_numbers: dict[str, int] = {}
+        self._rules_numbers = self._assign_rules_numbers(settings)
+        self._flush_timer: asyncio.TimerHandle | None = None  # when what is owed to the disk is tried again
+        self._listings, self._disabled_hosts = listings, disabled_hosts
+        self._learned_rows: dict[
             str, EndpointRow
         ] = {}  # handed over, of endpoints that the module does not know yet
-        self.sent_before = 0  # messages that a core before this one, in the same process, has written whole
-        self._retired, self._seq = False, -1  # version of the list that is held
-        self.listed = False  # whether a list is known, be it an old one
-        self._rest: asyncio.TimerHandle | None = None  # when idle destinations are asked to sleep
+        self.sent_by_former_core = (
+            0  # messages that a core before this one, in the same process, has written whole
+        )
+        self._retired, self._list_seq = False, -1  # version of the list that is held
+        self.list_known = False  # whether a list is known, be it an old one
+        self._deactivation_timer: asyncio.TimerHandle | None = (
+            None  # when idle destinations are asked to sleep
+        )
 
-    def start(self, known: EndpointList, binds: HandoverState | None = None) -> None:
+    def start(self, known_endpoints: EndpointList, handover: HandoverState | None = None) -> None:
         """Take up what the last life left, then follow the list; called before clients are answered.
 
         ``binds``: what a process that has handed over wrote down beside the journal.
         """
-        self._ends.start()
-        self._outs.changed = self._by_hand
-        for host in self._outs.hosts:
-            self._by_hand(host, True)
-        self._listed(known, api.EndpointUpdateKind.CACHED)
+        self._notifier.start()
+        self._disabled_hosts.on_change = self._set_host_disabled
+        for host in self._disabled_hosts.hosts:
+            self._set_host_disabled(host, True)
+        self._apply_list_update(known_endpoints, api.EndpointUpdateKind.CACHED)
         now_us = self.clock()
         for message in self._journal.recovered.values():
             self._resume(message, now_us)
@@ -135,34 +147,34 @@
             LOG.info("journal: %d unfinished messages taken up", count)
         self._journal.recovered.clear()
         self._journal.drop_expired_outages(now_us)
-        for listed in known.hosts:
+        for listed in known_endpoints.hosts:
             if listed.entry.host in self._journal.outages:
-                self._use(listed.entry.dest)
-        for host, due in self._journal.outages.items():
-            left_us, served = due.until_us - now_us, due.served_percent / 100
-            self._inbox.append(api.OutageRecord(host, left_us, due.kind, served))
-        if binds is not None:
-            self._bind(binds, now_us)
+                self._activate_destination(listed.entry.dest)
+        for host, outage in self._journal.outages.items():
+            left_us, served_share = outage.until_us - now_us, outage.served_percent / 100
+            self._pending_events.append(api.OutageRecord(host, left_us, outage.kind, served_share))
+        if handover is not None:
+            self._apply_handover(handover, now_us)
         self._step()
 
-    def _bind(self, binds: HandoverState, now_us: int) -> None:
+    def _apply_handover(self, handover: HandoverState, now_us: int) -> None:
         """Go on from where the process before this one stood."""
-        self._partners.restore_waits({route: until_us - now_us for route, until_us in binds.waits.items()})
-        for ref in binds.over:
-            self._remember(ref)
-        self._learned = {row[0]: row for row in binds.learned}
-        rosters = [event for event in self._inbox if isinstance(event, api.EndpointUpdate)]
-        self._go_on_from(entry.host for event in rosters for entry in event.entries)
-
-    def _go_on_from(self, hosts: Iterable[str]) -> None:
+        self._partners.restore_waits({route: until_us - now_us for route, until_us in handover.waits.items()})
+        for message_id in handover.over:
+            self._remember(message_id)
+        self._learned_rows = {row[0]: row for row in handover.learned}
+        updates = [event for event in self._pending_events if isinstance(event, api.EndpointUpdate)]
+        self._post_learned_state(entry.host for event in updates for entry in event.entries)
+
+    def _post_learned_state(self, hosts: Iterable[str]) -> None:
         """Tell the module what was learned of endpoints that it knows; of others it would not hear."""
         now_us = self.clock()
         for host in hosts:
-            if (row := self._learned.pop(host, None)) is not None:
-                _, wait_us, quota, pace, rate, cold_us, spaced_us = row
-                left = max(0, wait_us - now_us), quota, pace, rate
-                cold = max(0, now_us - cold_us) if cold_us >= 0 else -1
-                self._post(api.EndpointSnapshot(host, *left, cold, max(0, spaced_us - now_us)))
+            if (row := self._learned_rows.pop(host, None)) is not None:
+                _, wait_us, quota, send_rate, announced_rate, cold_us, spaced_us = row
+                remaining = max(0, wait_us - now_us), quota, send_rate, announced_rate
+                cold_for_us = max(0, now_us - cold_us) if cold_us >= 0 else -1
+                self._post(api.EndpointSnapshot(host, *remaining, cold_for_us, max(0, spaced_us - now_us)))
 
     def handover_state(self) -> HandoverState:
         """What binds a successor beside the journal."""
@@ -170,22 +182,22 @@
         learned = [
             (e.host, now_us + e.wait_us, e.quota, e.pace, e.rate,
              now_us - e.cold_for_us if e.cold_for_us >= 0 else -1, now_us + e.next_call_in_us)
-            for e in self._module.learned()
+            for e in self._engine.learned()
         ]  # fmt: skip
         waits = {route: now_us + left_us for route, left_us in self._partners.remaining_waits().items()}
-        over = list(self._over)[-REMEMBERED_ON:]
-        return HandoverState(waits, learned, self._seq, self._listings.all_rows(), over)
+        completed_ids = list(self._completed)[-MAX_HANDED_OVER_IDS:]
+        return HandoverState(waits, learned, self._list_seq, self._listings.all_rows(), completed_ids)
 
     def retire(self) -> None:
         """Let go of everything for a successor; calls that are out end here."""
         self.close()
-        self._over.update(dict.fromkeys(self._held))
-        self._held.clear()
+        self._completed.update(dict.fromkeys(self._held_messages))
+        self._held_messages.clear()
         self._retired = True
 
-    def knows(self, ref: str) -> bool:
+    def knows(self, message_id: str) -> bool:
         """Whether a message is, or was not long ago, taken on."""
-        return ref in self._held or ref in self._over
+        return message_id in self._held_messages or message_id in self._completed
 
     @property
     def spools(self) -> Mapping[str, int]:
@@ -196,9 +208,9 @@
         """A door's file is gone."""
         self._journal.forget_spool(name)
 
-    def pause(self, on: bool) -> None:
+    def pause(self, paused: bool) -> None:
         """Start no call, or start them again."""
-        self._post(api.DispatchPaused(on))
+        self._post(api.DispatchPaused(paused))
 
     def flush_journal(self) -> bool:
         """Whether the disk has taken all that the journal owes it."""
@@ -209,38 +221,40 @@
             return False
         return True
 
-    def adopt(self, handed: Submission, body: bytes, rules: dict[str, Any], spool: tuple[str, int]) -> None:
+    def adopt(
+        self, submission: Submission, body: bytes, rules: dict[str, Any], spool_position: tuple[str, int]
+    ) -> None:
         """Take on what a door has taken on already."""
-        if self.knows(handed.id):
-            self._journal.record_spool_position(*spool)
+        if self.knows(submission.id):
+            self._journal.record_spool_position(*spool_position)
             return
-        number = self._journal.rules_number(rules, self._numbers.values())
-        if (own := self._rules(number)) is None:  # of another version
-            self._journal.record_spool_position(*spool)
-            self._ends.send(Notice(handed.id, "dead"))
+        number = self._journal.rules_number(rules, self._rules_numbers.values())
+        if (delivery_rules := self._delivery_rules(number)) is None:  # of another version
+            self._journal.record_spool_position(*spool_position)
+            self._notifier.send(Notice(submission.id, "dead"))
             return
-        fields = {name: getattr(handed, name) for name in FIELDS}
-        self._journal.adopt(handed.id, fields | {"rules": number}, body, spool)
-        self._tend()
-        self._held[handed.id] = HeldMessage(handed, body, own.cls.effect)
-        self._use(handed.dest)
-        self._post(self._arrival(handed, self.clock(), rules=own))
+        record_fields = {name: getattr(submission, name) for name in SUBMISSION_FIELDS}
+        self._journal.adopt(submission.id, record_fields | {"rules": number}, body, spool_position)
+        self._schedule_flush()
+        self._held_messages[submission.id] = HeldMessage(submission, body, delivery_rules.cls.effect)
+        self._activate_destination(submission.dest)
+        self._post(self._arrival(submission, self.clock(), rules=delivery_rules))
 
     def rules_record(self, name: str) -> dict[str, Any]:
         """A class's rules as the journal keeps them."""
-        return told_of(self._class(name), self._set.max_attempts)
+        return rules_to_record(self._message_class(name), self._settings.max_attempts)
 
-    def count_rejected(self, handed: Submission, answer: Refused | Failed) -> None:
+    def count_rejected(self, submission: Submission, answer: Refused | Failed) -> None:
         """What is not taken on has ended at the door."""
-        self._figures.ended(handed.cls, "deferred" if isinstance(answer, Refused) else "errored")
-        self._reasons.count(Event.REFUSAL, answer.reason, message_id=handed.id)
+        self._metrics.count_end(submission.cls, "deferred" if isinstance(answer, Refused) else "errored")
+        self._reasons.count(Event.REFUSAL, answer.reason, message_id=submission.id)
 
-    def _numbered(self, settings: api.Settings) -> dict[str, int]:
+    def _assign_rules_numbers(self, settings: api.Settings) -> dict[str, int]:
         """By class: the number of its rules in the journal; classes that are dropped keep theirs."""
-        numbers = dict(self._numbers)
+        numbers = dict(self._rules_numbers)
         for cls in settings.classes:
             numbers[cls.name] = self._journal.rules_number(
-                told_of(cls, settings.max_attempts), numbers.values()
+                rules_to_record(cls, settings.max_attempts), numbers.values()
             )
         return numbers
 
@@ -248,45 +262,47 @@
         """Other settings count from now on; what is open keeps its rules, and so does, for a moment, what
         clients who have not heard of the change yet bring of a class that is dropped.
         """
-        if settings == self._set:
+        if settings == self._settings:
             return
-        before, self._set = self._classes, settings
+        former_classes, self._settings = self._classes, settings
         self._journal.max_attempts = settings.max_attempts
         self._classes = {cls.name: cls for cls in settings.classes}
-        self._dropped = {name: cls for name, cls in before.items() if name not in self._classes}
+        self._dropped_classes = {
+            name: cls for name, cls in former_classes.items() if name not in self._classes
+        }
         if not self._retired:
-            self._numbers = {name: self._numbers[name] for name in before}
-            self._numbers = self._numbered(settings)
-        self._figures.know(self._classes)
+            self._rules_numbers = {name: self._rules_numbers[name] for name in former_classes}
+            self._rules_numbers = self._assign_rules_numbers(settings)
+        self._metrics.add_groups(self._classes)
         if self._retired:
             return
         self._partners.set_kinds(settings.kinds)
         self._post(api.SettingsChanged(settings))
-        asyncio.get_running_loop().call_later(DROPPED_S, self._drop, settings)
+        asyncio.get_running_loop().call_later(DROPPED_CLASS_GRACE_S, self._forget_dropped_classes, settings)
 
-    def _drop(self, settings: api.Settings) -> None:
+    def _forget_dropped_classes(self, settings: api.Settings) -> None:
         """What clients bring of a class that these settings do not know is refused from now on."""
-        if self._set is settings:
-            self._dropped = {}
+        if self._settings is settings:
+            self._dropped_classes = {}
 
     def change_discovery(self, discovery: Address) -> None:
         """The platform is to be found at another address from now on."""
         if self._retired:
             return
         self._directory.change_address(discovery)
-        self._ends.change_address(discovery)
+        self._notifier.change_address(discovery)
 
     def shut_down(self, stop_s: float) -> None:
         """From now on only calls are started that end by then; the rest stays in the journal."""
-        self._stop_s = stop_s if self._stop_s is None else min(stop_s, self._stop_s)
+        self._shutdown_at_s = stop_s if self._shutdown_at_s is None else min(stop_s, self._shutdown_at_s)
 
     def close(self) -> None:
         """Let go of everything."""
-        for timer in (self._timer, self._wake, self._chore, self._rest):
+        for timer in (self._step_timer, self._engine_timer, self._flush_timer, self._deactivation_timer):
             if timer is not None:
                 timer.cancel()
         self._directory.close()
-        self._ends.close()
+        self._notifier.close()
         self._partners.close()
 
     @property
@@ -297,103 +313,109 @@
     @property
     def idle(self) -> bool:
         """Whether no call is out and no notice is unconfirmed."""
-        return self._retired or (not self.busy and not self._ends.unconfirmed and not self._inbox)
+        return self._retired or (
+            not self.busy and not self._notifier.unconfirmed and not self._pending_events
+        )
 
     @property
     def refusal(self) -> Refused:
         """A refusal at the door, with when to come back."""
-        return self.refused(RejectReason.ENDING)
+        return self.refusal_for(RejectReason.SHUTTING_DOWN)
 
-    def refused(self, reason: RejectReason) -> Refused:
+    def refusal_for(self, reason: RejectReason) -> Refused:
         """A refusal for that reason."""
-        return Refused(self._set.max_retry_after_us // 1000, reason)
+        return Refused(self._settings.max_retry_after_us // 1000, reason)
 
-    def lists(self, host: str) -> bool:
+    def is_listed(self, host: str) -> bool:
         """Whether the list as it is held names an endpoint."""
-        return self._listings.lists(host)
+        return self._listings.is_listed(host)
 
-    def _by_hand(self, host: str, out: bool) -> None:
+    def _set_host_disabled(self, host: str, disabled: bool) -> None:
         """A host is out or back: that binds calls at once and the module with its next step."""
         if self._retired:
             return
-        self._partners.set_disabled(host, out)
-        self._post(api.HostOverride(host, out))
+        self._partners.set_disabled(host, disabled)
+        self._post(api.HostOverride(host, disabled))
 
     @property
     def gauges(self) -> Gauges:
         """What a scrape reads."""
-        size, sent = self._listings.hosts, self.sent_before + self._partners.messages_written
-        asleep = (host for host in self._outs.hosts if host not in self._module.endpoints)
-        avoided = self._module.avoided() + sum(self._listings.lists(host) for host in asleep)
-        return Gauges(sent, len(self._held), size, min(size, avoided), self._module.phases())
+        listed_hosts, sent = self._listings.hosts, self.sent_by_former_core + self._partners.messages_written
+        inactive = (host for host in self._disabled_hosts.hosts if host not in self._engine.endpoints)
+        avoided = self._engine.avoided() + sum(self._listings.is_listed(host) for host in inactive)
+        return Gauges(
+            sent, len(self._held_messages), listed_hosts, min(listed_hosts, avoided), self._engine.phases()
+        )
 
-    def submit(self, handed: Submission, body: bytes) -> Answer:
+    def submit(self, submission: Submission, body: bytes) -> Answer:
         """Take a message on, or say why not; what is not taken on has ended here."""
-        answer = self.reject_reason(handed) or self._take_on(handed, body)
+        answer = self.reject_reason(submission) or self._accept(submission, body)
         if not isinstance(answer, Accepted):
-            self.count_rejected(handed, answer)
+            self.count_rejected(submission, answer)
         return answer
 
-    def reject_reason(self, handed: Submission) -> Answer | None:
+    def reject_reason(self, submission: Submission) -> Answer | None:
         """Why there is no place for a message, which the module would drop unseen or hold in vain; else None.
 
         A destination that nobody lists is refused: the list is seconds late, so it may be known when the
         client comes again. Without any list all are known.
         """
-        if (cls := self._classes.get(handed.cls) or self._dropped.get(handed.cls)) is None:
+        if (cls := self._classes.get(submission.cls) or self._dropped_classes.get(submission.cls)) is None:
             return Failed(RejectReason.UNKNOWN_CLASS.value)
-        if cls.effect is api.Effect.KEYED and not handed.key:
+        if cls.effect is api.Effect.KEYED and not submission.key:
             return Failed(RejectReason.NO_KEY.value)
-        if len(self._listings) and handed.dest not in self._listings:
-            return self.refused(RejectReason.UNKNOWN_DESTINATION)
+        if len(self._listings) and submission.dest not in self._listings:
+            return self.refusal_for(RejectReason.UNKNOWN_DESTINATION)
         return None
 
-    def _take_on(self, handed: Submission, body: bytes) -> Answer:
+    def _accept(self, submission: Submission, body: bytes) -> Answer:
         """Take a message on, journaled, or say why not; then nothing was kept.
 
         An id that is known is the same request once more, on a new connection: it is taken on already.
         """
-        if self.knows(handed.id):
+        if self.knows(submission.id):
             return Accepted()
-        if len(self._held) >= self._set.max_held_messages:
-            return self.refused(RejectReason.FULL)
+        if len(self._held_messages) >= self._settings.max_held_messages:
+            return self.refusal_for(RejectReason.BACKLOG_FULL)
         try:
-            fields = {name: getattr(handed, name) for name in FIELDS}
-            number = self._numbers[handed.cls]
-            self._journal.accept(handed.id, fields | {"rules": number}, body)
+            record_fields = {name: getattr(submission, name) for name in SUBMISSION_FIELDS}
+            number = self._rules_numbers[submission.cls]
+            self._journal.accept(submission.id, record_fields | {"rules": number}, body)
         except JournalFullError as error:
-            LOG.warning("a message was refused: %s", error, extra={"message_id": handed.id})
-            return self.refused(RejectReason.DISK)
-        self._held[handed.id] = HeldMessage(handed, body, self._class(handed.cls).effect)
-        self._use(handed.dest)
-        rules = self._rules(number) if handed.cls in self._dropped else None
-        self._post(self._arrival(handed, self.clock(), rules=rules))
+            LOG.warning("a message was refused: %s", error, extra={"message_id": submission.id})
+            return self.refusal_for(RejectReason.JOURNAL_FULL)
+        self._held_messages[submission.id] = HeldMessage(
+            submission, body, self._message_class(submission.cls).effect
+        )
+        self._activate_destination(submission.dest)
+        rules = self._delivery_rules(number) if submission.cls in self._dropped_classes else None
+        self._post(self._arrival(submission, self.clock(), rules=rules))
         return Accepted()
 
-    def _class(self, name: str) -> api.MessageClass:
-        return self._classes.get(name) or self._dropped[name]
+    def _message_class(self, name: str) -> api.MessageClass:
+        return self._classes.get(name) or self._dropped_classes[name]
 
-    def _rules(self, number: int) -> api.DeliveryRules | None:
+    def _delivery_rules(self, number: int) -> api.DeliveryRules | None:
         """The rules of that number; None where the journal does not know them."""
-        if (told := self._journal.rules.get(number)) is None:
+        if (record := self._journal.rules.get(number)) is None:
             return None
         try:
-            return rules_of(told)
+            return rules_from_record(record)
         except (KeyError, TypeError, ValueError) as error:
             LOG.error("journal: rules %d cannot be read: %s", number, error)
             return None
 
-    def _arrival(self, handed: Submission, now_us: int, **former: Any) -> api.Arrival:
-        left_us = handed.deadline_us - now_us
+    def _arrival(self, submission: Submission, now_us: int, **extra_fields: Any) -> api.Arrival:
+        remaining_us = submission.deadline_us - now_us
         return api.Arrival(
-            handed.id,
-            handed.dest,
-            handed.cls,
-            left_us,
-            handed.tenant,
-            handed.order,
+            submission.id,
+            submission.dest,
+            submission.cls,
+            remaining_us,
+            submission.tenant,
+            submission.order,
             received_us=now_us,
-            **former,
+            **extra_fields,
         )
 
     def _resume(self, message: RecoveredMessage, now_us: int) -> None:
@@ -402,159 +424,171 @@
         An attempt without a proof that it never ran may have run, also one that was out at the end.
         """
         if message.notice is not None:
-            self._ends.send(Notice(message.id, *message.notice))
+            self._notifier.send(Notice(message.id, *message.notice))
             return
-        rules = self._rules(message.fields.pop("rules", 0))
+        rules = self._delivery_rules(message.fields.pop("rules", 0))
         try:
-            handed = Submission(**message.fields)
+            submission = Submission(**message.fields)
         except TypeError as error:
             LOG.error(
                 "journal: message %s cannot be read: %s", message.id, error, extra={"message_id": message.id}
             )
-            handed = None
-        if rules is None and handed is not None and handed.cls in self._classes:  # of a version without rules
-            rules = self._rules(self._numbers[handed.cls])
-        if handed is None or rules is None:  # another version's or another site's
+            submission = None
+        if (
+            rules is None and submission is not None and submission.cls in self._classes
+        ):  # of a version without rules
+            rules = self._delivery_rules(self._rules_numbers[submission.cls])
+        if submission is None or rules is None:  # another version's or another site's
             self._journal.record_end(message.id, "dead", 0)
-            self._ends.send(Notice(message.id, "dead"))
+            self._notifier.send(Notice(message.id, "dead"))
             return
         attempts = 1 + max((a.number for a in message.attempts), default=-1)
-        self._held[message.id] = HeldMessage(handed, message.body, rules.cls.effect, attempts)
-        self._use(handed.dest)
-        former: dict[str, Any] = {"attempts": attempts, "rules": rules, "recovered_untried": not attempts}
-        if risky := [a for a in message.attempts if not a.never_ran]:
-            first = min(risky, key=lambda attempt: attempt.at_us)
+        self._held_messages[message.id] = HeldMessage(submission, message.body, rules.cls.effect, attempts)
+        self._activate_destination(submission.dest)
+        extra_fields: dict[str, Any] = {
+            "attempts": attempts,
+            "rules": rules,
+            "recovered_untried": not attempts,
+        }
+        if in_doubt := [a for a in message.attempts if not a.never_ran]:
+            first = min(in_doubt, key=lambda attempt: attempt.at_us)
             # One from the future: the clock was set back between two lives, and nobody knows how old it is.
-            age_us = now_us - first.at_us if first.at_us <= now_us else UNKNOWN_US
-            former |= {"in_doubt_age_us": age_us, "in_doubt_zone": first.zone}
-        self._inbox.append(self._arrival(handed, now_us, **former))
+            age_us = now_us - first.at_us if first.at_us <= now_us else UNKNOWN_AGE_US
+            extra_fields |= {"in_doubt_age_us": age_us, "in_doubt_zone": first.zone}
+        self._pending_events.append(self._arrival(submission, now_us, **extra_fields))
 
-    def _listed(self, news: EndpointList, kind: api.EndpointUpdateKind | None = None) -> None:
+    def _apply_list_update(self, update: EndpointList, kind: api.EndpointUpdateKind | None = None) -> None:
         """News of the list binds calls at once and the module with its next step."""
-        heard, self._seq = self._listings.follow(news, self._now_s()), news.seq
-        self.listed |= kind is None or len(self._listings) > 0
-        kind = kind or (api.EndpointUpdateKind.FULL if news.full else api.EndpointUpdateKind.CHANGES)
-        self._tell(heard, kind)
-
-    def _tell(self, news: EndpointList, kind: api.EndpointUpdateKind, later: bool = False) -> None:
-        self._partners.apply(news)
-        self._post(api.EndpointUpdate(kind, tuple(listed.entry for listed in news.hosts), later))
-        if self._learned:
-            self._go_on_from(listed.entry.host for listed in news.hosts)
-
-    def _use(self, dest: int) -> None:
+        active_update, self._list_seq = self._listings.apply(update, self._loop_time()), update.seq
+        self.list_known |= kind is None or len(self._listings) > 0
+        kind = kind or (api.EndpointUpdateKind.FULL if update.full else api.EndpointUpdateKind.CHANGES)
+        self._publish_update(active_update, kind)
+
+    def _publish_update(
+        self, update: EndpointList, kind: api.EndpointUpdateKind, added_later: bool = False
+    ) -> None:
+        self._partners.apply(update)
+        self._post(api.EndpointUpdate(kind, tuple(listed.entry for listed in update.hosts), added_later))
+        if self._learned_rows:
+            self._post_learned_state(listed.entry.host for listed in update.hosts)
+
+    def _activate_destination(self, dest: int) -> None:
         """A destination gets a message: where it slept, all sides hear of it first."""
-        for later, news in self._listings.activate(dest, self._now_s()):
-            self._tell(news, api.EndpointUpdateKind.REACTIVATED, later)
-        if self._rest is None and self._listings.over_limit:
-            self._rest = asyncio.get_running_loop().call_later(REST_S, self._rested)
+        for added_later, update in self._listings.activate(dest, self._loop_time()):
+            self._publish_update(update, api.EndpointUpdateKind.REACTIVATED, added_later)
+        if self._deactivation_timer is None and self._listings.over_limit:
+            self._deactivation_timer = asyncio.get_running_loop().call_later(
+                IDLE_CHECK_INTERVAL_S, self._deactivate_idle
+            )
 
-    def _rested(self) -> None:
+    def _deactivate_idle(self) -> None:
         """Ask the module to let go of what is not used."""
-        self._rest = None
-        for dest in self._listings.idle_destinations(self._now_s()):
+        self._deactivation_timer = None
+        for dest in self._listings.idle_destinations(self._loop_time()):
             self._post(api.DestinationIdle(dest))
         if self._listings.over_limit:
-            self._rest = asyncio.get_running_loop().call_later(REST_S, self._rested)
+            self._deactivation_timer = asyncio.get_running_loop().call_later(
+                IDLE_CHECK_INTERVAL_S, self._deactivate_idle
+            )
 
-    def _unlisted(self) -> None:
+    def _report_list_failure(self) -> None:
         self._post(api.EndpointUpdate(api.EndpointUpdateKind.FAILED))
 
-    def _confirmed(self, ref: str) -> None:
-        self._journal.record_completed(ref)
-        self._tend()
+    def _notice_confirmed(self, message_id: str) -> None:
+        self._journal.record_completed(message_id)
+        self._schedule_flush()
 
-    def _settled(self, call: Call, part: Part, told: PartOutcome) -> None:
+    def _part_settled(self, call: Call, part: Part, outcome: PartOutcome) -> None:
         """An attempt is over: journal what it proves, then tell the module."""
-        complete = told.complete
-        if not complete and (held := self._held.get(part.id)) is not None:
-            held.last_end = told.verdict.value
+        complete = outcome.complete
+        if not complete and (held := self._held_messages.get(part.id)) is not None:
+            held.last_outcome = outcome.verdict.value
         if complete:
-            self._end(part.id, told.verdict is api.Verdict.OK)
-        elif told.verdict.never_ran:
+            self._complete_message(part.id, outcome.verdict is api.Verdict.OK)
+        elif outcome.verdict.never_ran:
             self._journal.record_never_ran(part.id, part.attempt)
         self._post(
             api.Outcome(
                 part.id,
                 part.attempt,
                 call.host,
-                told.verdict,
-                int((self._now_s() - call.sent_s) * 1e6),
+                outcome.verdict,
+                int((self._loop_time() - call.sent_s) * 1e6),
                 complete,
-                told.retry_after_us,
-                told.load_report.get("x0"),
-                told.load_report.get("x1"),
-                call_continues=told.call_continues,
+                outcome.retry_after_us,
+                outcome.load_report.get("x0"),
+                outcome.load_report.get("x1"),
+                call_continues=outcome.call_continues,
             )
         )
         if complete:  # also for a part whose own time ran out before: the module must not send it again
             self._post(api.MessageWithdrawn(part.id))
 
-    def _released(self, part: Part) -> None:
+    def _part_released(self, part: Part) -> None:
         """Nothing of an attempt that had its outcome before is on the wire any more."""
         self._post(api.CallEnded(part.id, part.attempt))
 
-    def _end(self, ref: str, delivered: bool) -> None:
+    def _complete_message(self, message_id: str, delivered: bool) -> None:
         """Nothing more is owed, unless that was so before, or nobody knows whether it came in time.
 
         A message's time counts from when its client sent it, here from when it was read; an answer counts
         from when it was written. One that was written behind the time delivers nothing, and the end is owed
         still; a notice for what is over does no harm.
         """
-        if (held := self._held.pop(ref, None)) is None:
+        if (held := self._held_messages.pop(message_id, None)) is None:
             return
-        self._remember(ref)
-        left_us = held.handed.deadline_us - self.clock()
+        self._remember(message_id)
+        remaining_us = held.submission.deadline_us - self.clock()
         if delivered:
-            self._figures.ended(held.handed.cls, "answered" if left_us >= 0 else "errored")
-        if delivered and left_us < NEAR_US:
-            self._journal.record_end(ref, "dead", 0)
-            self._ends.send(Notice(ref, "dead"))
+            self._metrics.count_end(held.submission.cls, "answered" if remaining_us >= 0 else "errored")
+        if delivered and remaining_us < DEADLINE_SLACK_US:
+            self._journal.record_end(message_id, "dead", 0)
+            self._notifier.send(Notice(message_id, "dead"))
         else:
-            self._journal.record_completed(ref)
+            self._journal.record_completed(message_id)
 
-    def _remember(self, ref: str) -> None:
-        self._over[ref] = None
-        while len(self._over) > REMEMBERED:
-            self._over.popitem(last=False)
+    def _remember(self, message_id: str) -> None:
+        self._completed[message_id] = None
+        while len(self._completed) > MAX_REMEMBERED_IDS:
+            self._completed.popitem(last=False)
 
     def _post(self, event: api.Event) -> None:
         """Put an event before the module at its next step, one round after the last at the earliest."""
         if self._retired:
             return
-        self._inbox.append(event)
-        if self._timer is None:
+        self._pending_events.append(event)
+        if self._step_timer is None:
             loop = asyncio.get_running_loop()
-            self._timer = loop.call_at(max(loop.time(), self._next_s), self._step)
+            self._step_timer = loop.call_at(max(loop.time(), self._next_step_s), self._step)
 
     def _step(self) -> None:
         """One batch through the module; an error here is no single message's and ends the process."""
         loop = asyncio.get_running_loop()
-        if self._timer is not None:
-            self._timer.cancel()
-        self._stepped_s = loop.time()
-        self._timer, self._next_s = None, self._stepped_s + self._set.round_us / 1e6
-        events, self._inbox = self._inbox, []
+        if self._step_timer is not None:
+            self._step_timer.cancel()
+        self._step_time_s = loop.time()
+        self._step_timer, self._next_step_s = None, self._step_time_s + self._settings.round_us / 1e6
+        events, self._pending_events = self._pending_events, []
         try:
-            self._carry_out(self._module.step(self.clock(), events))
-            self._tend()
+            self._carry_out(self._engine.step(self.clock(), events))
+            self._schedule_flush()
         except Exception as error:
             LOG.critical("the step loop broke", exc_info=True)
-            self._crashed(error)
+            self._on_crash(error)
 
     def _carry_out(self, actions: list[api.Action]) -> None:
         """Journal all that the step decided, then let it out: one sync serves the whole step."""
         sends: dict[str, list[api.Send]] = {}
-        ends: list[tuple[Notice, bool]] = []  # with whether a later life knows of it
+        notices: list[tuple[Notice, bool]] = []  # with whether a later life knows of it
         for action in actions:
             match action:
                 case api.Send():
                     sends.setdefault(action.host, []).append(action)
                 case api.Refuse():
                     notice = Notice(action.id, "bounced", action.retry_after_us // 1000)
-                    ends += self._given_up(notice, action.reason)
+                    notices += self._record_give_up(notice, action.reason)
                 case api.Fail():
-                    ends += self._given_up(Notice(action.id, "dead"), action.reason)
+                    notices += self._record_give_up(Notice(action.id, "dead"), action.reason)
                 case api.CloseIdle():
                     self._partners.close_idle(action.host)
                 case api.Cancel():
@@ -563,47 +597,50 @@
                     self._directory.subscribe()
                 case api.SetTimer():
                     loop = asyncio.get_running_loop()
-                    if self._wake is not None:
-                        self._wake.cancel()
-                    self._wake = loop.call_later(action.delay_us / 1e6, self._post, api.TimerDue())
+                    if self._engine_timer is not None:
+                        self._engine_timer.cancel()
+                    self._engine_timer = loop.call_later(action.delay_us / 1e6, self._post, api.TimerDue())
                 case api.DestinationDeactivated():
                     self._partners.apply(self._listings.deactivate(action.dest))
                 case api.OutageRecord():
                     percent = round(100 * action.served_share)
-                    due = StoredOutage(self.clock() + action.valid_for_us, action.kind, percent)
-                    self._journal.record_outage(action.host, due)
+                    outage = StoredOutage(self.clock() + action.valid_for_us, action.kind, percent)
+                    self._journal.record_outage(action.host, outage)
                 case api.Log():
                     LOG.info("%s", action.line)
                 case api.Probe():
                     LOG.error("a probe was asked for; endpoints are not probed")
-        calls = [call for host, batch in sends.items() for call in self._calls(host, batch)]
-        safe = self._synced() if calls or ends else True
-        for notice, kept in ends:  # out at once, and again until it is confirmed, whatever the disk says
-            told = notice if kept and safe else Notice(notice.message_id, "dead")
-            if told.result != notice.result:
+        calls = [call for host, batch in sends.items() for call in self._build_calls(host, batch)]
+        synced = self._sync_journal() if calls or notices else True
+        for (
+            notice,
+            recoverable,
+        ) in notices:  # out at once, and again until it is confirmed, whatever the disk says
+            final_notice = notice if recoverable and synced else Notice(notice.message_id, "dead")
+            if final_notice.result != notice.result:
                 self._journal.replace_end_by_failure(notice.message_id)
-            self._ends.send(told)
+            self._notifier.send(final_notice)
         for call in calls:
-            if safe:
+            if synced:
                 self._partners.send(call)
             else:
-                self._not_made(call)
+                self._settle_not_sent(call)
 
-    def _settle(self) -> None:
+    def _flush_pending(self) -> None:
         """Write down what is owed to the disk until it is taken: there may be no next record to bring it."""
-        self._chore = None
+        self._flush_timer = None
         self.clock.retry_save()
         try:
             self._journal.flush_pending()
         except JournalFullError as error:
             LOG.debug("journal: still owed: %s", error)
-        self._tend()
+        self._schedule_flush()
 
-    def _tend(self) -> None:
-        if self._chore is None and (self._journal.has_pending or not self.clock.saved):
-            self._chore = asyncio.get_running_loop().call_later(OWED_S, self._settle)
+    def _schedule_flush(self) -> None:
+        if self._flush_timer is None and (self._journal.has_pending or not self.clock.saved):
+            self._flush_timer = asyncio.get_running_loop().call_later(FLUSH_RETRY_S, self._flush_pending)
 
-    def _synced(self) -> bool:
+    def _sync_journal(self) -> bool:
         """Whether all that was journaled is as safe as the installation wants it."""
         try:
             self._journal.sync()
@@ -612,53 +649,62 @@
             return False
         return True
 
-    def _given_up(self, notice: Notice, reason: api.GiveUpReason) -> list[tuple[Notice, bool]]:
+    def _record_give_up(self, notice: Notice, reason: api.GiveUpReason) -> list[tuple[Notice, bool]]:
         """The module's final answer, journaled; none where the message is over already.
 
         Where the disk does not take it, a later life may try the message, beside the retry that a refusal
         invites: then only a failure is told, which promises nothing. What may be repeated is safe from that.
         """
-        if (held := self._held.pop(notice.message_id, None)) is None:
+        if (held := self._held_messages.pop(notice.message_id, None)) is None:
             return []
         self._reasons.count(Event.REFUSAL, reason.value, message_id=notice.message_id)
-        kept = self._journal.record_end(notice.message_id, notice.result, notice.wait_ms)
-        self._figures.ended(held.handed.cls, "deferred" if notice.result == "bounced" else "errored")
+        recoverable = self._journal.record_end(notice.message_id, notice.result, notice.wait_ms)
+        self._metrics.count_end(held.submission.cls, "deferred" if notice.result == "bounced" else "errored")
         self._remember(notice.message_id)
-        return [(notice, kept or held.effect is api.Effect.SAFE)]
+        return [(notice, recoverable or held.effect is api.Effect.SAFE)]
 
-    def _not_made(self, call: Call) -> None:
+    def _settle_not_sent(self, call: Call) -> None:
         """A call whose attempts could not be journaled is not made."""
         for part in call.parts:
-            self._settled(call, part, PartOutcome(api.Verdict.NOT_SENT))
+            self._part_settled(call, part, PartOutcome(api.Verdict.NOT_SENT))
 
-    def _calls(self, host: str, batch: list[api.Send]) -> Iterator[Call]:
+    def _build_calls(self, host: str, batch: list[api.Send]) -> Iterator[Call]:
         """Sends of one step to one host share calls up to the kind's bound, journaled before any byte."""
-        rest = iter(batch)
-        while chunk := list(islice(rest, self._partners.batch_size(host))):
-            chunk = [send for send in chunk if send.id in self._held]
-            if self._stop_s is not None:
-                chunk = [send for send in chunk if self._can_end(send, self._stop_s)]
-            parts, tries, now_us = [], [], self.clock()
+        remaining = iter(batch)
+        while chunk := list(islice(remaining, self._partners.batch_size(host))):
+            chunk = [send for send in chunk if send.id in self._held_messages]
+            if self._shutdown_at_s is not None:
+                chunk = [send for send in chunk if self._ends_before_shutdown(send, self._shutdown_at_s)]
+            parts, attempts, now_us = [], [], self.clock()
             for send in chunk:
-                held = self._held[send.id]
-                number, held.attempts = held.attempts, held.attempts + 1
-                if number:
-                    self._reasons.count(Event.RETRY, held.last_end, message_id=send.id, host=host)
+                held = self._held_messages[send.id]
+                attempt_number, held.attempts = held.attempts, held.attempts + 1
+                if attempt_number:
+                    self._reasons.count(Event.RETRY, held.last_outcome, message_id=send.id, host=host)
                 parts.append(
-                    Part(send.id, number, held.handed.key, held.body, send.timeout_us, send.start_within_us)
+                    Part(
+                        send.id,
+                        attempt_number,
+                        held.submission.key,
+                        held.body,
+                        send.timeout_us,
+                        send.start_within_us,
+                    )
+                )
+                attempts.append(
+                    (send.id, Attempt(attempt_number, host, self._partners.zone_of(host), now_us))
                 )
-                tries.append((send.id, Attempt(number, host, self._partners.zone_of(host), now_us)))
             if not parts:
                 continue
-            call = Call(host, parts, self._stepped_s)
+            call = Call(host, parts, self._step_time_s)
             try:
-                self._journal.record_attempts(tries)
+                self._journal.record_attempts(attempts)
             except JournalFullError as error:
                 LOG.error("a call was not made: %s", error)
-                self._not_made(call)
+                self._settle_not_sent(call)
                 continue
             yield call
 
-    def _can_end(self, send: api.Send, stop_s: float) -> bool:
+    def _ends_before_shutdown(self, send: api.Send, stop_s: float) -> bool:
         """Whether the process lasts as long as the call may; else the journal keeps it for the next life."""
-        return self._stepped_s + send.timeout_us / 1e6 <= stop_s
+        return self._step_time_s + send.timeout_us / 1e6 <= stop_s
--- a/mallowlug/core/reserved_space.py
+++ b/mallowlug/core/reserved_space.py
@@ -13,16 +13,16 @@
 class ReservedSpace:
     """Bytes: in all, of the file that is handed over, of the hosts that are out by hand."""
 
-    total: int
-    binds: int
-    outs: int
+    total_bytes: int
+    handover_bytes: int
+    disabled_hosts_bytes: int
 
 
-ROOMY_BYTES = 3_000_000  # of a folder that is roomy: the deployment's usual one
-ROOMY = ReservedSpace(384 * 1024, 96 * 1024, 32 * 1024)
-SMALL = ReservedSpace(192 * 1024, 24 * 1024, 2 * 1024)
+LARGE_FOLDER_BYTES = 3_000_000  # of a folder that is roomy: the deployment's usual one
+LARGE_FOLDER = ReservedSpace(384 * 1024, 96 * 1024, 32 * 1024)
+SMALL_FOLDER = ReservedSpace(192 * 1024, 24 * 1024, 2 * 1024)
 
 
 def reserved_space(disk_bytes: int) -> ReservedSpace:
     """The part of a folder of so many bytes."""
-    return ROOMY if disk_bytes >= ROOMY_BYTES else SMALL
+    return LARGE_FOLDER if disk_bytes >= LARGE_FOLDER_BYTES else SMALL_FOLDER
--- a/mallowlug/fleet/agent.py
+++ b/mallowlug/fleet/agent.py
@@ -188,7 +188,7 @@
         if self._transport is not None:
             self._transport.close()
 
-    def table(self) -> str:
+    def members_json(self) -> str:
         """The view as JSON, for staff: own id, digest, group size, and the members with their causes."""
         swim, clash = self.swim, self.swim.clash
         head = {
@@ -199,7 +199,7 @@
         text = msgspec.json.encode(head).decode()
         return f'{text[:-1]},"members":{shown(swim.view).decode()}}}\n'
 
-    def figures(self) -> str:
+    def metrics_text(self) -> str:
         """What a scrape reads of the fleet."""
         states = [member.said.state for member in self.swim.view.members.values()]
         names: tuple[rec.State, ...] = ("alive", "suspect", "dead", "left")
--- a/mallowlug/fronts/resp2.py
+++ b/mallowlug/fronts/resp2.py
@@ -174,7 +174,7 @@
         if self._turn is not None:
             self._turn.cancel()
         self._server.left(self)
-        by_client = ClientClose.BY_CLIENT if exc is None else ClientClose.BROKEN
+        by_client = ClientClose.BY_CLIENT if exc is None else ClientClose.CONNECTION_ERROR
         self._server.reasons.count(Event.CLIENT_CLOSE, self._why_closed or by_client)
 
     def pause_writing(self) -> None:
@@ -237,7 +237,7 @@
             return ClientClose.ERRORS
         if self._ended:
             return ClientClose.BY_CLIENT
-        return ClientClose.ENDING if self.ending else ClientClose.HANDED_OVER
+        return ClientClose.SHUTTING_DOWN if self.ending else ClientClose.HANDED_OVER
 
     def _go_on(self) -> None:
         """Serve the rest in a later turn."""
@@ -255,7 +255,7 @@
 
     def _end_between(self) -> None:
         if not self.begun:
-            self.drop(ClientClose.ENDING)
+            self.drop(ClientClose.SHUTTING_DOWN)
 
     def drop(self, reason: ClientClose, answer: bytes = b"") -> None:
         """End the connection by a lingering close; one that lingers already is broken off."""
@@ -281,7 +281,7 @@
 
     def cut(self) -> None:
         """Close at once, as its descriptor is needed."""
-        self._why_closed = self._why_closed or ClientClose.ROOM
+        self._why_closed = self._why_closed or ClientClose.DESCRIPTOR_NEEDED
         if self._transport is not None:
             (self._transport.abort if self._lingers else self._transport.close)()
 
@@ -400,7 +400,7 @@
         loop = asyncio.get_running_loop()
         self._sweeper = loop.call_later(SWEEP_S, self._sweep)
         for table, most_s, reason, answer in (
-            (self.silent, SILENT_S, ClientClose.SILENT, b""),
+            (self.silent, SILENT_S, ClientClose.NO_REQUEST, b""),
             (self.asking, REQUEST_S, ClientClose.UNFINISHED, b"-ERR a request without end\r\n"),
             (self.lingering, LINGER_S, ClientClose.LINGERED, b""),
         ):
--- a/mallowlug/partners/http_calls.py
+++ b/mallowlug/partners/http_calls.py
@@ -170,7 +170,7 @@
             gone = self._listed.keys() - {listed.entry.host for listed in news.hosts}
             for host in gone:
                 del self._listed[host]
-                self.close_idle(host, HostClose.UNWANTED)
+                self.close_idle(host, HostClose.HOST_INACTIVE)
         for listed in news.hosts:
             host = listed.entry.host
             known = self._listed.get(host)
@@ -179,7 +179,7 @@
             else:
                 self._listed[host] = listed
             if listed.entry.listing is not Listing.READY or (known and known.address != listed.address):
-                self.close_idle(host, HostClose.UNWANTED)
+                self.close_idle(host, HostClose.HOST_INACTIVE)
 
     def set_kinds(self, kinds: Iterable[Kind]) -> None:
         """Go by these kinds from now on."""
@@ -188,7 +188,7 @@
     def set_disabled(self, host: str, out: bool) -> None:
         """A host is out by hand, or back: then as a new process, which no old connection reaches."""
         (self._out.add if out else self._out.discard)(host)
-        self.close_idle(host, HostClose.UNWANTED)
+        self.close_idle(host, HostClose.HOST_INACTIVE)
 
     def _serves(self, host: str) -> bool:
         """Whether the list and the staff let calls go there."""
@@ -291,7 +291,7 @@
             if exchange.task is not None:
                 exchange.task.cancel()
         for host in list(self._idle):
-            self.close_idle(host, HostClose.ENDING)
+            self.close_idle(host, HostClose.SHUTTING_DOWN)
 
     def _settle(self, exchange: Exchange, part: Part, told: PartOutcome | None) -> None:
         part.settled = True
@@ -426,7 +426,7 @@
         ):
             kept = [(host, idle) for host, idle in self._idle.items() if idle]
             host, first = min(kept, key=lambda item: item[1][0][1].when())
-            self._drop(host, *first.pop(0), HostClose.ROOM)
+            self._drop(host, *first.pop(0), HostClose.DESCRIPTOR_NEEDED)
 
     def _keep(self, host: str, connection: Connection) -> bool:
         """Keep a connection for the next call, watched for the host's end, closed before its keep-alive."""
--- a/mallowlug/upgrade/coordinator.py
+++ b/mallowlug/upgrade/coordinator.py
@@ -15,7 +15,7 @@
 from mallowlug.core.model import Answer, Refused, Submission
 from mallowlug.core.ports import Intake
 from mallowlug.core.relay import RelayCore
-from mallowlug.core.reserved_space import ROOMY
+from mallowlug.core.reserved_space import LARGE_FOLDER
 from mallowlug.system import APPEND, Disk
 from mallowlug.upgrade import handover_file
 from mallowlug.upgrade.locks import Succession
@@ -84,7 +84,13 @@
     """One process's way through its places."""
 
     def __init__(
-        self, folder: Path, disk: Disk, staff: Staff, durable: bool = False, *, most_binds: int = ROOMY.binds
+        self,
+        folder: Path,
+        disk: Disk,
+        staff: Staff,
+        durable: bool = False,
+        *,
+        most_binds: int = LARGE_FOLDER.handover_bytes,
     ) -> None:
         """``most_binds``: bytes of the file that is handed over."""
         self._most_binds = most_binds
--- a/mallowlug/upgrade/handover_file.py
+++ b/mallowlug/upgrade/handover_file.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from mallowlug.core.handover import HandoverState
-from mallowlug.core.reserved_space import ROOMY
+from mallowlug.core.reserved_space import LARGE_FOLDER
 from mallowlug.system import Disk, swap
 
 LOG = logging.getLogger(__name__)
@@ -21,7 +21,7 @@
 MOST_PLAIN = 16 << 20  # bytes of what a file may hold; one that claims more is absurd
 
 
-def keep(folder: Path, disk: Disk, binds: HandoverState, most: int = ROOMY.binds) -> bool:
+def keep(folder: Path, disk: Disk, binds: HandoverState, most: int = LARGE_FOLDER.handover_bytes) -> bool:
     """Write it down in one piece; of what does not fit into ``most`` bytes the ids that are over go first,
     then the list, and the directory's is waited for.
 
--- a/mallowlug/upgrade/spool.py
+++ b/mallowlug/upgrade/spool.py
@@ -19,7 +19,7 @@
 from mallowlug.core.journal import encode_record, read_record
 from mallowlug.core.model import Accepted, Answer, Failed, Refused, Submission
 from mallowlug.core.reasons import RejectReason
-from mallowlug.core.relay import FIELDS, RelayCore
+from mallowlug.core.relay import SUBMISSION_FIELDS, RelayCore
 from mallowlug.system import APPEND, Disk
 from mallowlug.upgrade.locks import Lock
 
@@ -57,15 +57,15 @@
         return answer
 
     def _spool(self, handed: Submission, body: bytes) -> Answer:
-        fields, written = {name: getattr(handed, name) for name in FIELDS}, 0
+        fields, written = {name: getattr(handed, name) for name in SUBMISSION_FIELDS}, 0
         record = encode_record(["in", handed.id, fields, self._former.rules_record(handed.cls)], body)
         try:
             if not self._room(len(record)):
-                return self._former.refused(RejectReason.DISK)
+                return self._former.refusal_for(RejectReason.JOURNAL_FULL)
             written = self._disk.write(self._fd, record)
             if written < len(record):
                 self._disk.truncate(self._fd, self._size)
-                return self._former.refused(RejectReason.DISK)
+                return self._former.refusal_for(RejectReason.JOURNAL_FULL)
             self._size += written
             if self._durable:
                 self._disk.sync(self._fd)
@@ -74,7 +74,7 @@
             LOG.warning("door: a message is not kept: %s", error, extra={"message_id": handed.id})
             self.close()
             whole = written >= len(record)
-            return Failed("not kept") if whole else self._former.refused(RejectReason.DISK)
+            return Failed("not kept") if whole else self._former.refusal_for(RejectReason.JOURNAL_FULL)
         self._taken.add(handed.id)
         return Accepted()
 
--- a/tests/sim/test_upgrades.py
+++ b/tests/sim/test_upgrades.py
@@ -11,7 +11,7 @@
 from mallowlug.compose import Node
 from mallowlug.core.disabled_hosts import DisabledHosts
 from mallowlug.core.relay import RelayCore
-from mallowlug.core.reserved_space import SMALL as SMALL_ROOM
+from mallowlug.core.reserved_space import SMALL_FOLDER as SMALL_ROOM
 from mallowlug.rig.judge import record as rec
 from mallowlug.rig.sim import exhaust
 from mallowlug.rig.sim.disk import SimDisk
@@ -263,7 +263,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(
-        "mallowlug.compose.reserved_space", lambda _bytes: replace(SMALL_ROOM, total=-600_000)
+        "mallowlug.compose.reserved_space", lambda _bytes: replace(SMALL_ROOM, total_bytes=-600_000)
     )
     assert folder(tmp_path, monkeypatch)[0] > 600_000
 
--- a/tests/sim/worlds.py
+++ b/tests/sim/worlds.py
@@ -98,10 +98,10 @@
     compact = Journal._compact
 
     def compacting(self: Journal) -> None:
-        newest = list(self._live)[-1:]
-        kept = {ref: self._live.pop(ref) for ref in newest}
+        newest = list(self._live_records)[-1:]
+        kept = {ref: self._live_records.pop(ref) for ref in newest}
         compact(self)
-        self._live.update(kept)
+        self._live_records.update(kept)
 
     monkey.setattr(Journal, "_compact", compacting)
 
@@ -142,20 +142,20 @@
 
 def wall_believed(monkey: MonkeyPatch) -> None:
     """The wall clock is believed at every start."""
-    monkey.setattr("mallowlug.core.clock.kept", lambda system, path, boot: None)
+    monkey.setattr("mallowlug.core.clock.load_offset", lambda system, path, boot: None)
 
 
 def clock_tried_once(monkey: MonkeyPatch) -> None:
     """A clock that the disk did not take is not written again, and an attempt from the future is new."""
     monkey.setattr(Clock, "retry_save", lambda self: None)
-    monkey.setattr("mallowlug.core.relay.UNKNOWN_US", 0)
+    monkey.setattr("mallowlug.core.relay.UNKNOWN_AGE_US", 0)
 
 
 def refused_unkept(monkey: MonkeyPatch) -> None:
     """A refusal is told also where its end is not on the disk."""
     real = Journal.record_end
     monkey.setattr(Journal, "record_end", lambda *args: bool(real(*args)) or True)
-    monkey.setattr("mallowlug.core.relay.RelayCore._synced", lambda self: True)
+    monkey.setattr("mallowlug.core.relay.RelayCore._sync_journal", lambda self: True)
 
 
 def slept_away(monkey: MonkeyPatch) -> None:
@@ -182,7 +182,7 @@
 
 def named_before_it_is_safe(monkey: MonkeyPatch) -> None:
     """A compaction's new log takes the old one's name, and nobody makes sure of it."""
-    monkey.setattr(Journal, "_name_synced", lambda self: None)
+    monkey.setattr(Journal, "_sync_directory", lambda self: None)
 
 
 def unsent_means_unrun(monkey: MonkeyPatch) -> None:
--- a/tests/test_by_hand.py
+++ b/tests/test_by_hand.py
@@ -163,7 +163,7 @@
     kept = DisabledHosts(tmp_path, POSIX.disk)
     kept.disable("h1")
     full, heard = DisabledHosts(tmp_path, FullDisk()), list[str]()
-    full.changed = lambda host, _out: heard.append(host)
+    full.on_change = lambda host, _out: heard.append(host)
     assert "No space" in full.disable("h2")
     assert "No space" in full.enable("h1")
     assert (list(full.hosts), heard) == (["h1"], [])
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -22,10 +22,10 @@
     done: list[str] = field(default_factory=list)
     why: str = ""
 
-    def figures(self) -> str:
+    def metrics_text(self) -> str:
         return "relay_current 0\n"
 
-    def members(self) -> str:
+    def fleet_json(self) -> str:
         return ""
 
     def disable_host(self, host: str) -> str:
--- a/tests/test_cost.py
+++ b/tests/test_cost.py
@@ -80,13 +80,13 @@
 
 def test_a_delivered_message_has_three_records(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     """Taken on, tried, over: each is a write to the disk."""
-    kinds, real = Counter[str](), Journal._keep
+    kinds, real = Counter[str](), Journal._track_record
 
     def kept(self: Journal, head: list[Any], raw: bytes) -> None:
         kinds[head[0]] += 1
         real(self, head, raw)
 
-    monkeypatch.setattr(Journal, "_keep", kept)
+    monkeypatch.setattr(Journal, "_track_record", kept)
     world = scenario.load(ROOT / "scenarios" / "calm.toml").model_copy(update={"length_s": 3.0})
     done = simulate(world, tmp_path)
     messages = sum(isinstance(event, rec.Ask) for event in rec.read(done.path).events)
--- a/tests/test_deadlines.py
+++ b/tests/test_deadlines.py
@@ -17,7 +17,7 @@
 from mallowlug.core.metrics import Metrics
 from mallowlug.core.model import Call, EndpointList, Notice, Part, PartOutcome, ResolvedEndpoint, Submission
 from mallowlug.core.ports import Adapters
-from mallowlug.core.relay import NEAR_US, RelayCore
+from mallowlug.core.relay import DEADLINE_SLACK_US, RelayCore
 from mallowlug.system import POSIX
 from mossfront import DecisionEngine
 from mossfront import interface as api
@@ -92,12 +92,12 @@
         self.journal = Journal(folder, 1_000_000, POSIX.disk)
         self.driver = RelayCore(
             settings=settings(), seed=1, journal=self.journal,
-            plugs=Adapters(partners_of, lambda *_: Mock(), ends_of),
-            clock=Clock(0, self.slow, lambda: True), listings=Listings(1024, 60.0), figures=Metrics(()),
-            outs=DisabledHosts(folder, POSIX.disk), crashed=lambda error: pytest.fail(repr(error)),
+            adapters=Adapters(partners_of, lambda *_: Mock(), ends_of),
+            clock=Clock(0, self.slow, lambda: True), listings=Listings(1024, 60.0), metrics=Metrics(()),
+            disabled_hosts=DisabledHosts(folder, POSIX.disk), on_crash=lambda error: pytest.fail(repr(error)),
         )  # fmt: skip
         self.steps: list[int] = []  # when each step was, by the module's clock
-        module = self.driver._module
+        module = self.driver._engine
         step = module.step
 
         def noted(now_us: int, events: Iterable[api.Event]) -> list[api.Action]:
@@ -145,7 +145,13 @@
 
 @pytest.mark.parametrize(
     ("left_us", "told"),
-    [(SECOND, False), (NEAR_US + 1, False), (NEAR_US - 1, True), (0, True), (-LAG_US, True)],
+    [
+        (SECOND, False),
+        (DEADLINE_SLACK_US + 1, False),
+        (DEADLINE_SLACK_US - 1, True),
+        (0, True),
+        (-LAG_US, True),
+    ],
 )
 async def test_an_answer_at_or_behind_the_messages_time_is_not_trusted_alone(
     tmp_path: Path, left_us: int, told: bool
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from mallowlug.core.descriptors import LEAST, shares_of
+from mallowlug.core.descriptors import MIN_SOCKETS, split_descriptors
 from mallowlug.core.model import Call, EndpointList, Part, ResolvedEndpoint
 from mossfront.interface import EndpointEntry, Listing, Verdict
 from tests.calls import Calls, serving
@@ -17,20 +17,20 @@
 
 
 @pytest.mark.parametrize("console", [False, True])
-@pytest.mark.parametrize("sockets", [*range(LEAST, 300, 11), 512, 1024, 4096])
+@pytest.mark.parametrize("sockets", [*range(MIN_SOCKETS, 300, 11), 512, 1024, 4096])
 def test_the_shares_are_within_the_limit_and_nobody_has_none(sockets: int, console: bool) -> None:
-    shares = shares_of(sockets, 1, console)
+    shares = split_descriptors(sockets, 1, console)
     assert shares.total <= sockets
     assert shares.clients == sockets // 2
-    assert min(shares.calls, shares.burst) >= 1
-    assert (shares.callers > 1) == console
+    assert min(shares.calls, shares.accept_burst) >= 1
+    assert (shares.console_connections > 1) == console
 
 
 @pytest.mark.parametrize("sockets", [8, 16, 40])
 def test_under_a_limit_that_is_too_low_every_role_has_the_least_that_it_can_work_with(sockets: int) -> None:
-    shares = shares_of(sockets, 1, True)
+    shares = split_descriptors(sockets, 1, True)
     assert shares.total > sockets
-    assert min(shares.clients, shares.burst, shares.calls, shares.callers) >= 1
+    assert min(shares.clients, shares.accept_burst, shares.calls, shares.console_connections) >= 1
 
 
 async def test_a_new_connection_takes_the_place_of_the_idle_one_that_is_due_first() -> None:
@@ -68,7 +68,7 @@
     await client.insist("m0")
     for number in range(40):
         assert await client.hand_in(f"n{number}") == b"+OK"
-    calls = shares_of(64, 1, False).calls
+    calls = split_descriptors(64, 1, False).calls
     await host.until(lambda: len(host.seen) >= calls - 3)  # a quarter of the slots is for others
     assert await (await world.client()).command(b"PING") == b"+PONG"
     for _ in range(50):  # in which the rest would go out
--- a/tests/test_figures.py
+++ b/tests/test_figures.py
@@ -30,9 +30,9 @@
 def test_the_format_holds_for_any_name_of_a_class() -> None:
     odd = 'a"b\\c\nd'
     figures = Metrics(["plain", odd])
-    figures.ended(odd, "errored")
-    figures.ended("nobody knows it", "answered")
-    samples = parsed(figures.text(Gauges(7, 3, 2, 1)))
+    figures.count_end(odd, "errored")
+    figures.count_end("nobody knows it", "answered")
+    samples = parsed(figures.render(Gauges(7, 3, 2, 1)))
     assert samples["relay_transactions_total", odd, "errored"] == 1
     assert samples["relay_transactions_total", "plain", "answered"] == 0
     assert samples["relay_sends_total", "", ""] == 7
@@ -45,8 +45,8 @@
 def test_classes_without_end_do_not_grow_the_process() -> None:
     figures = Metrics(["first"])
     for number in range(10_000):
-        figures.know([f"c{number}"])
-    assert len(figures.ends) <= 3 * 65
+        figures.add_groups([f"c{number}"])
+    assert len(figures.end_counts) <= 3 * 65
 
 
 async def scraped(port: int) -> Samples:
@@ -66,8 +66,8 @@
     key = ("relay_sends_total", "", "")
     figures = Metrics(["safe"])
     for planted in (2, 0):
-        assert differences(parsed(figures.text(Gauges(planted, 0, 0, 0))), {key: 1.0})
-    assert differences(parsed(figures.text(Gauges(1, 0, 0, 0))), {key: 1.0}) == []
+        assert differences(parsed(figures.render(Gauges(planted, 0, 0, 0))), {key: 1.0})
+    assert differences(parsed(figures.render(Gauges(1, 0, 0, 0))), {key: 1.0}) == []
 
 
 def failing(status: int) -> Reply:
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -12,7 +12,7 @@
 from hypothesis import strategies as st
 
 from mallowlug.core.journal import (
-    SLACK_BYTES,
+    COMPACTION_SLACK_BYTES,
     Attempt,
     Journal,
     JournalFullError,
@@ -87,7 +87,7 @@
     for number in range(3000):
         accept(journal, f"m{number}", size=50)
         journal.record_completed(f"m{number}")
-    assert (tmp_path / "journal").stat().st_size < 2 * SLACK_BYTES
+    assert (tmp_path / "journal").stat().st_size < 2 * COMPACTION_SLACK_BYTES
     found = reopened(tmp_path).recovered
     assert list(found) == ["kept"]
     assert found["kept"].attempts == [Attempt(0, "h", "z", 1)]
@@ -284,8 +284,8 @@
 
 def test_care_records_of_older_versions_are_read(tmp_path: Path) -> None:
     journal = Journal(tmp_path, DISK, POSIX.disk)
-    journal._note(["care", "h1", 77])
-    journal._note(["care", "h2", 78, 1])
+    journal._append_or_queue(["care", "h1", 77])
+    journal._append_or_queue(["care", "h2", 78, 1])
     journal.close()
     found = reopened(tmp_path).outages
     assert found == {
--- a/tests/test_listings.py
+++ b/tests/test_listings.py
@@ -80,7 +80,7 @@
         if isinstance(told, list):
             news = EndpointList(at_s, what == "whole", tuple(told))
             truth.hear(news)
-            follower.hear(listings.follow(news, now_s))
+            follower.hear(listings.apply(news, now_s))
         elif what == "use" and isinstance(told, int):
             for _, news in listings.activate(told, now_s):
                 follower.hear(news)
@@ -104,7 +104,7 @@
 
 def test_only_what_is_unused_and_crowds_is_asked_to_sleep() -> None:
     listings = Listings(2, 60.0)
-    listings.follow(EndpointList(1, True, tuple(listed(f"h{n}", n) for n in range(6))), 0.0)
+    listings.apply(EndpointList(1, True, tuple(listed(f"h{n}", n) for n in range(6))), 0.0)
     for dest in (2, 3, 4):
         list(listings.activate(dest, 10.0 + dest))
     assert listings.idle_destinations(59.0) == []
@@ -131,12 +131,12 @@
         settings=settings(),
         seed=1,
         journal=journal,
-        plugs=Adapters(lambda *_: partners, lambda *_: Mock(), lambda *_: Mock()),
+        adapters=Adapters(lambda *_: partners, lambda *_: Mock(), lambda *_: Mock()),
         clock=Clock(clock_us, lambda: 0.0, lambda: True),
         listings=Listings(1, 60.0),
-        figures=Metrics(()),
-        outs=DisabledHosts(tmp_path, POSIX.disk),
-        crashed=lambda error: pytest.fail(repr(error)),
+        metrics=Metrics(()),
+        disabled_hosts=DisabledHosts(tmp_path, POSIX.disk),
+        on_crash=lambda error: pytest.fail(repr(error)),
     )
     driver.start(EndpointList(1, True, (listed("h1", 1), listed("h11", 2), listed("h2", 3))))
     driver.close()
@@ -153,7 +153,7 @@
         hosts = (
             ResolvedEndpoint(entry(host, dest, zone="floor-2"), ("10.1.0.18", 6379)) for host, dest in names
         )
-        listings.follow(EndpointList(1, True, tuple(hosts)), 0.0)
+        listings.apply(EndpointList(1, True, tuple(hosts)), 0.0)
         held = tracemalloc.get_traced_memory()[0] - before
     finally:
         tracemalloc.stop()
--- a/tests/test_reasons.py
+++ b/tests/test_reasons.py
@@ -21,8 +21,8 @@
         for _ in range(2):
             reasons.count(Event.RETRY, "reset", message_id="m1", host="h1")
         reasons.count(Event.HOST_CLOSE, HostClose.IDLE, host="h1")
-        reasons.tell()
-        reasons.tell()
+        reasons.log_summary()
+        reasons.log_summary()
     assert caplog.messages == ["host_closes: idle too long, or ended by the host 1; retries: reset 2"]
     assert {reason: count for reason, count in reasons.total(Event.RETRY).items() if count} == {"reset": 2}
 
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -11,7 +11,7 @@
 import pytest
 
 from mallowlug.config import lacking, shape_of
-from mallowlug.core.journal import MOST_RULES, Journal
+from mallowlug.core.journal import MAX_RULES, Journal
 from mallowlug.system import POSIX
 from mossfront import interface as api
 from mossfront.engine import DecisionEngine
@@ -177,7 +177,7 @@
     journal.accept("m1", {"rules": first}, b"")
     for number in range(1000):
         last = journal.rules_number({"name": f"n{number}"}, (first,))
-    assert len(journal.rules) <= MOST_RULES + 2
+    assert len(journal.rules) <= MAX_RULES + 2
     journal.close()
     again = Journal(tmp_path, 1_000_000, POSIX.disk)
     assert again.rules[first] == {"name": "first"}
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -11,7 +11,7 @@
 from mallowlug.core.handover import EndpointRow, HandoverState
 from mallowlug.core.listings import Listings
 from mallowlug.core.model import EndpointList, ResolvedEndpoint
-from mallowlug.core.reserved_space import ROOMY, SMALL, reserved_space
+from mallowlug.core.reserved_space import LARGE_FOLDER, SMALL_FOLDER, reserved_space
 from mallowlug.fleet import records
 from mallowlug.operator.model import OperatorFile
 from mallowlug.system import POSIX
@@ -62,7 +62,7 @@
 def test_a_successor_is_told_of_so_many_hosts(count: int, tmp_path: Path) -> None:
     binds = handed_over(HOSTS[:count])
     assert handover_file.keep(tmp_path, POSIX.disk, binds)
-    assert (tmp_path / handover_file.FILE).stat().st_size <= ROOMY.binds
+    assert (tmp_path / handover_file.FILE).stat().st_size <= LARGE_FOLDER.handover_bytes
     kept = handover_file.take(tmp_path, POSIX.disk)
     assert kept is not None
     assert (kept.seq, len(kept.rows), len(kept.learned)) == (41, count, count)
@@ -70,10 +70,10 @@
 
 def test_what_is_set_aside_leaves_a_small_folder_to_the_journal() -> None:
     """Each file stands twice while it is written anew, and a door has three of 32 kB."""
-    for room in (ROOMY, SMALL):
-        assert 2 * room.binds + 2 * room.outs + 3 * 32 * 1024 <= room.total
-    assert reserved_space(3_000_000) == ROOMY and ROOMY.total <= 3_000_000 // 7
-    assert reserved_space(1_000_000) == SMALL and SMALL.total <= 1_000_000 // 5
+    for room in (LARGE_FOLDER, SMALL_FOLDER):
+        assert 2 * room.handover_bytes + 2 * room.disabled_hosts_bytes + 3 * 32 * 1024 <= room.total_bytes
+    assert reserved_space(3_000_000) == LARGE_FOLDER and LARGE_FOLDER.total_bytes <= 3_000_000 // 7
+    assert reserved_space(1_000_000) == SMALL_FOLDER and SMALL_FOLDER.total_bytes <= 1_000_000 // 5
 
 
 def test_so_many_hosts_can_be_out_by_hand_and_one_too_many_is_told(tmp_path: Path) -> None:
@@ -81,7 +81,7 @@
     for host in HOSTS:
         assert outs.disable(host) == ""
     assert len(DisabledHosts(tmp_path, POSIX.disk).hosts) == MANY + 1
-    long = [f"{number:0>120}" for number in range(ROOMY.outs // 120)]
+    long = [f"{number:0>120}" for number in range(LARGE_FOLDER.disabled_hosts_bytes // 120)]
     said = [outs.disable(host) for host in long]
     assert said[0] == "" and said[-1] == "too many hosts are out already"
     kept = DisabledHosts(tmp_path, POSIX.disk).hosts
@@ -95,7 +95,7 @@
     )
     entries = [api.EndpointEntry(host, n, "a", "plain", api.Listing.READY) for n, host in enumerate(HOSTS)]
     rows = (ResolvedEndpoint(entry, ("10.1.0.1", 6379)) for entry in entries)
-    listings.follow(EndpointList(1, True, tuple(rows)), 0.0)
+    listings.apply(EndpointList(1, True, tuple(rows)), 0.0)
     assert listings.hosts == len(listings) == MANY + 1
     messages = [arrival(f"m{n}", SAFE, n) for n in range(len(HOSTS))]
     assert {send.host for send in sends(relay.step(0, [roster(*entries), *messages]))} == set(HOSTS)
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -15,7 +15,7 @@
 import pytest
 
 from mallowlug.core.handover import HandoverState
-from mallowlug.core.reserved_space import ROOMY
+from mallowlug.core.reserved_space import LARGE_FOLDER
 from mallowlug.system import POSIX, PosixDisk
 from mallowlug.upgrade import handover_file
 from mallowlug.upgrade.locks import Lock, Succession
@@ -445,7 +445,7 @@
         {"h1": 5}, [("h1", 5, 1.0, 2.0, 3.0, -1, 0)], 7, rows, [f"id-{n}" for n in range(512)]
     )
     assert handover_file.keep(tmp_path, POSIX.disk, many)
-    assert (tmp_path / "binds").stat().st_size <= ROOMY.binds
+    assert (tmp_path / "binds").stat().st_size <= LARGE_FOLDER.handover_bytes
     kept = handover_file.take(tmp_path, POSIX.disk)
     assert kept is not None
     assert (kept.waits, kept.seq, kept.rows, kept.over) == ({"h1": 5}, -1, {}, [])
