--- a/mallowlug/__init__.py
+++ b/mallowlug/__init__.py
@@ -1,1 +1,1 @@
-"""mallowlug: the decision module of ``mossfront`` as one real relay on real sockets."""
+"""mallowlug: a message relay on sockets, with the decision engine of ``mossfront``."""
--- a/mallowlug/__main__.py
+++ b/mallowlug/__main__.py
@@ -1,4 +1,4 @@
-"""``python -m mallowlug``: the platform's relay; with words behind it, the command line."""
+"""``python -m mallowlug``: runs the platform's relay; with arguments, the command line."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 def main() -> int:
-    """Without a word, exactly the platform's relay: not even the command line is imported."""
+    """Run the relay where there are no arguments, without importing the command line."""
     if len(sys.argv) > 1:
         from mallowlug.cli.main import main as command  # noqa: PLC0415
 
--- a/mallowlug/core/__init__.py
+++ b/mallowlug/core/__init__.py
@@ -1,1 +1,1 @@
-"""The relay's core: the step loop, which message owes which end, the journal, and the ports."""
+"""The relay's core: the step loop, the messages without a final result, the journal and the ports."""
--- a/mallowlug/core/clock.py
+++ b/mallowlug/core/clock.py
@@ -1,9 +1,9 @@
-"""Wall time for deadlines and attempts in the journal: it jumps neither within a life nor between two.
+"""Wall time for deadlines and journaled attempts that does not jump while the relay runs or restarts.
 
-The machine's wall clock may be set at any time. Its monotonic clock goes on over all lives of a process for
-as long as the machine runs, so the distance between the two is kept in the lasting folder with what names the
-run of the machine: a life that finds it goes on counting where the last one stopped. Only after a new start
-of the machine is the wall clock believed again.
+The machine's wall clock may be set at any time. Its monotonic clock continues over restarts of the process
+until the machine reboots, so the offset between the two is stored in the state folder, with the machine's
+boot id: a process that finds an offset of the same boot uses it. The wall clock is read again only after a
+reboot.
 """
 
 from __future__ import annotations
@@ -19,23 +19,23 @@
 
 
 class Clock:
-    """Microseconds since the epoch, in step with the loop's time."""
+    """Microseconds since the epoch, advancing with the event loop's monotonic time."""
 
     def __init__(self, offset_us: int, monotonic_s: Callable[[], float], store: Callable[[], bool]) -> None:
         self._offset_us, self._monotonic_s, self._store = offset_us, monotonic_s, store
-        self.saved = store()  # for the lives to come
+        self.saved = store()  # whether the offset is stored for the next process
 
     def __call__(self) -> int:
-        """Microseconds since the epoch."""
+        """Return microseconds since the epoch."""
         return int(self._monotonic_s() * 1e6) + self._offset_us
 
     def retry_save(self) -> None:
-        """Try again to keep it, where the disk did not take it."""
+        """Store the offset again, where the disk did not take it."""
         self.saved = self.saved or self._store()
 
 
 def create_clock(system: System, folder: Path, monotonic_s: Callable[[], float]) -> Clock:
-    """The clock of the lives before this one, else one that is set by the wall and kept for those to come."""
+    """Create a clock with the stored offset of this boot, else with a new one from the wall clock."""
     boot, path = system.boot(), folder / FILE
     if (offset_us := load_offset(system, path, boot)) is not None:
         return Clock(offset_us, monotonic_s, lambda: True)
@@ -44,7 +44,7 @@
 
 
 def load_offset(system: System, path: Path, boot: str) -> int | None:
-    """The distance that was kept in this run of the machine; None for none, or for one that is torn."""
+    """Return the offset stored since the machine's boot; None where there is none or it is incomplete."""
     try:
         named, _, offset = system.disk.read(path).decode("ascii").partition(" ")
         return int(offset) if boot and named == boot and offset.endswith("\n") else None
@@ -53,10 +53,10 @@
 
 
 def store_offset(system: System, path: Path, line: str) -> bool:
-    """Keep it; where that cannot be, a next life would go by the wall clock."""
+    """Store the offset; False where that fails: then a restarted process would read the wall clock."""
     try:
-        whole = save(system.disk, path, line.encode("ascii"))
+        written = save(system.disk, path, line.encode("ascii"))
     except OSError as error:
-        LOG.error("clock: not kept for the next life: %s", error)
+        LOG.error("clock: cannot store the offset for the next process: %s", error)
         return False
-    return whole
+    return written
--- a/mallowlug/core/journal.py
+++ b/mallowlug/core/journal.py
@@ -1,9 +1,10 @@
-"""The lasting record of accepted work: an append-only log with replay and compaction.
+"""The journal of accepted messages: an append-only log with replay and compaction.
 
-A record is a frame (mark, length, CRC-32) around one JSON line and the message's body. What ``write`` has
-taken outlasts the process. A durable journal outlasts the loss of the machine's power as well: before a
-message counts as taken on, a call's first byte goes out or an end is told, its record is synced. Records that
-only take doubt away (proofs, confirmed ends) are not: without them a message is treated with more care.
+A record is a frame (mark, length, CRC-32) around one JSON line and the message's body. Written records
+survive the end of the process. A durable journal also survives a power loss: a record is synced before the
+message is reported as accepted, the call's first byte is sent or the final result is reported. Records that
+only lower uncertainty (proofs that an attempt never ran, confirmed notices) are not synced: without them a
+message is merely treated more cautiously.
 """
 
 from __future__ import annotations
@@ -23,35 +24,28 @@
 
 LOG = logging.getLogger(__name__)
 OTHER_FILES_BLOCKS = 4  # blocks for the small files beside the journal: clock, overruled
-LOG_FIELD_BY_KIND = {
-    "care": "host",
-    "rules": "rules",
-    "spool": "spool",
-    "unspool": "spool",
-}  # what a record names
-MAX_RULES = 32  # sets of rules that are kept though no message lives by them
-KINDS_BY_CODE = (
-    OutageRecordKind.OUTAGE,
-    OutageRecordKind.SUSPICION,
-    OutageRecordKind.RECOVERY,
-)  # as a care record writes them
+# Field of the log line that names a record's subject; "message_id" for all other kinds.
+LOG_FIELD_BY_KIND = {"care": "host", "rules": "rules", "spool": "spool", "unspool": "spool"}
+MAX_RULES = 32  # sets of rules; beyond it those that no open message uses are forgotten
+# The kinds in the order of the codes that a "care" record stores.
+KINDS_BY_CODE = (OutageRecordKind.OUTAGE, OutageRecordKind.SUSPICION, OutageRecordKind.RECOVERY)
 MARK = b"\xa5mlg"
-FRAME = struct.Struct("<4sII")
-BLOCK = 512  # files count in whole blocks
-MAX_RECORD_BYTES = 128 * 1024  # bytes; a longer length can only be damage
-# Bytes of an attempt with its proof, and of an end with its confirmation, without the message's id, which
-# stands twice in each: 122 and 86 with ids of 16 characters, and hosts' ids of 10.
+FRAME = struct.Struct("<4sII")  # mark, payload length, CRC-32 of the payload
+BLOCK = 512  # bytes; disk usage is counted in whole blocks
+MAX_RECORD_BYTES = 128 * 1024  # a greater length field can only be corruption
+# Bytes of an attempt record with its proof, and of an end record with its confirmation, without the message's
+# id, which occurs twice in each: 122 and 86 with message ids of 16 characters and host ids of 10.
 ATTEMPT_BYTES, END_BYTES = 120, 80
-COMPACTION_SLACK_BYTES = 256 * 1024  # garbage that is worth a compaction
+COMPACTION_SLACK_BYTES = 256 * 1024  # garbage that triggers a compaction
 
 
 class JournalFullError(Exception):
-    """The record would not fit the budget, or the disk would not take it."""
+    """A record does not fit the disk budget, or the disk did not take or sync it."""
 
 
 @dataclass(slots=True)
 class Attempt:
-    """One try as it was journaled before its first byte."""
+    """One attempt, as journaled before the first byte of its call was sent."""
 
     number: int
     host: str
@@ -62,28 +56,28 @@
 
 @dataclass(slots=True)
 class RecoveredMessage:
-    """A message that is not over, as the log tells it."""
+    """An uncompleted message, as read from the log."""
 
     id: str
     fields: dict[str, Any]
     body: bytes
     attempts: list[Attempt] = field(default_factory=list)
-    notice: tuple[str, int] | None = None  # its end, not yet confirmed: result and wait
+    notice: tuple[str, int] | None = None  # final result without confirmed notice, and its wait in ms
 
 
 def encode_record(head: list[Any], body: bytes = b"") -> bytes:
-    """One record's bytes."""
+    """Return a record's bytes, with its frame."""
     payload = msgspec.json.encode(head) + b"\n" + body
     return FRAME.pack(MARK, len(payload), zlib.crc32(payload)) + payload
 
 
 def size_in_blocks(size: int) -> int:
-    """A file's size as the deployment counts it."""
+    """Return a file's size as the deployment counts it: rounded up to whole blocks."""
     return -(-size // BLOCK) * BLOCK
 
 
 def read_record(data: bytes, offset: int) -> tuple[bytes, int] | None:
-    """The payload of the whole record that starts there, and where the next one starts."""
+    """Return the payload of the valid record at an offset and the offset after it; else None."""
     if offset + FRAME.size > len(data):
         return None
     mark, length, crc = FRAME.unpack_from(data, offset)
@@ -95,7 +89,7 @@
 
 
 def scan_records(data: bytes) -> Iterator[tuple[bytes, int]]:
-    """Every whole record and its end; damage is skipped up to the next whole record."""
+    """Yield each valid record's payload and end offset; damage is skipped up to the next valid record."""
     offset = 0
     while offset < len(data):
         record = read_record(data, offset)
@@ -114,55 +108,54 @@
 
 @dataclass(frozen=True, slots=True)
 class StoredOutage:
-    """An endpoint that the last life saw fail: until when (us) it may be down or cold."""
+    """An endpoint's outage that is still relevant after a restart."""
 
-    until_us: int
+    until_us: int  # until when it may be down or cold
     kind: OutageRecordKind = OutageRecordKind.OUTAGE
-    served_percent: int = 100  # of the destination's messages, before it failed
+    served_percent: int = 100  # of the destination's messages, before the outage
 
 
 class Journal:
-    """The log of one relay; ``recovered`` holds what the last life left unfinished."""
+    """The journal of one relay; ``recovered`` holds the messages that the previous run left uncompleted."""
 
     def __init__(self, folder: Path, disk_bytes: int, disk: Disk, durable: bool = False) -> None:
         self._disk, self._folder, self._durable = disk, folder, durable
         self._path, self._new_path = folder / "journal", folder / "journal.new"
         self._budget = disk_bytes - OTHER_FILES_BLOCKS * BLOCK
-        self._live_records: dict[str, list[bytes]] = {}  # raw records of each message that is not over
-        self._outage_records: dict[
-            str, bytes
-        ] = {}  # by endpoint: the raw record of the care that is due there
-        self._live_bytes = 0
-        # What open messages may still come to at most: their own records, and room for all later ones.
+        self._live_records: dict[str, list[bytes]] = {}  # by uncompleted message: its encoded records
+        self._outage_records: dict[str, bytes] = {}  # by endpoint: its encoded outage record
+        self._live_bytes = 0  # size of all records that a compaction keeps
+        # The most that the records of open messages can take, with all that may still be written for them.
         self._reserved_bytes, self._reserved_by_message = 0, dict[str, int]()
-        self.max_attempts = 8  # attempts that a message may have
-        self._pending: list[bytes] = []  # notes that the disk did not take yet
-        # What was written since the last sync; whether one has failed: after that nothing written before it
-        # is known to be safe, and syncing again proves nothing (Rebello et al., USENIX ATC 2020).
+        self.max_attempts = 8  # per message
+        self._pending: list[bytes] = []  # records that the disk did not take yet
+        # Whether anything was written since the last sync, and whether a sync has failed: after a failure no
+        # earlier unsynced write is known to be safe, and another sync of the same file proves nothing
+        # (Rebello et al., USENIX ATC 2020).
         self._unsynced, self._sync_failed = False, False
-        self._torn_tail = False  # whether a part of a record stands behind the last whole one
-        self.rules: dict[int, dict[str, Any]] = {}  # by number: under which messages were taken on
-        self._rules_records: dict[int, bytes] = {}  # their raw records
-        self._rules_by_message: dict[str, int] = {}  # by message that is not over: the number of its rules
-        self.spools: dict[str, int] = {}  # by a door's file: how far it was adopted
-        self._spool_records: dict[str, bytes] = {}
-        self.outages: dict[str, StoredOutage] = {}  # by endpoint: the care that the last life owed it
-        self.recovered: dict[str, RecoveredMessage] = {}
-        disk.unlink(self._new_path)  # a compaction that did not end: the old log still counts
+        self._torn_tail = False  # whether a partial record follows the last complete one
+        self.rules: dict[int, dict[str, Any]] = {}  # by number: rules under which messages were accepted
+        self._rules_records: dict[int, bytes] = {}  # by number: the encoded records
+        self._rules_by_message: dict[str, int] = {}  # by uncompleted message: the number of its rules
+        self.spools: dict[str, int] = {}  # by spool file: the position up to which it was adopted
+        self._spool_records: dict[str, bytes] = {}  # by spool file: the encoded record
+        self.outages: dict[str, StoredOutage] = {}  # by endpoint: recorded by the previous run
+        self.recovered: dict[str, RecoveredMessage] = {}  # by message id
+        disk.unlink(self._new_path)  # left by an unfinished compaction; the old log is still in force
         self._fd = disk.open(self._path, APPEND)
         self._size = self._replay(disk.read(self._path))
-        # Appending behind a torn tail would hide the new record behind the damage at the next replay.
+        # A record appended after a torn tail would be lost behind the damage at the next replay.
         disk.truncate(self._fd, self._size)
-        if durable:  # a log that is new has no name yet that lasts
+        if durable:  # the directory entry of a new log is not synced yet
             self._sync_directory()
             self._unsynced = True
 
     def close(self) -> None:
-        """Let go of the file."""
+        """Close the file."""
         self._disk.close(self._fd)
 
     def _replay(self, data: bytes) -> int:
-        """Read the log; the end of its last whole record."""
+        """Read the log and return the end offset of its last complete record."""
         end = 0
         for payload, record_end in scan_records(data):
             record = data[record_end - FRAME.size - len(payload) : record_end]
@@ -173,13 +166,13 @@
                 self._recover(head, body)
                 self._track_record(head, record)
             except (ValueError, TypeError, KeyError, IndexError, msgspec.MsgspecError) as error:
-                LOG.error("journal: unreadable record before %d left out: %r", record_end, error)
+                LOG.error("journal: unreadable record ending at offset %d skipped: %r", record_end, error)
         if end < len(data):
-            LOG.warning("journal: torn tail of %d bytes cut off", len(data) - end)
+            LOG.warning("journal: torn tail of %d bytes truncated", len(data) - end)
         return end
 
     def _recover(self, head: list[Any], body: bytes) -> None:
-        """Apply one record of the last life."""
+        """Apply one record of the previous run."""
         kind, key = head[0], head[1]
         if kind == "in":
             self.recovered[key] = RecoveredMessage(key, dict(head[2]), body)
@@ -212,7 +205,7 @@
             del self.recovered[key]
 
     def _track_record(self, head: list[Any], record: bytes) -> None:
-        """Remember what compaction has to write again."""
+        """Keep or drop encoded records, so that a compaction knows which to write again."""
         kind, key = head[0], head[1]
         if kind == "in":
             self._live_records[key] = [record]
@@ -247,9 +240,9 @@
     def adopt(
         self, message_id: str, fields: dict[str, Any], body: bytes, spool_position: tuple[str, int]
     ) -> None:
-        """Take on what a door has taken on, and how far its file is read: both are kept, or neither.
+        """Record a message accepted by a spool together with the spool's position: both or neither.
 
-        Where the disk does not take them they are owed; until then the message stands in the door's file.
+        Where the disk does not take them they stay pending; until then the spool file holds the message.
         """
         heads: list[list[Any]] = [["in", message_id, fields], ["spool", *spool_position]]
         records = [(heads[0], encode_record(heads[0], body)), (heads[1], encode_record(heads[1]))]
@@ -257,17 +250,25 @@
         try:
             self._append(records)
         except JournalFullError as error:
-            LOG.error("journal: %s is not kept yet: %s", message_id, error, extra={"message_id": message_id})
+            LOG.error(
+                "journal: adoption of %s not written yet: %s",
+                message_id,
+                error,
+                extra={"message_id": message_id},
+            )
             for head, record in records:
                 self._track_record(head, record)
                 self._pending.append(record)
 
     def accept(self, message_id: str, fields: dict[str, Any], body: bytes) -> None:
-        """Take a message on, with room left for everything that may still be said of it."""
+        """Record an accepted message, reserving space for all later records of it.
+
+        Raises ``JournalFullError`` where the budget or the disk does not allow that.
+        """
         head = ["in", message_id, fields]
         record = encode_record(head, body)
-        # What is open has to fit twice, as old and new log stand side by side during a compaction. What may
-        # come to it has to fit once: records of what is open are no garbage, and need no compaction.
+        # The records of open messages have to fit twice, as a compaction holds the old and the new log side
+        # by side. Their later records have to fit once: they are no garbage and cause no compaction.
         later_bytes = (
             self.max_attempts * (ATTEMPT_BYTES + 2 * len(message_id)) + END_BYTES + 2 * len(message_id)
         )
@@ -286,19 +287,19 @@
             max(2 * size_in_blocks(self._live_bytes + len(record)), size_in_blocks(max_bytes))
             > self._budget - 2 * BLOCK
         ):
-            raise JournalFullError("the budget is used up by open messages")
+            raise JournalFullError("the disk budget is used up by open messages")
         self._append([(head, record)])
         try:
             self.sync()
         except JournalFullError:
-            # It is refused; a record that may be on the disk must not bring it back.
+            # The message is refused; a record that may be on the disk must not recover it.
             self.record_completed(message_id)
             raise
 
     def rules_number(self, rules: dict[str, Any], numbers_in_use: Collection[int]) -> int:
-        """The number of a set of rules, which a later life will know.
+        """Return the journal's number for a set of rules, recording the rules where they are new.
 
-        Of many, those that no message lives by are forgotten, but for those to ``keep``.
+        From ``MAX_RULES`` on, rules that no open message uses are forgotten, except ``numbers_in_use``.
         """
         for number, known in self.rules.items():
             if known == rules:
@@ -314,52 +315,55 @@
         return number
 
     def record_spool_position(self, name: str, position: int) -> None:
-        """A door's file is read up to there."""
+        """Record the position up to which a spool file has been adopted."""
         self.spools[name] = position
         self._append_or_queue(["spool", name, position])
 
     def forget_spool(self, name: str) -> None:
-        """A door's file is gone."""
+        """Drop the position of a spool file that no longer exists."""
         if self.spools.pop(name, None) is not None:
             self._append_or_queue(["unspool", name])
 
     def sync(self) -> None:
-        """What was written is safe from the loss of power; where the journal is not durable, nothing is done.
+        """Make written records safe against a power loss; does nothing where the journal is not durable.
 
-        ``JournalFullError`` where the disk fails: nothing that was written since the last sync is safe then.
+        Raises ``JournalFullError`` where the disk fails: then no record written since the last sync is safe.
         """
         if not self._durable or not self._unsynced:
             return
         if self._sync_failed:
-            self._compact(forced=True)  # into a new file; it is synced there
+            self._compact(forced=True)  # writes and syncs a new file
             if self._sync_failed:
-                raise JournalFullError("a sync has failed, and no new log could be written")
+                raise JournalFullError("an earlier sync failed and no new log could be written")
             return
         try:
             self._disk.sync(self._fd)
         except OSError as error:
             self._sync_failed = True
-            raise JournalFullError(f"not synced: {error}") from error
+            raise JournalFullError(f"sync failed: {error}") from error
         self._unsynced = False
 
     def record_attempts(self, attempts: list[tuple[str, Attempt]]) -> None:
-        """Attempts that are about to be made, in one write."""
-        heads = [["try", ref, a.number, a.host, a.zone, a.at_us] for ref, a in attempts]
+        """Record attempts that are about to be made, in one write; raises ``JournalFullError``."""
+        heads = [["try", message_id, a.number, a.host, a.zone, a.at_us] for message_id, a in attempts]
         self._append([(head, encode_record(head)) for head in heads])
 
     def record_never_ran(self, message_id: str, attempt_number: int) -> None:
-        """An attempt is proved not to have run."""
+        """Record the proof that an attempt did not run."""
         self._append_or_queue(["not", message_id, attempt_number])
 
     def record_end(self, message_id: str, result: str, wait_ms: int) -> bool:
-        """The message is given up; its notice is owed until ``over``. False: a later life may not know."""
+        """Record the final result of a message; its notice is pending until ``record_completed``.
+
+        Returns False where the disk did not take the record, so that a restart may not know the result.
+        """
         return self._append_or_queue(["end", message_id, result, wait_ms])
 
     def replace_end_by_failure(self, message_id: str) -> None:
-        """Its end was told as a failure, since the disk had not taken it: later lives have to tell the same.
+        """Record that a failure was reported instead, as the disk had not taken the result.
 
-        In the place of the record that is owed still: behind it, a write that ends between the two would
-        leave the first one alone.
+        Runs after a restart have to report the same. The new record replaces the pending one: appended after
+        it, a write that breaks off between the two would leave only the first.
         """
         head = ["end", message_id, "dead", 0]
         records, replacement = self._live_records.get(message_id, []), encode_record(head)
@@ -371,35 +375,36 @@
         self._live_bytes += len(replacement) - len(former)
 
     def record_completed(self, message_id: str) -> None:
-        """Nothing more is owed."""
+        """Record that a message is completed: it was delivered, or its notice is confirmed."""
         self._append_or_queue(["over", message_id])
 
     def record_outage(self, host: str, outage: StoredOutage) -> None:
-        """An endpoint is out, or back and perhaps cold: the next life must know."""
+        """Record an endpoint that is down, suspected, or back and perhaps cold, for use after a restart."""
         self._append_or_queue(
             ["care", host, outage.until_us, KINDS_BY_CODE.index(outage.kind), outage.served_percent]
         )
 
     def drop_expired_outages(self, now_us: int) -> None:
-        """Forget the care that is due no longer."""
+        """Forget outages that are no longer relevant."""
         for host in [host for host, outage in self.outages.items() if outage.until_us <= now_us]:
             del self.outages[host]
             self._live_bytes -= len(self._outage_records.pop(host))
 
     @property
     def has_pending(self) -> bool:
-        """Whether there are notes that the disk did not take yet."""
+        """Whether there are records that the disk did not take yet."""
         return bool(self._pending)
 
     def flush_pending(self) -> None:
-        """Try again to write down what is owed; ``JournalFullError`` where the disk still takes nothing."""
+        """Retry the write of pending records; raises ``JournalFullError`` where it fails again."""
         if self._pending:
             self._append([])
 
     def _append_or_queue(self, head: list[Any]) -> bool:
-        """A record that must not stop the relay: where the disk does not take it, it goes with the next one.
+        """Append a record whose failure must not stop the relay; False where it stays pending.
 
-        Without it, a restart would give a message an end once more.
+        A pending record is written with the next one. If it were lost, a restart would report a final result
+        for the message again.
         """
         record = encode_record(head)
         self._track_record(head, record)
@@ -410,12 +415,17 @@
         except JournalFullError as error:
             log_field = LOG_FIELD_BY_KIND.get(head[0], "message_id")
             LOG.error(
-                "journal: %s of %s not kept yet: %s", head[0], head[1], error, extra={log_field: head[1]}
+                "journal: %r record of %s not written yet: %s",
+                head[0],
+                head[1],
+                error,
+                extra={log_field: head[1]},
             )
             return False
 
     def _append(self, records: list[tuple[list[Any], bytes]]) -> None:
-        new = [raw for _, raw in records]
+        """Write pending and new records, after a compaction if the log has grown enough to need one."""
+        new = [record for _, record in records]
         data = b"".join((*self._pending, *new))
         if self._size + len(data) + self._live_bytes > min(
             self._budget - size_in_blocks(len(data)) - 2 * BLOCK,
@@ -424,7 +434,7 @@
             self._compact()
             data = b"".join((*self._pending, *new))
         if size_in_blocks(self._size + len(data)) > self._budget:
-            raise JournalFullError("the log has reached its budget")
+            raise JournalFullError("the log has reached its disk budget")
         if self._torn_tail:
             self._truncate_tail()
         try:
@@ -438,25 +448,26 @@
         self._size += written
         self._unsynced = True
         self._pending.clear()
-        for head, raw in records:
-            self._track_record(head, raw)
+        for head, record in records:
+            self._track_record(head, record)
 
     def _truncate_tail(self) -> None:
-        """What a short write has left goes before anything is written: behind it a replay would end."""
+        """Truncate the rest of a short write before the next write: a replay would end there."""
         try:
             self._disk.truncate(self._fd, self._size)
         except OSError as error:
-            raise JournalFullError(f"a part of a record cannot be cut off: {error}") from error
+            raise JournalFullError(f"a partial record cannot be truncated: {error}") from error
         self._torn_tail = False
 
     def _compact(self, forced: bool = False) -> None:
-        """Write what is not over to a new log and put it in the old one's place.
+        """Write the live records to a new log and replace the old one by it.
 
-        A durable one is synced before it takes the old one's name, and the name before it is relied on.
+        A durable log is synced before the rename, and the directory before the new log is relied on.
+        ``forced``: also where the new log is not smaller.
         """
         if size_in_blocks(self._size) + size_in_blocks(self._live_bytes) > self._budget and not forced:
-            return  # no room for both; what is open still fits, and its ends make room
-        live = (raw for records in self._live_records.values() for raw in records)
+            return  # no space for both logs; open messages still fit, and free space as they complete
+        live = (record for records in self._live_records.values() for record in records)
         data = b"".join(
             (
                 *self._rules_records.values(),
@@ -471,7 +482,7 @@
         try:
             fd = self._disk.open(self._new_path, APPEND | FRESH)
         except OSError as error:
-            LOG.error("journal: no compaction: %s", error)
+            LOG.error("journal: compaction failed, cannot create the new log: %s", error)
             return
         try:
             written = self._disk.write(fd, data) == len(data)
@@ -480,7 +491,7 @@
             if written:
                 self._disk.replace(self._new_path, self._path)
         except OSError as error:
-            LOG.error("journal: no compaction: %s", error)
+            LOG.error("journal: compaction failed: %s", error)
             written = False
         if not written:
             self._disk.close(fd)
@@ -488,16 +499,16 @@
             return
         self._disk.close(self._fd)
         self._fd, self._size, self._torn_tail = fd, len(data), False
-        self._pending.clear()  # what they say is in it
+        self._pending.clear()  # the new log contains them
         if self._durable:
             self._sync_directory()
 
     def _sync_directory(self) -> None:
-        """The new log has its name for good; else the loss of power may bring the old one back."""
+        """Sync the directory; without that a power loss may bring the old log back under its name."""
         try:
             self._disk.sync_folder(self._folder)
         except OSError as error:
-            LOG.error("journal: the folder is not synced: %s", error)
+            LOG.error("journal: sync of the state folder failed: %s", error)
             self._unsynced = self._sync_failed = True
             return
         self._unsynced = self._sync_failed = False
--- a/mallowlug/core/listings.py
+++ b/mallowlug/core/listings.py
@@ -1,8 +1,8 @@
-"""What the directory lists, compactly: full state is made for a destination when it is first used.
+"""The directory's list in compact form; full state is created only for destinations in use.
 
-A destination is asleep or awake. Asleep it is a few bytes here, and neither the module nor the partners'
-side knows of it. Awake it is known to both. Up to a stated number simply stay awake; with more than that
-awake, those unused longest are put to sleep again once the module says that nothing binds them. No I/O here.
+A destination is active or inactive. An inactive one takes a few bytes here and is unknown to the decision
+engine and the partners adapter; an active one is known to both. Up to a configured number stay active. Beyond
+it, the least recently used are deactivated once the engine confirms that it holds no state for them. No I/O.
 """
 
 from __future__ import annotations
@@ -15,15 +15,15 @@
 from mallowlug.core.model import EndpointList, ResolvedEndpoint
 from mossfront.interface import EndpointEntry, Listing
 
-MAX_IDLE_PER_CHECK = 16  # destinations that are asked to sleep at once
-# Host, address, port, zone, kind, listing, hint, later.
+MAX_IDLE_PER_CHECK = 16  # destinations returned by one ``idle_destinations`` call
+# Host, address, port, zone, kind, listing, rate hint, whether it was added after the first list.
 Row = tuple[str, str, int, str, str, str, float, bool]
 ROWS_DECODER = msgspec.json.Decoder(list[Row])
 pack = msgspec.json.Encoder().encode
 
 
 def row_from_endpoint(endpoint: ResolvedEndpoint, added_later: bool) -> Row:
-    """An endpoint as it is kept; ``later``: it came after the first list, and may be new and cold."""
+    """Encode an endpoint as a row; ``added_later``: after the first list, so it may be new and cold."""
     entry, (address, port) = endpoint.entry, endpoint.address
     return (
         entry.host,
@@ -38,22 +38,23 @@
 
 
 def endpoint_from_row(row: Row, dest: int) -> ResolvedEndpoint:
-    """What ``row_of`` has kept."""
+    """Decode a row made by ``row_from_endpoint``."""
     host, address, port, zone, kind, listing, hint, _ = row
     return ResolvedEndpoint(EndpointEntry(host, dest, zone, kind, Listing(listing), hint), (address, port))
 
 
 class Listings:
-    """Every destination that is listed, and which of them are awake."""
+    """All listed destinations, and which of them are active."""
 
     def __init__(self, max_active: int, min_idle_s: float) -> None:
         self._max_active, self._min_idle_s = max_active, min_idle_s
-        self._rows: dict[int, bytes] = {}  # by destination: its endpoints
-        self.hosts = 0  # endpoints that are listed, of all destinations
-        self._active: OrderedDict[int, float] = OrderedDict()  # by when they were used last (s)
+        self._rows: dict[int, bytes] = {}  # by destination: its endpoints, encoded
+        self.hosts = 0  # number of listed endpoints of all destinations
+        # By destination, least recently used first: the time (s) of its last use or check.
+        self._active: OrderedDict[int, float] = OrderedDict()
 
     def is_listed(self, host: str) -> bool:
-        """Whether an endpoint of that id is listed; it looks through all, and is for a person's question."""
+        """Whether an endpoint is listed; a linear search, meant for operators' calls only."""
         packed_id = pack(host)
         rows = (
             row
@@ -64,7 +65,7 @@
         return any(row[0] == host for row in rows)
 
     def all_rows(self) -> dict[int, list[Row]]:
-        """All rows, for a successor to go on from."""
+        """Return all rows by destination, for a handover."""
         return {dest: ROWS_DECODER.decode(packed) for dest, packed in self._rows.items()}
 
     def __contains__(self, dest: int) -> bool:
@@ -75,13 +76,13 @@
 
     @property
     def over_limit(self) -> bool:
-        """Whether more are awake than may stay so without being used."""
+        """Whether more destinations are active than may stay so without being used."""
         return len(self._active) > self._max_active
 
     def apply(self, update: EndpointList, now_s: float) -> EndpointList:
-        """Take news in; the part of it that those who know only what is awake have to hear.
+        """Apply an update and return the part of it that concerns active destinations.
 
-        A whole list stays one: it names every endpoint that is awake and listed.
+        The part of a full list is a full list again: it has every listed endpoint of an active destination.
         """
         changed: dict[int, dict[str, ResolvedEndpoint]] = {}
         added_later = bool(self._rows)
@@ -102,7 +103,7 @@
     def _apply_destination(
         self, dest: int, hosts: dict[str, ResolvedEndpoint], full: bool, added_later: bool
     ) -> None:
-        """One destination's news."""
+        """Apply an update of one destination."""
         former = {row[0]: row for row in ROWS_DECODER.decode(self._rows[dest])} if dest in self._rows else {}
         rows = {} if full else dict(former)
         for host, listed in hosts.items():
@@ -116,7 +117,10 @@
             self._rows.pop(dest, None)
 
     def activate(self, dest: int, now_s: float) -> Iterator[tuple[bool, EndpointList]]:
-        """A destination is used. Where it slept: its endpoints, with whether these came later."""
+        """Mark a destination as used; where it was inactive, yield its endpoints.
+
+        They come in up to two updates, each with whether its endpoints were added after the first list.
+        """
         was_inactive = dest not in self._active
         self._active[dest] = now_s
         self._active.move_to_end(dest)
@@ -127,7 +131,11 @@
                     yield added_later, EndpointList(0, False, endpoints)
 
     def idle_destinations(self, now_s: float) -> list[int]:
-        """Destinations that may sleep now, if nothing binds them; each is asked about again only later."""
+        """Return active destinations beyond the limit that have been idle for long enough.
+
+        The engine decides whether it still holds state for them. Each counts as just used from now on, so
+        that it is not returned again at once.
+        """
         idle: list[int] = []
         while len(self._active) - len(idle) > self._max_active and len(idle) < MAX_IDLE_PER_CHECK:
             dest, used_s = next(iter(self._active.items()))
@@ -139,7 +147,7 @@
         return idle
 
     def deactivate(self, dest: int) -> EndpointList:
-        """A destination sleeps: to the partners' side it is as if its endpoints were gone."""
+        """Deactivate a destination; the returned update reports its endpoints as gone to the partners."""
         self._active.pop(dest, None)
         rows = ROWS_DECODER.decode(self._rows[dest]) if dest in self._rows else []
         gone = (endpoint_from_row((*row[:5], Listing.GONE.value, *row[6:]), dest) for row in rows)
--- a/mallowlug/core/metrics.py
+++ b/mallowlug/core/metrics.py
@@ -1,6 +1,7 @@
-"""What the relay reports of itself: counts that begin at 0 with the process, and their written form.
+"""The relay's metrics: counters that start at 0 with the process, and their text form.
 
-Every event is counted once, where the core knows it. The format is Prometheus' text exposition format 0.0.4.
+Every event is counted once, where the core handles it. The format is the Prometheus text exposition format
+0.0.4.
 """
 
 from __future__ import annotations
@@ -11,7 +12,7 @@
 from mallowlug.core.reasons import Event, Reasons
 
 STATES = ("answered", "deferred", "errored")
-MAX_GROUPS = 64  # classes that are told apart: settings that change all day must not grow the process
+MAX_GROUPS = 64  # classes counted separately: frequent settings changes must not grow the process
 HELP = {
     "transactions_total": ("counter", "Messages that ended: delivered; refused or handed back; failed."),
     "sends_total": ("counter", "Messages written whole to hosts."),
@@ -30,37 +31,37 @@
 
 @dataclass(frozen=True, slots=True)
 class Gauges:
-    """What is read off the relay at the moment of a scrape."""
+    """Values read from the relay at a scrape."""
 
-    sends: int
-    current: int
+    sends: int  # messages written completely to hosts
+    current: int  # accepted messages without a final result
     cluster_size: int
     cluster_unhealthy: int
     phases: Mapping[str, int] = field(default_factory=dict)  # hosts by phase
 
 
 class Metrics:
-    """The counts of one process."""
+    """The counters of one process."""
 
     def __init__(self, groups: Iterable[str]) -> None:
-        self.end_counts: dict[tuple[str, str], int] = {}
+        self.end_counts: dict[tuple[str, str], int] = {}  # by group (message class) and state
         self.configs_loaded, self.configs_invalid = 0, 0
         self.reasons = Reasons()
         self.add_groups(groups)
 
     def add_groups(self, groups: Iterable[str]) -> None:
-        """Classes that are there from now on; those that are dropped keep their counts."""
+        """Add the classes of new settings as groups; removed classes keep their counts."""
         for group in groups:
             for state in STATES if len(self.end_counts) < MAX_GROUPS * len(STATES) else ():
                 self.end_counts.setdefault((group, state), 0)
 
     def count_end(self, group: str, state: str) -> None:
-        """One message of a class has ended; a class that no settings named is not counted."""
+        """Count the final result of a message; classes that are no known group are not counted."""
         if (group, state) in self.end_counts:
             self.end_counts[group, state] += 1
 
     def render(self, gauges: Gauges) -> str:
-        """All figures."""
+        """Return all metrics in the exposition format."""
         plain = {
             "sends_total": gauges.sends,
             "current": gauges.current,
@@ -81,17 +82,17 @@
 
 
 def format_labelled(name: str, label: str, counts: Mapping[str, int]) -> list[str]:
-    """A figure with one label."""
+    """Return the lines of a metric with one label."""
     samples = [f'relay_{name}{{{label}="{escape_label(value)}"}} {count}' for value, count in counts.items()]
     return [*header_lines(name), *samples]
 
 
 def header_lines(name: str) -> list[str]:
-    """The two lines ahead of a figure."""
+    """Return the HELP and TYPE lines of a metric."""
     kind, help_text = HELP[name]
     return [f"# HELP relay_{name} {help_text}", f"# TYPE relay_{name} {kind}"]
 
 
 def escape_label(value: str) -> str:
-    """A label's value as the format wants it."""
+    """Escape a label's value for the exposition format."""
     return value.replace("\\", r"\\").replace('"', r"\"").replace("\n", r"\n")
--- a/mallowlug/core/model.py
+++ b/mallowlug/core/model.py
@@ -1,4 +1,4 @@
-"""What the core and its ports exchange: plain values, no I/O and no protocol's words."""
+"""Values exchanged between the core and its ports: plain data, without I/O or terms of a wire protocol."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def parse_address(text: str) -> Address:
-    """``host:port`` as the pair that sockets take; ``ValueError`` where it is none."""
+    """Parse ``host:port`` into a socket address; raises ``ValueError`` where it is malformed."""
     host, sign, port = text.rpartition(":")
     if not sign or not host or not port.isdecimal() or not 0 < int(port) < 65536:
         raise ValueError(f"not an address: {text!r}")
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Submission:
-    """A message as a client hands it in; ``deadline_us`` is wall time."""
+    """A message as a client submits it; ``deadline_us`` is wall time."""
 
     id: str
     dest: int
@@ -33,12 +33,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Accepted:
-    """The message is journaled: the relay owes its end, and nobody is to hand it in again."""
+    """The message is journaled: the relay guarantees a final result, and no client need resubmit it."""
 
 
 @dataclass(frozen=True, slots=True)
 class Refused:
-    """Nothing was kept; handing it in again after so many milliseconds is harmless."""
+    """Nothing was stored; the client may safely resubmit after ``wait_ms``."""
 
     wait_ms: int
     reason: RejectReason = field(default=RejectReason.SHUTTING_DOWN, compare=False)
@@ -46,7 +46,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Failed:
-    """Nothing was kept, and handing it in again unchanged is of no use."""
+    """Nothing was stored, and resubmitting the message unchanged would fail again."""
 
     reason: str
 
@@ -56,7 +56,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ResolvedEndpoint:
-    """An endpoint with the address under which this relay reaches it."""
+    """An endpoint with the address at which this relay reaches it."""
 
     entry: EndpointEntry
     address: Address
@@ -64,7 +64,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointList:
-    """One piece of news: the whole list, or what changed."""
+    """One update from the directory: the full list (``full``), or the changed endpoints only."""
 
     seq: int
     full: bool
@@ -73,10 +73,10 @@
 
 @dataclass(slots=True, eq=False)
 class Part:
-    """One message's attempt within a call; ``timeout_us`` is how long it may take from the call's ``sent_s``.
+    """One message's attempt within a call; ``timeout_us`` counts from the call's ``sent_s``.
 
-    ``start_within_us``: only within so long may its first byte go out, as a repeat is dropped no longer
-    (0: any time).
+    ``start_within_us``: time from ``sent_s`` after which its first byte must not be sent any more, as the
+    endpoint's deduplication window ends (0: no limit).
     """
 
     id: str
@@ -90,10 +90,10 @@
 
 @dataclass(slots=True, eq=False)
 class Call:
-    """One call: an endpoint and the parts that travel together.
+    """One call: an endpoint and the parts sent together.
 
-    ``sent_s``: the loop's time at which it was decided. Its limits count from there: the decision and the
-    journal take time, by which a call would outlast its messages' deadlines and windows.
+    ``sent_s``: loop time of the decision. The limits count from there, as deciding and journaling take time
+    by which a call would otherwise exceed its messages' deadlines and deduplication windows.
     """
 
     host: str
@@ -102,24 +102,27 @@
 
     @property
     def open(self) -> list[Part]:
-        """The parts that have no outcome yet."""
+        """The parts without an outcome."""
         return [part for part in self.parts if not part.settled]
 
 
 @dataclass(frozen=True, slots=True)
 class PartOutcome:
-    """How a part ended and what the partner said beside it."""
+    """The outcome of a part and what the endpoint reported with it.
+
+    ``complete``: the message needs no further attempt. ``retry_after_us``: the Retry-After wait (0: none).
+    """
 
     verdict: Verdict
     complete: bool = False
     retry_after_us: int = 0
     load_report: dict[str, float] = field(default_factory=dict)
-    call_continues: bool = False  # the call goes on for its other parts, and may yet run this one
+    call_continues: bool = False  # for its other parts, and may still run this one
 
 
 @dataclass(frozen=True, slots=True)
 class Notice:
-    """The end of a message that was not delivered: ``dead`` (failed) or ``bounced`` (refused)."""
+    """The final result of an undelivered message: ``dead`` (failed) or ``bounced`` (refused)."""
 
     message_id: str
     result: str
--- a/mallowlug/core/ports.py
+++ b/mallowlug/core/ports.py
@@ -1,8 +1,8 @@
-"""The core's ports. An adapter keeps the contract in its port's docstring; ``tests/contracts`` checks each.
+"""The core's ports. An adapter fulfils the contract in its port's docstring; ``tests/contracts`` checks each.
 
-Whatever speaks a protocol sits behind one of these four and knows nothing of the others. The core calls an
-adapter through the protocol class; an adapter calls the core through ``Intake`` or the callbacks that its
-factory was given. All of it happens on the one thread of the event loop.
+Every network protocol is implemented behind one of these four ports, independently of the others. The core
+calls an adapter through the ``Protocol`` class; an adapter calls the core through ``Intake`` or the callbacks
+passed to its factory. All calls happen on the event loop's thread.
 """
 
 from __future__ import annotations
@@ -29,152 +29,158 @@
 
 
 class Intake(Protocol):
-    """What the core offers a front."""
+    """The core's interface for fronts."""
 
     def clock(self) -> int:
-        """Wall time in microseconds, which deadlines count by."""
+        """Return the wall time in microseconds, to which deadlines refer."""
 
     @property
     def refusal(self) -> Refused:
-        """What a front says where it cannot take a request on, as while it parts from its clients."""
+        """The answer where a front cannot accept a request, as while it drains its clients."""
 
     def submit(self, submission: Submission, body: bytes) -> Answer:
-        """Take a message on, refuse it with a wait, or fail it; never raises for what a client sent.
+        """Accept a message, refuse it with a wait, or fail it; never raises because of client input.
 
-        ``Accepted`` is said only once the journal has the message. An id that is known already, open or over,
-        is the same request once more and is ``Accepted``.
+        ``Accepted`` is returned only once the message is journaled. A known id, open or completed, is the
+        same request repeated and is ``Accepted``.
         """
 
 
 class Front(Protocol):
-    """Takes messages from clients and gives each of them the core's answer.
-
-    - Every whole request gets exactly one answer, in the order of its connection; ``Accepted``, ``Refused``
-      and ``Failed`` differ on the wire, and a refusal tells its wait where the protocol has room for one.
-    - What cannot be read gets an error or a close, within a stated time, and never reaches the core.
-    - Connections, bytes held for one of them, and the time that one may stay half-said are bounded.
-    - After ``drain_clients`` no request is taken on; those that are under way still get an answer.
+    """Receives messages from clients and sends each the core's answer.
+
+    - Every complete request gets exactly one answer, in the order of its connection; ``Accepted``,
+      ``Refused`` and ``Failed`` differ on the wire, and a refusal carries its wait where the protocol has a
+      field for it.
+    - Malformed input is answered by an error or a close, within a stated time, and never reaches the core.
+    - The number of connections, the bytes buffered for each, and the time in which a request must be complete
+      are bounded.
+    - After ``drain_clients`` no request is accepted; requests in progress still get an answer.
     """
 
     @property
     def clients(self) -> int:
-        """Connections that are open."""
+        """The number of open connections."""
 
     async def start(self) -> None:
-        """Listen, once the journal has been replayed; ``OSError`` where the address cannot be had."""
+        """Listen, once the journal has been replayed; raises ``OSError`` where binding fails."""
 
     def drain_clients(self) -> None:
-        """Part from every client between two of its requests."""
+        """Close every client's connection between two of its requests."""
 
     def close(self) -> None:
         """Stop listening; idempotent."""
 
 
 class Partners(Protocol):
-    """Carries calls to endpoints and proves what became of each part.
-
-    - Each part of a call is settled exactly once: by its answer, its own limit, a cancel, or a broken call.
-    - A verdict that proves that a part never ran (``Verdict.never_ran``) is told only if the last byte of its
-      call is still here, or the endpoint's whole answer says so; once that byte is out, anything else may
-      have run. A part that ends while others of its call go on counts as out with the call's first byte.
-    - ``complete`` is told once nothing more is owed, also for a part whose own limit has passed before.
-    - A call ends at the longest limit of its parts, and is off the wire before they are told; a part with a
-      shorter limit ends at its own, while the call lasts.
+    """Sends calls to endpoints and establishes the outcome of each part.
+
+    - Each part of a call is settled exactly once: by its response, its own timeout, a cancel, or a failed
+      call.
+    - A verdict which proves that a part never ran (``Verdict.never_ran``) is reported only if the last byte
+      of its call was not sent, or if the endpoint's complete response says so; once that byte is sent, every
+      other part is in doubt. A part that ends while others of its call go on is in doubt from the call's
+      first byte on.
+    - ``complete`` is reported once the message needs no further attempt, also for a part that timed out
+      before.
+    - A call ends at the longest timeout of its parts, and is off the wire before they are settled; a part
+      with a shorter timeout ends at its own, while the call lasts.
     - A part that ends while its call lasts for others is released once that call is off the wire.
-    - Nothing is written twice, and no call is begun to an endpoint that drains, is gone, out or told to wait,
-      whatever was decided before that was heard.
-    - A told wait binds its route from the answer on, and is told to the core with that answer's parts.
+    - Nothing is written twice, and no call is started to an endpoint that is draining, gone, disabled by an
+      operator or under a Retry-After wait, even if the call was decided before that became known.
+    - A Retry-After wait applies to its route from the response on, and is reported to the core with the parts
+      of that response.
     """
 
     @property
     def busy(self) -> bool:
-        """Whether a call is out."""
+        """Whether a call is in progress."""
 
     @property
     def messages_written(self) -> int:
-        """Messages whose calls were written whole, since the start."""
+        """The number of messages whose calls were written completely, since the start."""
 
     def apply(self, update: EndpointList) -> None:
-        """Follow the list at once."""
+        """Apply an endpoint list, or changes of it, at once."""
 
     def set_kinds(self, kinds: Iterable[Kind]) -> None:
-        """Go by these kinds of endpoints from now on."""
+        """Use these definitions of endpoint kinds from now on."""
 
     def set_disabled(self, host: str, disabled: bool) -> None:
-        """Begin no call to a host that is out by hand, whatever the list says, until it is back."""
+        """Start no call to a host disabled by an operator, whatever the list says, until it is enabled."""
 
     def remaining_waits(self) -> dict[str, int]:
-        """By route: how long (us) it is still to be left alone."""
+        """Return the remaining Retry-After waits by route, in microseconds."""
 
     def restore_waits(self, waits: dict[str, int]) -> None:
-        """Heed waits that a process before this one was told, as ``waits`` names them."""
+        """Apply Retry-After waits received by the previous process, as ``remaining_waits`` returned them."""
 
     def batch_size(self, host: str) -> int:
-        """How many messages a call there may carry."""
+        """Return the maximum number of messages in a call to an endpoint."""
 
     def zone_of(self, host: str) -> str:
-        """Where the endpoint stands; empty where it is not known."""
+        """Return an endpoint's zone; empty where it is unknown."""
 
     def send(self, call: Call) -> object:
-        """Begin a call; returns at once. What it returns is the adapter's own affair."""
+        """Start a call and return at once; the core ignores the returned value."""
 
     def cancel(self, message_id: str, attempt: int) -> None:
-        """Call one attempt off; it is settled by what is proved then."""
+        """Cancel one attempt; its verdict depends on what can be proved at that time."""
 
     def close_idle(self, host: str) -> None:
-        """Close connections there that carry no call."""
+        """Close the idle connections to a host."""
 
     def close(self) -> None:
-        """Give up everything and settle nothing more: the journal knows what is out."""
+        """Abort all calls without settling their parts: the journal has their attempts."""
 
 
 class Directory(Protocol):
-    """Tells who may be called.
+    """Reports the list of endpoints that may be called.
 
-    - News is told in the order of its versions, and never older than what was told before.
-    - A change is told within the time that its protocol needs; silence beyond that is a failure.
-    - The end of what ``subscribe`` began is told once; it begins anew only when asked to.
-    - News that cannot be read changes nothing.
+    - Updates are reported in the order of their versions, never an older one after a newer one.
+    - A change is reported within the time that its protocol needs; silence beyond that is a failure.
+    - The end of a subscription is reported once; ``subscribe`` has to be called again to start a new one.
+    - An unreadable update changes nothing.
     """
 
     def subscribe(self) -> None:
-        """Follow the list from the version held; one that works is kept."""
+        """Subscribe to changes from the current version on; a working subscription is kept."""
 
     def change_address(self, address: Address) -> None:
-        """Follow it at another address, with no change lost between."""
+        """Continue at another address without losing a change."""
 
     def close(self) -> None:
-        """Stop following."""
+        """End the subscription."""
 
 
 class Notifier(Protocol):
-    """Brings the ends of messages to those who wait for them.
+    """Sends final results to the platform as notices.
 
-    - An end that was handed in is owed until it is confirmed, and is told again until then, in any order.
-    - ``confirmed`` is called exactly once for each, and only on the other side's word.
-    - One that is not understood, or a peer that hangs, holds up no other.
+    - A notice is sent until it is confirmed, possibly repeatedly; the order is not defined.
+    - The ``confirmed`` callback is called exactly once for each, and only when the receiver has confirmed it.
+    - A notice that the receiver does not understand, or a peer that hangs, does not delay other notices.
     """
 
     @property
     def unconfirmed(self) -> int:
-        """Ends that are not confirmed."""
+        """The number of unconfirmed notices."""
 
     def start(self) -> None:
-        """Begin to tell."""
+        """Start sending notices."""
 
     def change_address(self, address: Address) -> None:
-        """Tell them at another address, also those that are owed."""
+        """Send to another address, including notices that are still unconfirmed."""
 
     def send(self, notice: Notice) -> None:
-        """Tell it as soon as may be."""
+        """Send a notice as soon as possible."""
 
     def close(self) -> None:
-        """Stop; what is owed stays in the journal."""
+        """Stop; unconfirmed notices stay in the journal."""
 
 
 @dataclass(frozen=True, slots=True)
 class Adapters:
-    """How the composition root fills the ports behind the core; a factory is given the core's callbacks."""
+    """Factories of the adapters, passed in by the composition root; each receives the core's callbacks."""
 
     partners: Callable[[PartSettled, PartReleased], Partners]
     directory: Callable[[Callable[[EndpointList], None], Callable[[], None]], Directory]
--- a/mallowlug/core/reasons.py
+++ b/mallowlug/core/reasons.py
@@ -1,7 +1,7 @@
-"""Why connections were closed, calls made again and messages refused: counted by reason, told in the log.
+"""Counts of closed connections, retries and refusals by reason, and their log lines.
 
-Each event is counted where it is decided. At level DEBUG it has a log line of its own, with the message's id
-or the host; at INFO one line every ten seconds says what has been counted since the last one.
+Each event is counted where it is decided. At level DEBUG each has its own log line with the message's id or
+the host; at level INFO one line every ten seconds summarizes what has been counted since the last one.
 """
 
 from __future__ import annotations
@@ -14,11 +14,11 @@
 from mossfront.interface import GiveUpReason, Verdict
 
 LOG = logging.getLogger(__name__)
-SUMMARY_INTERVAL_S = 10.0  # s between two lines of the log
+SUMMARY_INTERVAL_S = 10.0  # between two summary lines in the log
 
 
 class Event(StrEnum):
-    """What is counted by reason; the value is a part of the figure's name."""
+    """A kind of event that is counted by reason; the value is part of the metric's name."""
 
     CLIENT_CLOSE = "client_closes"
     HOST_CLOSE = "host_closes"
@@ -53,7 +53,7 @@
 
 
 class RejectReason(StrEnum):
-    """Why a request was answered without being taken on."""
+    """Why a request was rejected."""
 
     UNKNOWN_CLASS = "unknown class"
     NO_KEY = "k is missing"
@@ -63,7 +63,7 @@
     SHUTTING_DOWN = "the relay ends"
 
 
-UNKNOWN_OUTCOME = "unknown, of a former process"  # how an attempt ended that a restart found
+UNKNOWN_OUTCOME = "unknown, of a former process"  # outcome of an attempt recovered by a restart
 REASONS: dict[Event, tuple[str, ...]] = {
     Event.CLIENT_CLOSE: tuple(reason.value for reason in ClientClose),
     Event.HOST_CLOSE: tuple(reason.value for reason in HostClose),
@@ -73,16 +73,16 @@
 
 
 class Reasons:
-    """The counts of one process; each reason is there from the start, as figures are read by their growth."""
+    """The counts of one process; every reason is present from the start, as counters are read as rates."""
 
     def __init__(self) -> None:
-        # Frequent events are added here by their owner.
+        # Public: code that counts frequent events increments it directly.
         self.counts = Counter({(event, reason): 0 for event in Event for reason in REASONS[event]})
-        self._last_logged = self.counts.copy()  # as of the last line
+        self._last_logged = self.counts.copy()  # the counts at the last summary line
         self._timer: asyncio.TimerHandle | None = None
 
     def count(self, event: Event, reason: str, *, message_id: str = "", host: str = "") -> None:
-        """One event happened."""
+        """Count an event, and log it at level DEBUG."""
         self.counts[event, reason] += 1
         if LOG.isEnabledFor(logging.DEBUG):
             log_fields = {"message_id": message_id, "host": host}
@@ -90,15 +90,15 @@
             LOG.debug("%s: %s %s", event.value, reason, " ".join(extra.values()), extra=extra)
 
     def total(self, event: Event) -> dict[str, int]:
-        """How often an event happened, by reason."""
+        """Return the counts of an event by reason."""
         return {reason: count for (known, reason), count in self.counts.items() if known is event}
 
     def start(self) -> None:
-        """Tell the log every few seconds."""
+        """Log a summary every ``SUMMARY_INTERVAL_S``."""
         self._timer = asyncio.get_running_loop().call_later(SUMMARY_INTERVAL_S, self._log_periodically)
 
     def stop(self) -> None:
-        """Tell the log what it does not know yet, and no more."""
+        """Log a last summary and stop."""
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
@@ -109,7 +109,7 @@
         self.start()
 
     def log_summary(self) -> None:
-        """A line of what has been counted since the last one; none where nothing was."""
+        """Log what has been counted since the last summary; no line where nothing was."""
         increments, self._last_logged = self.counts - self._last_logged, self.counts.copy()
         events = []
         for event in Event:
--- a/mallowlug/core/relay.py
+++ b/mallowlug/core/relay.py
@@ -1,7 +1,8 @@
-"""The relay: feeds ``DecisionEngine.step`` with what happens and carries out what it decides.
+"""The relay core: passes events to ``DecisionEngine.step`` and executes the actions that it returns.
 
-It owns which message owes which end. It decides nothing that the module can decide: it refuses at the door
-what it cannot keep, and while it shuts down it starts no call that could not end.
+It tracks every accepted message until its final result. Decisions are left to the decision engine, with two
+exceptions: a message that cannot be stored is rejected at submission, and during shutdown no call is started
+that might not finish in time.
 """
 
 from __future__ import annotations
@@ -39,27 +40,25 @@
 from mossfront import interface as api
 
 LOG = logging.getLogger(__name__)
-IDLE_CHECK_INTERVAL_S = 0.25  # s between looks for destinations that may sleep
-FLUSH_RETRY_S = 0.1  # s between attempts to write down what the disk did not take
-MAX_HANDED_OVER_IDS = 512  # of them told to a successor
-MAX_REMEMBERED_IDS = (
-    4096  # ids that are over, so that a request that a client repeats is not taken for a new one
-)
-DEADLINE_SLACK_US = (
-    50_000  # us: the protocol's slack; so near its end an answer may have come behind a message's time
-)
-UNKNOWN_AGE_US = 1 << 60  # us: an attempt so old that no window covers it
-DROPPED_CLASS_GRACE_S = 2.0  # s in which a class that is dropped is still taken on, by its rules
+IDLE_CHECK_INTERVAL_S = 0.25  # between checks for destinations that may become inactive
+FLUSH_RETRY_S = 0.1  # between attempts to write records that the disk did not take
+MAX_HANDED_OVER_IDS = 512  # of the remembered ids, the most recent, which an upgrade hands over
+# Ids of completed messages to remember, so that a request repeated by a client is not accepted as new.
+MAX_REMEMBERED_IDS = 4096
+# The client protocol's slack. A response this close to the deadline may have been written after it.
+DEADLINE_SLACK_US = 50_000
+UNKNOWN_AGE_US = 1 << 60  # age of an attempt of unknown age: beyond every deduplication window
+DROPPED_CLASS_GRACE_S = 2.0  # how long messages of a removed class are still accepted, under its old rules
 SUBMISSION_FIELDS = [field.name for field in fields(Submission)]
 
 
 def rules_to_record(cls: api.MessageClass, max_attempts: int) -> dict[str, Any]:
-    """A set of rules as the journal keeps it."""
+    """Return a class's delivery rules in the form stored in the journal."""
     return {**asdict(cls), "effect": cls.effect.value, "most": max_attempts}
 
 
 def rules_from_record(record: dict[str, Any]) -> api.DeliveryRules:
-    """What the journal has kept; ``KeyError``, ``TypeError`` or ``ValueError`` where it makes no sense."""
+    """Parse rules stored by ``rules_to_record``; raises ``KeyError``, ``TypeError`` or ``ValueError``."""
     class_fields = {name: value for name, value in record.items() if name != "most"}
     cls = api.MessageClass(**{**class_fields, "effect": api.Effect(record["effect"])})
     return api.DeliveryRules(cls, int(record["most"]))
@@ -67,17 +66,17 @@
 
 @dataclass(slots=True)
 class HeldMessage:
-    """A message that owes its end, and how many attempts it had."""
+    """An accepted message without a final result, and the number of its attempts."""
 
     submission: Submission
     body: bytes
     effect: api.Effect
     attempts: int = 0
-    last_outcome: str = UNKNOWN_OUTCOME  # how its last attempt ended
+    last_outcome: str = UNKNOWN_OUTCOME  # of its last attempt
 
 
 class RelayCore:
-    """One relay's loop of steps between its ports and the module."""
+    """The step loop between one relay's adapters and its decision engine."""
 
     def __init__(
         self,
@@ -99,41 +98,35 @@
         self._partners = adapters.partners(self._part_settled, self._part_released)
         self._directory = adapters.directory(self._apply_list_update, self._report_list_failure)
         self._notifier = adapters.notifier(self._notice_confirmed)
-        self._held_messages: dict[str, HeldMessage] = {}  # messages that owe their end to the module
-        self._completed: OrderedDict[str, None] = OrderedDict()
+        self._held_messages: dict[str, HeldMessage] = {}  # by message id
+        self._completed: OrderedDict[str, None] = OrderedDict()  # ids of completed messages, oldest first
         self._pending_events: list[api.Event] = []
         self._step_timer: asyncio.TimerHandle | None = None
-        self._engine_timer: asyncio.TimerHandle | None = (
-            None  # the last that was asked for; the module asks again
-        )
-        self._next_step_s = 0.0  # when the next step is allowed
-        self._step_time_s = 0.0  # the loop's time of the present step, from which its times count
-        self._shutdown_at_s: float | None = None  # once shutting down: when the last call must have ended
+        # The latest requested timer; it replaces the one before, as the engine requests another when needed.
+        self._engine_timer: asyncio.TimerHandle | None = None
+        self._next_step_s = 0.0  # earliest loop time of the next step
+        self._step_time_s = 0.0  # loop time of the current step; the limits of its calls count from here
+        self._shutdown_at_s: float | None = None  # while shutting down: loop time by which calls must end
         self._classes = {cls.name: cls for cls in settings.classes}
         journal.max_attempts = settings.max_attempts
-        self._dropped_classes: dict[
-            str, api.MessageClass
-        ] = {}  # classes that clients may still name for a moment
-        self._rules_numbers: dict[str, int] = {}
+        # Removed by a settings change, but still accepted for DROPPED_CLASS_GRACE_S.
+        self._dropped_classes: dict[str, api.MessageClass] = {}
+        self._rules_numbers: dict[str, int] = {}  # by class: the number of its rules in the journal
         self._rules_numbers = self._assign_rules_numbers(settings)
-        self._flush_timer: asyncio.TimerHandle | None = None  # when what is owed to the disk is tried again
+        self._flush_timer: asyncio.TimerHandle | None = None  # retries pending writes
         self._listings, self._disabled_hosts = listings, disabled_hosts
-        self._learned_rows: dict[
-            str, EndpointRow
-        ] = {}  # handed over, of endpoints that the module does not know yet
-        self.sent_by_former_core = (
-            0  # messages that a core before this one, in the same process, has written whole
-        )
-        self._retired, self._list_seq = False, -1  # version of the list that is held
-        self.list_known = False  # whether a list is known, be it an old one
-        self._deactivation_timer: asyncio.TimerHandle | None = (
-            None  # when idle destinations are asked to sleep
-        )
+        # Handed-over state of endpoints that the engine does not know yet.
+        self._learned_rows: dict[str, EndpointRow] = {}
+        self.sent_by_former_core = 0  # messages written completely by the previous core of this process
+        self._retired, self._list_seq = False, -1  # list version; -1: no list yet
+        self.list_known = False  # whether an endpoint list is known, possibly an old one
+        self._deactivation_timer: asyncio.TimerHandle | None = None  # next check for idle destinations
 
     def start(self, known_endpoints: EndpointList, handover: HandoverState | None = None) -> None:
-        """Take up what the last life left, then follow the list; called before clients are answered.
+        """Resume the unfinished messages of the previous run and apply the endpoint list known at the start.
 
-        ``binds``: what a process that has handed over wrote down beside the journal.
+        Called before any client is answered. ``handover``: the state that the previous process handed over
+        in an upgrade, beside the journal.
         """
         self._notifier.start()
         self._disabled_hosts.on_change = self._set_host_disabled
@@ -144,7 +137,7 @@
         for message in self._journal.recovered.values():
             self._resume(message, now_us)
         if count := len(self._journal.recovered):
-            LOG.info("journal: %d unfinished messages taken up", count)
+            LOG.info("journal: %d unfinished messages recovered", count)
         self._journal.recovered.clear()
         self._journal.drop_expired_outages(now_us)
         for listed in known_endpoints.hosts:
@@ -158,7 +151,7 @@
         self._step()
 
     def _apply_handover(self, handover: HandoverState, now_us: int) -> None:
-        """Go on from where the process before this one stood."""
+        """Apply the state handed over by the previous process."""
         self._partners.restore_waits({route: until_us - now_us for route, until_us in handover.waits.items()})
         for message_id in handover.over:
             self._remember(message_id)
@@ -167,7 +160,7 @@
         self._post_learned_state(entry.host for event in updates for entry in event.entries)
 
     def _post_learned_state(self, hosts: Iterable[str]) -> None:
-        """Tell the module what was learned of endpoints that it knows; of others it would not hear."""
+        """Pass handed-over state to the engine for endpoints it knows; for others it would be ignored."""
         now_us = self.clock()
         for host in hosts:
             if (row := self._learned_rows.pop(host, None)) is not None:
@@ -177,7 +170,7 @@
                 self._post(api.EndpointSnapshot(host, *remaining, cold_for_us, max(0, spaced_us - now_us)))
 
     def handover_state(self) -> HandoverState:
-        """What binds a successor beside the journal."""
+        """Return the state that the next process needs beside the journal."""
         now_us = self.clock()
         learned = [
             (e.host, now_us + e.wait_us, e.quota, e.pace, e.rate,
@@ -189,31 +182,34 @@
         return HandoverState(waits, learned, self._list_seq, self._listings.all_rows(), completed_ids)
 
     def retire(self) -> None:
-        """Let go of everything for a successor; calls that are out end here."""
+        """Release everything for the next process; calls in progress are aborted.
+
+        Open messages count as known from now on, so a repeated request is still answered as accepted.
+        """
         self.close()
         self._completed.update(dict.fromkeys(self._held_messages))
         self._held_messages.clear()
         self._retired = True
 
     def knows(self, message_id: str) -> bool:
-        """Whether a message is, or was not long ago, taken on."""
+        """Whether a message is held or was completed recently."""
         return message_id in self._held_messages or message_id in self._completed
 
     @property
     def spools(self) -> Mapping[str, int]:
-        """By a door's file: how far it is adopted."""
+        """Bytes already adopted from each spool file, by file name."""
         return self._journal.spools
 
     def forget_spool(self, name: str) -> None:
-        """A door's file is gone."""
+        """Drop the position of a spool file that no longer exists."""
         self._journal.forget_spool(name)
 
     def pause(self, paused: bool) -> None:
-        """Start no call, or start them again."""
+        """Pause or resume the start of new calls."""
         self._post(api.DispatchPaused(paused))
 
     def flush_journal(self) -> bool:
-        """Whether the disk has taken all that the journal owes it."""
+        """Write and sync all pending journal records; False where the disk does not take them."""
         try:
             self._journal.flush_pending()
             self._journal.sync()
@@ -224,12 +220,16 @@
     def adopt(
         self, submission: Submission, body: bytes, rules: dict[str, Any], spool_position: tuple[str, int]
     ) -> None:
-        """Take on what a door has taken on already."""
+        """Take over a message that a spool has accepted already.
+
+        ``rules``: the delivery rules it was accepted under. ``spool_position``: the spool's file name and the
+        position after this message, journaled together with it.
+        """
         if self.knows(submission.id):
             self._journal.record_spool_position(*spool_position)
             return
         number = self._journal.rules_number(rules, self._rules_numbers.values())
-        if (delivery_rules := self._delivery_rules(number)) is None:  # of another version
+        if (delivery_rules := self._delivery_rules(number)) is None:  # unreadable: written by another version
             self._journal.record_spool_position(*spool_position)
             self._notifier.send(Notice(submission.id, "dead"))
             return
@@ -241,16 +241,16 @@
         self._post(self._arrival(submission, self.clock(), rules=delivery_rules))
 
     def rules_record(self, name: str) -> dict[str, Any]:
-        """A class's rules as the journal keeps them."""
+        """Return a class's delivery rules in the form stored in the journal."""
         return rules_to_record(self._message_class(name), self._settings.max_attempts)
 
     def count_rejected(self, submission: Submission, answer: Refused | Failed) -> None:
-        """What is not taken on has ended at the door."""
+        """Count a message that was rejected at submission."""
         self._metrics.count_end(submission.cls, "deferred" if isinstance(answer, Refused) else "errored")
         self._reasons.count(Event.REFUSAL, answer.reason, message_id=submission.id)
 
     def _assign_rules_numbers(self, settings: api.Settings) -> dict[str, int]:
-        """By class: the number of its rules in the journal; classes that are dropped keep theirs."""
+        """Return each class's rules number in the journal; removed classes keep theirs."""
         numbers = dict(self._rules_numbers)
         for cls in settings.classes:
             numbers[cls.name] = self._journal.rules_number(
@@ -259,8 +259,10 @@
         return numbers
 
     def change_settings(self, settings: api.Settings) -> None:
-        """Other settings count from now on; what is open keeps its rules, and so does, for a moment, what
-        clients who have not heard of the change yet bring of a class that is dropped.
+        """Replace the settings; open messages keep the rules they were accepted under.
+
+        Messages of a removed class are accepted for another ``DROPPED_CLASS_GRACE_S`` under its old rules, as
+        clients may not have received the change yet.
         """
         if settings == self._settings:
             return
@@ -281,23 +283,23 @@
         asyncio.get_running_loop().call_later(DROPPED_CLASS_GRACE_S, self._forget_dropped_classes, settings)
 
     def _forget_dropped_classes(self, settings: api.Settings) -> None:
-        """What clients bring of a class that these settings do not know is refused from now on."""
+        """Reject removed classes from now on, unless the settings have changed again."""
         if self._settings is settings:
             self._dropped_classes = {}
 
     def change_discovery(self, discovery: Address) -> None:
-        """The platform is to be found at another address from now on."""
+        """Use another address for discovery and notices from now on."""
         if self._retired:
             return
         self._directory.change_address(discovery)
         self._notifier.change_address(discovery)
 
     def shut_down(self, stop_s: float) -> None:
-        """From now on only calls are started that end by then; the rest stays in the journal."""
+        """Start only calls that end by ``stop_s`` (loop time); other messages stay in the journal."""
         self._shutdown_at_s = stop_s if self._shutdown_at_s is None else min(stop_s, self._shutdown_at_s)
 
     def close(self) -> None:
-        """Let go of everything."""
+        """Cancel the timers and close the adapters."""
         for timer in (self._step_timer, self._engine_timer, self._flush_timer, self._deactivation_timer):
             if timer is not None:
                 timer.cancel()
@@ -307,31 +309,31 @@
 
     @property
     def busy(self) -> bool:
-        """Whether a call is out."""
+        """Whether a call is in progress."""
         return self._partners.busy
 
     @property
     def idle(self) -> bool:
-        """Whether no call is out and no notice is unconfirmed."""
+        """Whether no call is in progress, no notice unconfirmed and no event pending."""
         return self._retired or (
             not self.busy and not self._notifier.unconfirmed and not self._pending_events
         )
 
     @property
     def refusal(self) -> Refused:
-        """A refusal at the door, with when to come back."""
+        """The refusal sent during shutdown, with the time to retry after."""
         return self.refusal_for(RejectReason.SHUTTING_DOWN)
 
     def refusal_for(self, reason: RejectReason) -> Refused:
-        """A refusal for that reason."""
+        """Return a refusal for a reason, with the time to retry after."""
         return Refused(self._settings.max_retry_after_us // 1000, reason)
 
     def is_listed(self, host: str) -> bool:
-        """Whether the list as it is held names an endpoint."""
+        """Whether the current list contains an endpoint."""
         return self._listings.is_listed(host)
 
     def _set_host_disabled(self, host: str, disabled: bool) -> None:
-        """A host is out or back: that binds calls at once and the module with its next step."""
+        """Apply an operator's change: to calls at once, to the engine with its next step."""
         if self._retired:
             return
         self._partners.set_disabled(host, disabled)
@@ -339,7 +341,7 @@
 
     @property
     def gauges(self) -> Gauges:
-        """What a scrape reads."""
+        """The current values of the gauges, read at each scrape."""
         listed_hosts, sent = self._listings.hosts, self.sent_by_former_core + self._partners.messages_written
         inactive = (host for host in self._disabled_hosts.hosts if host not in self._engine.endpoints)
         avoided = self._engine.avoided() + sum(self._listings.is_listed(host) for host in inactive)
@@ -348,17 +350,17 @@
         )
 
     def submit(self, submission: Submission, body: bytes) -> Answer:
-        """Take a message on, or say why not; what is not taken on has ended here."""
+        """Accept a message, or refuse or fail it; a rejected one is counted here and not kept."""
         answer = self.reject_reason(submission) or self._accept(submission, body)
         if not isinstance(answer, Accepted):
             self.count_rejected(submission, answer)
         return answer
 
     def reject_reason(self, submission: Submission) -> Answer | None:
-        """Why there is no place for a message, which the module would drop unseen or hold in vain; else None.
+        """Return a rejection for a message that the engine would drop or hold in vain; else None.
 
-        A destination that nobody lists is refused: the list is seconds late, so it may be known when the
-        client comes again. Without any list all are known.
+        An unlisted destination is refused, not failed: the list is seconds late, so the destination may be
+        listed when the client retries. While there is no list, every destination is accepted.
         """
         if (cls := self._classes.get(submission.cls) or self._dropped_classes.get(submission.cls)) is None:
             return Failed(RejectReason.UNKNOWN_CLASS.value)
@@ -369,9 +371,9 @@
         return None
 
     def _accept(self, submission: Submission, body: bytes) -> Answer:
-        """Take a message on, journaled, or say why not; then nothing was kept.
+        """Journal and accept a message, or refuse it and keep nothing.
 
-        An id that is known is the same request once more, on a new connection: it is taken on already.
+        A known id is the same request repeated on a new connection; it has been accepted already.
         """
         if self.knows(submission.id):
             return Accepted()
@@ -382,7 +384,7 @@
             number = self._rules_numbers[submission.cls]
             self._journal.accept(submission.id, record_fields | {"rules": number}, body)
         except JournalFullError as error:
-            LOG.warning("a message was refused: %s", error, extra={"message_id": submission.id})
+            LOG.warning("message refused, not journaled: %s", error, extra={"message_id": submission.id})
             return self.refusal_for(RejectReason.JOURNAL_FULL)
         self._held_messages[submission.id] = HeldMessage(
             submission, body, self._message_class(submission.cls).effect
@@ -396,13 +398,13 @@
         return self._classes.get(name) or self._dropped_classes[name]
 
     def _delivery_rules(self, number: int) -> api.DeliveryRules | None:
-        """The rules of that number; None where the journal does not know them."""
+        """Return the rules with a journal number; None where they are unknown or unreadable."""
         if (record := self._journal.rules.get(number)) is None:
             return None
         try:
             return rules_from_record(record)
         except (KeyError, TypeError, ValueError) as error:
-            LOG.error("journal: rules %d cannot be read: %s", number, error)
+            LOG.error("journal: delivery rules %d are unreadable: %s", number, error)
             return None
 
     def _arrival(self, submission: Submission, now_us: int, **extra_fields: Any) -> api.Arrival:
@@ -419,9 +421,10 @@
         )
 
     def _resume(self, message: RecoveredMessage, now_us: int) -> None:
-        """Give a message of the last life back to the module, or send its notice once more.
+        """Pass a message recovered from the journal to the engine, or send its notice again.
 
-        An attempt without a proof that it never ran may have run, also one that was out at the end.
+        An attempt is in doubt unless the journal proves that it never ran; this includes attempts that were
+        in progress when the previous process ended.
         """
         if message.notice is not None:
             self._notifier.send(Notice(message.id, *message.notice))
@@ -431,14 +434,13 @@
             submission = Submission(**message.fields)
         except TypeError as error:
             LOG.error(
-                "journal: message %s cannot be read: %s", message.id, error, extra={"message_id": message.id}
+                "journal: message %s is unreadable: %s", message.id, error, extra={"message_id": message.id}
             )
             submission = None
-        if (
-            rules is None and submission is not None and submission.cls in self._classes
-        ):  # of a version without rules
+        # Journals of older versions hold messages without a rules number.
+        if rules is None and submission is not None and submission.cls in self._classes:
             rules = self._delivery_rules(self._rules_numbers[submission.cls])
-        if submission is None or rules is None:  # another version's or another site's
+        if submission is None or rules is None:  # written by another version or for other settings
             self._journal.record_end(message.id, "dead", 0)
             self._notifier.send(Notice(message.id, "dead"))
             return
@@ -452,13 +454,13 @@
         }
         if in_doubt := [a for a in message.attempts if not a.never_ran]:
             first = min(in_doubt, key=lambda attempt: attempt.at_us)
-            # One from the future: the clock was set back between two lives, and nobody knows how old it is.
+            # An attempt from the future: the clock was set back between two runs, so its age is unknown.
             age_us = now_us - first.at_us if first.at_us <= now_us else UNKNOWN_AGE_US
             extra_fields |= {"in_doubt_age_us": age_us, "in_doubt_zone": first.zone}
         self._pending_events.append(self._arrival(submission, now_us, **extra_fields))
 
     def _apply_list_update(self, update: EndpointList, kind: api.EndpointUpdateKind | None = None) -> None:
-        """News of the list binds calls at once and the module with its next step."""
+        """Apply a list update: to calls at once, to the engine with its next step."""
         active_update, self._list_seq = self._listings.apply(update, self._loop_time()), update.seq
         self.list_known |= kind is None or len(self._listings) > 0
         kind = kind or (api.EndpointUpdateKind.FULL if update.full else api.EndpointUpdateKind.CHANGES)
@@ -467,13 +469,14 @@
     def _publish_update(
         self, update: EndpointList, kind: api.EndpointUpdateKind, added_later: bool = False
     ) -> None:
+        """Pass endpoints of active destinations to the partners and the engine."""
         self._partners.apply(update)
         self._post(api.EndpointUpdate(kind, tuple(listed.entry for listed in update.hosts), added_later))
         if self._learned_rows:
             self._post_learned_state(listed.entry.host for listed in update.hosts)
 
     def _activate_destination(self, dest: int) -> None:
-        """A destination gets a message: where it slept, all sides hear of it first."""
+        """Activate a destination that gets a message: pass on its endpoints if it was inactive."""
         for added_later, update in self._listings.activate(dest, self._loop_time()):
             self._publish_update(update, api.EndpointUpdateKind.REACTIVATED, added_later)
         if self._deactivation_timer is None and self._listings.over_limit:
@@ -482,7 +485,7 @@
             )
 
     def _deactivate_idle(self) -> None:
-        """Ask the module to let go of what is not used."""
+        """Ask the engine to deactivate idle destinations; it keeps those that still have state."""
         self._deactivation_timer = None
         for dest in self._listings.idle_destinations(self._loop_time()):
             self._post(api.DestinationIdle(dest))
@@ -492,14 +495,16 @@
             )
 
     def _report_list_failure(self) -> None:
+        """Report to the engine that the connection to the directory has failed."""
         self._post(api.EndpointUpdate(api.EndpointUpdateKind.FAILED))
 
     def _notice_confirmed(self, message_id: str) -> None:
+        """Journal that the notice of a message was confirmed: the message is completed."""
         self._journal.record_completed(message_id)
         self._schedule_flush()
 
     def _part_settled(self, call: Call, part: Part, outcome: PartOutcome) -> None:
-        """An attempt is over: journal what it proves, then tell the module."""
+        """Handle the outcome of an attempt: journal what it proves, then report it to the engine."""
         complete = outcome.complete
         if not complete and (held := self._held_messages.get(part.id)) is not None:
             held.last_outcome = outcome.verdict.value
@@ -521,19 +526,19 @@
                 call_continues=outcome.call_continues,
             )
         )
-        if complete:  # also for a part whose own time ran out before: the module must not send it again
+        if complete:  # also for a part that timed out before: the engine must not send the message again
             self._post(api.MessageWithdrawn(part.id))
 
     def _part_released(self, part: Part) -> None:
-        """Nothing of an attempt that had its outcome before is on the wire any more."""
+        """Report that an attempt settled before has no bytes on the wire any more."""
         self._post(api.CallEnded(part.id, part.attempt))
 
     def _complete_message(self, message_id: str, delivered: bool) -> None:
-        """Nothing more is owed, unless that was so before, or nobody knows whether it came in time.
+        """Complete a message, with a notice of failure where it may have been delivered after its deadline.
 
-        A message's time counts from when its client sent it, here from when it was read; an answer counts
-        from when it was written. One that was written behind the time delivers nothing, and the end is owed
-        still; a notice for what is over does no harm.
+        The client's deadline counts from when it sent the message, but the relay counts from when it read it;
+        an endpoint's response counts from when it was written. A response written after the deadline delivers
+        nothing, so a final result is still required; a notice for a delivered message does no harm.
         """
         if (held := self._held_messages.pop(message_id, None)) is None:
             return
@@ -548,12 +553,13 @@
             self._journal.record_completed(message_id)
 
     def _remember(self, message_id: str) -> None:
+        """Remember the id of a completed message, and forget the oldest beyond ``MAX_REMEMBERED_IDS``."""
         self._completed[message_id] = None
         while len(self._completed) > MAX_REMEMBERED_IDS:
             self._completed.popitem(last=False)
 
     def _post(self, event: api.Event) -> None:
-        """Put an event before the module at its next step, one round after the last at the earliest."""
+        """Queue an event for the engine's next step, which runs at least one round after the last."""
         if self._retired:
             return
         self._pending_events.append(event)
@@ -562,7 +568,10 @@
             self._step_timer = loop.call_at(max(loop.time(), self._next_step_s), self._step)
 
     def _step(self) -> None:
-        """One batch through the module; an error here is no single message's and ends the process."""
+        """Run one engine step with the queued events and execute its actions.
+
+        An error here cannot be attributed to a single message, so it ends the process.
+        """
         loop = asyncio.get_running_loop()
         if self._step_timer is not None:
             self._step_timer.cancel()
@@ -573,13 +582,13 @@
             self._carry_out(self._engine.step(self.clock(), events))
             self._schedule_flush()
         except Exception as error:
-            LOG.critical("the step loop broke", exc_info=True)
+            LOG.critical("the step loop failed", exc_info=True)
             self._on_crash(error)
 
     def _carry_out(self, actions: list[api.Action]) -> None:
-        """Journal all that the step decided, then let it out: one sync serves the whole step."""
+        """Execute a step's actions: journal them all, sync once, then start calls and send notices."""
         sends: dict[str, list[api.Send]] = {}
-        notices: list[tuple[Notice, bool]] = []  # with whether a later life knows of it
+        notices: list[tuple[Notice, bool]] = []  # and whether a restart recovers it
         for action in actions:
             match action:
                 case api.Send():
@@ -609,13 +618,11 @@
                 case api.Log():
                     LOG.info("%s", action.line)
                 case api.Probe():
-                    LOG.error("a probe was asked for; endpoints are not probed")
+                    LOG.error("probe requested by the decision engine, but endpoints are not probed")
         calls = [call for host, batch in sends.items() for call in self._build_calls(host, batch)]
         synced = self._sync_journal() if calls or notices else True
-        for (
-            notice,
-            recoverable,
-        ) in notices:  # out at once, and again until it is confirmed, whatever the disk says
+        # Notices are sent at once and repeated until confirmed, even where the disk does not take them.
+        for notice, recoverable in notices:
             final_notice = notice if recoverable and synced else Notice(notice.message_id, "dead")
             if final_notice.result != notice.result:
                 self._journal.replace_end_by_failure(notice.message_id)
@@ -627,33 +634,35 @@
                 self._settle_not_sent(call)
 
     def _flush_pending(self) -> None:
-        """Write down what is owed to the disk until it is taken: there may be no next record to bring it."""
+        """Retry pending writes until the disk takes them, as no later record may come to trigger them."""
         self._flush_timer = None
         self.clock.retry_save()
         try:
             self._journal.flush_pending()
         except JournalFullError as error:
-            LOG.debug("journal: still owed: %s", error)
+            LOG.debug("journal: pending records not written: %s", error)
         self._schedule_flush()
 
     def _schedule_flush(self) -> None:
+        """Schedule a retry where the journal or the clock has pending writes."""
         if self._flush_timer is None and (self._journal.has_pending or not self.clock.saved):
             self._flush_timer = asyncio.get_running_loop().call_later(FLUSH_RETRY_S, self._flush_pending)
 
     def _sync_journal(self) -> bool:
-        """Whether all that was journaled is as safe as the installation wants it."""
+        """Sync a durable journal; False where that fails and the records may be lost."""
         try:
             self._journal.sync()
         except JournalFullError as error:
-            LOG.error("calls were not made: %s", error)
+            LOG.error("journal: sync failed, calls are not sent: %s", error)
             return False
         return True
 
     def _record_give_up(self, notice: Notice, reason: api.GiveUpReason) -> list[tuple[Notice, bool]]:
-        """The module's final answer, journaled; none where the message is over already.
+        """Journal the engine's final result and return its notice; none for a message completed already.
 
-        Where the disk does not take it, a later life may try the message, beside the retry that a refusal
-        invites: then only a failure is told, which promises nothing. What may be repeated is safe from that.
+        The second value says whether the notice may be sent as it is. Where the disk does not take the
+        result, a restart may try the message again beside the client's retry that a refusal asks for. Then
+        only a failure is reported, which asks for no retry. Safe messages may be repeated anyway.
         """
         if (held := self._held_messages.pop(notice.message_id, None)) is None:
             return []
@@ -664,12 +673,15 @@
         return [(notice, recoverable or held.effect is api.Effect.SAFE)]
 
     def _settle_not_sent(self, call: Call) -> None:
-        """A call whose attempts could not be journaled is not made."""
+        """Settle all parts of a call that is not sent, as its attempts could not be journaled."""
         for part in call.parts:
             self._part_settled(call, part, PartOutcome(api.Verdict.NOT_SENT))
 
     def _build_calls(self, host: str, batch: list[api.Send]) -> Iterator[Call]:
-        """Sends of one step to one host share calls up to the kind's bound, journaled before any byte."""
+        """Group one step's sends to a host into calls of at most the kind's batch size.
+
+        Each call's attempts are journaled before any of its bytes is sent.
+        """
         remaining = iter(batch)
         while chunk := list(islice(remaining, self._partners.batch_size(host))):
             chunk = [send for send in chunk if send.id in self._held_messages]
@@ -700,11 +712,11 @@
             try:
                 self._journal.record_attempts(attempts)
             except JournalFullError as error:
-                LOG.error("a call was not made: %s", error)
+                LOG.error("call not sent, its attempts could not be journaled: %s", error)
                 self._settle_not_sent(call)
                 continue
             yield call
 
     def _ends_before_shutdown(self, send: api.Send, stop_s: float) -> bool:
-        """Whether the process lasts as long as the call may; else the journal keeps it for the next life."""
+        """Whether a call ends before the process does; else the message stays in the journal."""
         return self._step_time_s + send.timeout_us / 1e6 <= stop_s
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -264,7 +264,7 @@
     disk.full = disk.uncut = True
     assert not journal.record_end("a", "dead", 0)  # it was an OSError once, which ended a reload half way
     disk.full = False
-    with pytest.raises(JournalFullError, match="cannot be cut off"):
+    with pytest.raises(JournalFullError, match="partial record cannot be truncated"):
         accept(journal, "b")
     disk.uncut = False
     accept(journal, "c")
--- a/tests/test_restart.py
+++ b/tests/test_restart.py
@@ -192,5 +192,5 @@
     monkeypatch.setattr(DecisionEngine, "step", broken)
     monkeypatch.setattr(Posix, "environ", world.environment())
     assert await soon(serve(config.load(POSIX), POSIX)) == 1
-    assert "the step loop broke" in caplog.text
+    assert "the step loop failed" in caplog.text
     assert "RuntimeError: broken" in caplog.text
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -83,7 +83,7 @@
     assert len(DisabledHosts(tmp_path, POSIX.disk).hosts) == MANY + 1
     long = [f"{number:0>120}" for number in range(LARGE_FOLDER.disabled_hosts_bytes // 120)]
     said = [outs.disable(host) for host in long]
-    assert said[0] == "" and said[-1] == "too many hosts are out already"
+    assert said[0] == "" and said[-1] == "too many hosts are disabled already"
     kept = DisabledHosts(tmp_path, POSIX.disk).hosts
     assert set(HOSTS) <= set(kept) and len(kept) == len(HOSTS) + said.count("")
 
