--- a/tests/test_cost.py
+++ b/tests/test_cost.py
@@ -20,29 +20,29 @@
 from mossfront.engine import DecisionEngine
 from tests.world import ROOT
 
-ROOMS = ("mossfront", "mallowlug/core", "mallowlug/fronts", "mallowlug/partners", "mallowlug/net")
+PACKAGES = ("mossfront", "mallowlug/core", "mallowlug/fronts", "mallowlug/partners", "mallowlug/net")
 # Function calls a message by room, with a tenth of room above what was counted when the bound was set.
-MOST = {
+MAX_CALLS_PER_MESSAGE = {
     "mossfront": 213, "mallowlug/core": 67, "mallowlug/fronts": 30, "mallowlug/partners": 24,
     "mallowlug/net": 33,
 }  # fmt: skip
 
 
-def room_of(path: str) -> str:
+def package_of(path: str) -> str:
     """The room of the relay that a file belongs to; empty for none."""
-    return next((room for room in ROOMS if f"/{room}/" in path), "")
+    return next((room for room in PACKAGES if f"/{room}/" in path), "")
 
 
-def counted(folder: Path) -> tuple[Counter[str], int]:
+def count_calls(folder: Path) -> tuple[Counter[str], int]:
     """Function calls by room on a calm day of 6 s, and how many messages it had."""
-    found, rooms = Counter[str](), dict[str, str]()
+    found, packages = Counter[str](), dict[str, str]()
 
     def called(frame: FrameType, event: str, _arg: Any) -> None:
         if event == "call":
             path = frame.f_code.co_filename
-            if path not in rooms:
-                rooms[path] = room_of(path)
-            found[rooms[path]] += 1
+            if path not in packages:
+                packages[path] = package_of(path)
+            found[packages[path]] += 1
 
     world = scenario.load(ROOT / "scenarios" / "calm.toml").model_copy(update={"length_s": 6.0})
     sys.setprofile(called)
@@ -54,19 +54,21 @@
     return found, messages
 
 
-def over(found: Counter[str], messages: int) -> dict[str, float]:
+def over_limit(found: Counter[str], messages: int) -> dict[str, float]:
     """The rooms that cost more than their bound, with their calls a message."""
-    costs = {room: found[room] / messages for room in ROOMS}
-    return {room: cost for room, cost in costs.items() if cost > MOST[room]}
+    costs = {room: found[room] / messages for room in PACKAGES}
+    return {room: cost for room, cost in costs.items() if cost > MAX_CALLS_PER_MESSAGE[room]}
 
 
-def test_a_message_costs_no_more_calls_than_when_it_was_counted(tmp_path: Path) -> None:
-    found, messages = counted(tmp_path)
+def test_function_calls_per_message_are_within_their_limits(tmp_path: Path) -> None:
+    found, messages = count_calls(tmp_path)
     assert messages > 100
-    assert over(found, messages) == {}
+    assert over_limit(found, messages) == {}
 
 
-def test_a_pass_over_all_that_is_held_is_noticed(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_loop_over_all_held_messages_exceeds_the_limit(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     real = DecisionEngine._dispatch
 
     def slow(self: DecisionEngine) -> None:
@@ -75,10 +77,10 @@
         real(self)
 
     monkeypatch.setattr(DecisionEngine, "_dispatch", slow)
-    assert "mossfront" in over(*counted(tmp_path))
+    assert "mossfront" in over_limit(*count_calls(tmp_path))
 
 
-def test_a_delivered_message_has_three_records(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_delivered_message_has_three_records(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     """Taken on, tried, over: each is a write to the disk."""
     kinds, real = Counter[str](), Journal._track_record
 
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -18,7 +18,7 @@
 
 @pytest.mark.parametrize("console", [False, True])
 @pytest.mark.parametrize("sockets", [*range(MIN_SOCKETS, 300, 11), 512, 1024, 4096])
-def test_the_shares_are_within_the_limit_and_nobody_has_none(sockets: int, console: bool) -> None:
+def test_shares_are_within_the_limit_and_never_empty(sockets: int, console: bool) -> None:
     shares = split_descriptors(sockets, 1, console)
     assert shares.total <= sockets
     assert shares.clients == sockets // 2
@@ -27,13 +27,13 @@
 
 
 @pytest.mark.parametrize("sockets", [8, 16, 40])
-def test_under_a_limit_that_is_too_low_every_role_has_the_least_that_it_can_work_with(sockets: int) -> None:
+def test_every_use_keeps_its_minimum_below_the_lowest_limit(sockets: int) -> None:
     shares = split_descriptors(sockets, 1, True)
     assert shares.total > sockets
     assert min(shares.clients, shares.accept_burst, shares.calls, shares.console_connections) >= 1
 
 
-async def test_a_new_connection_takes_the_place_of_the_idle_one_that_is_due_first() -> None:
+async def test_new_connection_replaces_the_least_recently_used_idle_one() -> None:
     """Each destination's connection is kept for the next call, until another needs its descriptor."""
     hosts = [await serving() for _ in range(3)]
     calls = Calls(hosts[0].port)
@@ -56,7 +56,7 @@
         host.stop()
 
 
-async def test_no_more_calls_are_out_than_there_are_descriptors_for_them(world: World) -> None:
+async def test_calls_in_progress_are_limited_by_their_descriptors(world: World) -> None:
     """The settings allow more; beyond them a connect fails as if the host had refused it."""
     world.sockets = 64
     world.settings["domain"]["calls_out"] = 100
@@ -77,7 +77,7 @@
     assert host.connections <= calls
 
 
-async def test_behind_a_crowd_of_idle_clients_everybody_else_still_has_a_descriptor(world: World) -> None:
+async def test_idle_clients_leave_descriptors_for_all_other_uses(world: World) -> None:
     """They fill the process while the directory is down; at its return the relay hears, calls and tells."""
     world.sockets = 64
     host = await world.add("h1")
--- a/tests/test_by_hand.py
+++ b/tests/test_disabled_hosts.py
@@ -16,15 +16,15 @@
 from tests.support import SAFE, SECOND, arrival, ended, entry, roster, sends, settings
 from tests.world import World, called, silent, soon
 
-OUT, BACK = "/hosts/disable?name=", "/hosts/enable?name="
+DISABLE, ENABLE = "/hosts/disable?name=", "/hosts/enable?name="
 
 
-async def by_hand(console: int, target: str) -> int:
+async def post(console: int, target: str) -> int:
     """The status of one call."""
     return (await called(console, "POST", target))[0]
 
 
-async def staffed(world: World, *hosts: str) -> int:
+async def console_with_hosts(world: World, *hosts: str) -> int:
     """Hosts of one destination that the relay knows from its start; the console's port."""
     for host in hosts:
         await world.add(host)
@@ -32,54 +32,54 @@
     return world.open_console()
 
 
-def seen(world: World, host: str) -> list[str]:
+def messages_at(world: World, host: str) -> list[str]:
     """The messages that came to a host."""
     return [ref for request in world.hosts[host].seen for ref in request.ids]
 
 
-async def test_nothing_new_goes_to_a_host_that_is_out_until_it_is_back(world: World) -> None:
-    console = await staffed(world, "h1", "h2")
+async def test_disabled_host_gets_no_new_calls_until_enabled(world: World) -> None:
+    console = await console_with_hosts(world, "h1", "h2")
     client = await world.run()
-    assert await by_hand(console, OUT + "h1") == 200
+    assert await post(console, DISABLE + "h1") == 200
     for number in range(12):
         await client.hand_in(f"m{number}")
         await world.hosts["h2"].call(number)
-    assert seen(world, "h1") == []
-    assert await by_hand(console, OUT + "h2") == 200
-    assert await by_hand(console, BACK + "h1") == 200
+    assert messages_at(world, "h1") == []
+    assert await post(console, DISABLE + "h2") == 200
+    assert await post(console, ENABLE + "h1") == 200
     await client.hand_in("last")
     assert (await world.hosts["h1"].call(0)).ids == ["last"]
-    assert len(seen(world, "h2")) == 12
+    assert len(messages_at(world, "h2")) == 12
 
 
-async def test_out_twice_is_out_over_kill_and_list_and_one_call_undoes_both(world: World) -> None:
-    console = await staffed(world, "h1")
+async def test_host_disabled_twice_stays_so_over_restart_and_list_until_enabled_once(world: World) -> None:
+    console = await console_with_hosts(world, "h1")
     await world.run()
-    assert [await by_hand(console, OUT + "h1") for _ in range(2)] == [200, 200]
+    assert [await post(console, DISABLE + "h1") for _ in range(2)] == [200, 200]
     client = await world.again()
     world.directory.change("h1", health="DELETED")
     world.directory.change("h1", health="SERVING")
     await client.insist("m1")
     world.directory.change("h2", dial="127.0.0.1:1", block=2)
     await client.insist("m2", dest=2)  # a later line of the watch has been read
-    assert seen(world, "h1") == []
-    assert await by_hand(console, BACK + "h1") == 200
+    assert messages_at(world, "h1") == []
+    assert await post(console, ENABLE + "h1") == 200
     assert (await world.hosts["h1"].call(0)).ids == ["m1"]
 
 
-async def test_messages_of_the_only_host_are_given_up_with_their_time_and_at_once(world: World) -> None:
-    console = await staffed(world, "h1")
+async def test_messages_for_a_disabled_only_host_are_given_up_at_their_deadline(world: World) -> None:
+    console = await console_with_hosts(world, "h1")
     client = await world.run()
-    await by_hand(console, OUT + "h1")
+    await post(console, DISABLE + "h1")
     assert await client.hand_in("m1", d=300) == b"+OK"
     assert (await world.directory.notice("m1"))["result"] == "bounced"
-    assert seen(world, "h1") == []
+    assert messages_at(world, "h1") == []
 
 
-async def test_a_host_that_is_out_is_told_as_avoided_while_it_is_listed(world: World) -> None:
-    console = await staffed(world, "h1", "h2")
+async def test_disabled_host_counts_as_unhealthy_while_listed(world: World) -> None:
+    console = await console_with_hosts(world, "h1", "h2")
     await world.run()
-    await by_hand(console, OUT + "h1")
+    await post(console, DISABLE + "h1")
 
     async def told(line: str) -> None:
         while line not in (await called(console, "GET", "/metrics"))[1]:
@@ -91,38 +91,38 @@
     assert "relay_cluster_size 1\n" in (await called(console, "GET", "/metrics"))[1]
 
 
-async def test_a_call_that_is_out_ends_as_it_would(world: World) -> None:
-    console = await staffed(world, "h1")
+async def test_call_in_progress_to_a_disabled_host_ends_normally(world: World) -> None:
+    console = await console_with_hosts(world, "h1")
     world.hosts["h1"].default = silent
     client = await world.run()
     await client.hand_in("m1", "unsafe")
     call = await world.hosts["h1"].call(0)
-    assert await by_hand(console, OUT + "h1") == 200
+    assert await post(console, DISABLE + "h1") == 200
     call.answer(500)
     assert (await world.directory.notice("m1"))["result"] == "dead"
 
 
-async def test_an_unknown_id_is_owed_a_no_and_one_that_is_out_is_never_unknown(world: World) -> None:
-    console = await staffed(world, "h1")
+async def test_unknown_id_is_rejected_and_a_disabled_one_is_never_unknown(world: World) -> None:
+    console = await console_with_hosts(world, "h1")
     await world.run()
-    for target in (OUT, BACK):
-        assert await by_hand(console, target + "h9") == 404
-        assert await by_hand(console, target + "h") == 404  # a part of an id
-    assert await by_hand(console, BACK + "h1") == 200  # not out: nothing to undo
-    await by_hand(console, OUT + "h1")
+    for target in (DISABLE, ENABLE):
+        assert await post(console, target + "h9") == 404
+        assert await post(console, target + "h") == 404  # a part of an id
+    assert await post(console, ENABLE + "h1") == 200  # not out: nothing to undo
+    await post(console, DISABLE + "h1")
     world.directory.change("h1", health="DELETED")
-    assert await by_hand(console, OUT + "h1") == 200
-    assert await by_hand(console, BACK + "h1") == 200
+    assert await post(console, DISABLE + "h1") == 200
+    assert await post(console, ENABLE + "h1") == 200
 
     async def unknown() -> None:
-        while await by_hand(console, OUT + "h1") != 404:
-            await by_hand(console, BACK + "h1")
+        while await post(console, DISABLE + "h1") != 404:
+            await post(console, ENABLE + "h1")
             await asyncio.sleep(0.01)
 
     await soon(unknown())
 
 
-async def test_a_ban_between_decision_and_write_binds_the_write() -> None:
+async def test_host_disabled_after_the_decision_gets_no_bytes() -> None:
     host = await serving()
     calls = Calls(host.port)
     calls.send("m1")
@@ -143,7 +143,7 @@
         (b"\x00" * 512, []),
     ],
 )
-def test_what_can_be_read_of_a_damaged_file_counts(tmp_path: Path, data: bytes, want: list[str]) -> None:
+def test_valid_lines_of_a_damaged_file_are_used(tmp_path: Path, data: bytes, want: list[str]) -> None:
     (tmp_path / "out").write_bytes(data)
     outs = DisabledHosts(tmp_path, POSIX.disk)
     assert list(outs.hosts) == want
@@ -159,7 +159,7 @@
         raise OSError(28, "No space left on device")
 
 
-def test_there_is_no_yes_for_what_was_not_kept(tmp_path: Path) -> None:
+def test_change_that_cannot_be_stored_is_rejected(tmp_path: Path) -> None:
     kept = DisabledHosts(tmp_path, POSIX.disk)
     kept.disable("h1")
     full, heard = DisabledHosts(tmp_path, FullDisk()), list[str]()
@@ -170,7 +170,7 @@
     assert list(DisabledHosts(tmp_path, POSIX.disk).hosts) == ["h1"]
 
 
-def test_the_file_is_bounded_and_a_host_can_always_come_back(tmp_path: Path) -> None:
+def test_file_is_bounded_and_a_host_can_always_be_enabled(tmp_path: Path) -> None:
     outs = DisabledHosts(tmp_path, POSIX.disk)
     number = 0
     while not (why := outs.disable(f"host-{number:08}")):
@@ -181,7 +181,7 @@
     assert outs.disable("again") == ""
 
 
-def test_back_means_cold_and_what_was_learned_of_the_old_process_is_gone() -> None:
+def test_enabled_host_is_cold_and_its_former_state_is_discarded() -> None:
     """Its quota begins at one call and its calls are spaced as at a return from an outage."""
     relay = DecisionEngine(settings(max_calls=40), 1)
     relay.step(0, [roster(entry("h1"))])
@@ -206,7 +206,7 @@
     assert 0 < came < 20
 
 
-def test_calls_that_were_out_are_settled_with_the_old_process() -> None:
+def test_calls_in_progress_are_settled_against_the_former_state() -> None:
     relay = DecisionEngine(settings(), 1)
     relay.step(0, [roster(entry("h1"))])
     (send,) = sends(relay.step(SECOND, [arrival("a", SAFE)]))
@@ -219,7 +219,7 @@
 @pytest.mark.parametrize(
     "kind", [api.EndpointUpdateKind.FULL, api.EndpointUpdateKind.CHANGES, api.EndpointUpdateKind.REACTIVATED]
 )
-def test_the_list_never_brings_a_host_back(kind: api.EndpointUpdateKind) -> None:
+def test_list_updates_never_enable_a_host(kind: api.EndpointUpdateKind) -> None:
     """Not a whole list, nor a change of its address, nor a destination that wakes."""
     relay = DecisionEngine(settings(), 1)
     relay.step(0, [api.HostOverride("h1", True), roster(entry("h1"))])
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -22,29 +22,29 @@
 from mallowlug.system import POSIX, PosixDisk
 from mossfront.interface import OutageRecordKind
 
-DISK = 3_000_000
+DISK_BYTES = 3_000_000
 
 
-def reopened(folder: Path, disk: int = DISK) -> Journal:
+def reopen(folder: Path, disk_bytes: int = DISK_BYTES) -> Journal:
     """The next life's journal."""
-    return Journal(folder, disk, POSIX.disk)
+    return Journal(folder, disk_bytes, POSIX.disk)
 
 
-def accept(journal: Journal, *refs: str, size: int = 10) -> None:
+def accept(journal: Journal, *message_ids: str, size: int = 10) -> None:
     """Take messages on."""
-    for ref in refs:
+    for ref in message_ids:
         journal.accept(ref, {"id": ref, "dest": 1}, ref.encode() * size)
 
 
-def test_every_record_comes_back(tmp_path: Path) -> None:
-    journal = Journal(tmp_path, DISK, POSIX.disk)
+def test_every_record_is_recovered(tmp_path: Path) -> None:
+    journal = Journal(tmp_path, DISK_BYTES, POSIX.disk)
     accept(journal, "a", "b", "c", "d")
     journal.record_attempts([("a", Attempt(0, "h1", "z", 5)), ("b", Attempt(0, "h2", "y", 6))])
     journal.record_never_ran("a", 0)
     journal.record_end("c", "bounced", 500)
     journal.record_completed("d")
     journal.close()
-    found = reopened(tmp_path).recovered
+    found = reopen(tmp_path).recovered
     assert list(found) == ["a", "b", "c"]
     assert (found["a"].fields, found["a"].body) == ({"id": "a", "dest": 1}, b"a" * 10)
     assert found["a"].attempts == [Attempt(0, "h1", "z", 5, never_ran=True)]
@@ -52,55 +52,55 @@
     assert found["c"].notice == ("bounced", 500)
 
 
-def test_a_tail_torn_anywhere_is_cut_off_before_appending(tmp_path: Path) -> None:
+def test_torn_tail_is_truncated_before_appending(tmp_path: Path) -> None:
     """SIGKILL may fall within a write; what is appended behind half a record would be lost."""
-    journal = Journal(tmp_path, DISK, POSIX.disk)
+    journal = Journal(tmp_path, DISK_BYTES, POSIX.disk)
     accept(journal, "a")
     whole = (tmp_path / "journal").stat().st_size
     accept(journal, "b")
     data = (tmp_path / "journal").read_bytes()
     for end in range(whole, len(data)):
         (tmp_path / "journal").write_bytes(data[:end])
-        accept(reopened(tmp_path), "c")
-        assert list(reopened(tmp_path).recovered) == ["a", "c"]
+        accept(reopen(tmp_path), "c")
+        assert list(reopen(tmp_path).recovered) == ["a", "c"]
 
 
 @pytest.mark.parametrize("at", [0, 5, 9, 20])
-def test_a_damaged_record_is_left_out_and_the_rest_kept(
+def test_damaged_record_is_skipped_and_the_rest_recovered(
     tmp_path: Path, at: int, caplog: pytest.LogCaptureFixture
 ) -> None:
-    journal = Journal(tmp_path, DISK, POSIX.disk)
+    journal = Journal(tmp_path, DISK_BYTES, POSIX.disk)
     accept(journal, "a")
     start = (tmp_path / "journal").stat().st_size
     accept(journal, "b", "c")
     data = bytearray((tmp_path / "journal").read_bytes())
     data[start + at] ^= 0xFF
     (tmp_path / "journal").write_bytes(data)
-    assert list(reopened(tmp_path).recovered) == ["a", "c"]
+    assert list(reopen(tmp_path).recovered) == ["a", "c"]
     assert "damaged" in caplog.text
 
 
-def test_compaction_keeps_what_is_open_and_bounds_the_log(tmp_path: Path) -> None:
-    journal = Journal(tmp_path, DISK, POSIX.disk)
+def test_compaction_keeps_open_messages_and_bounds_the_log(tmp_path: Path) -> None:
+    journal = Journal(tmp_path, DISK_BYTES, POSIX.disk)
     accept(journal, "kept")
     journal.record_attempts([("kept", Attempt(0, "h", "z", 1))])
     for number in range(3000):
         accept(journal, f"m{number}", size=50)
         journal.record_completed(f"m{number}")
     assert (tmp_path / "journal").stat().st_size < 2 * COMPACTION_SLACK_BYTES
-    found = reopened(tmp_path).recovered
+    found = reopen(tmp_path).recovered
     assert list(found) == ["kept"]
     assert found["kept"].attempts == [Attempt(0, "h", "z", 1)]
 
 
-def test_a_compaction_that_did_not_end_is_cleared_away(tmp_path: Path) -> None:
-    accept(Journal(tmp_path, DISK, POSIX.disk), "a")
+def test_unfinished_compaction_is_removed(tmp_path: Path) -> None:
+    accept(Journal(tmp_path, DISK_BYTES, POSIX.disk), "a")
     (tmp_path / "journal.new").write_bytes(b"half")
-    assert list(reopened(tmp_path).recovered) == ["a"]
+    assert list(reopen(tmp_path).recovered) == ["a"]
     assert not (tmp_path / "journal.new").exists()
 
 
-def test_a_full_budget_refuses_and_keeps_room_for_what_is_open(tmp_path: Path) -> None:
+def test_full_budget_refuses_and_reserves_space_for_open_messages(tmp_path: Path) -> None:
     disk = 200_000
     journal, refs = Journal(tmp_path, disk, POSIX.disk), []
     with pytest.raises(JournalFullError):
@@ -114,14 +114,14 @@
             journal.record_never_ran(ref, number)
         journal.record_end(ref, "bounced", 2000)
         assert sum(size_in_blocks(path.stat().st_size) for path in tmp_path.iterdir()) <= disk
-    assert {r.notice for r in reopened(tmp_path, disk).recovered.values()} == {("bounced", 2000)}
+    assert {r.notice for r in reopen(tmp_path, disk).recovered.values()} == {("bounced", 2000)}
     for ref in refs:
         journal.record_completed(ref)
     accept(journal, "again")
 
 
-def test_a_disk_that_takes_nothing_refuses(tmp_path: Path) -> None:
-    journal = Journal(tmp_path, DISK, POSIX.disk)
+def test_failing_disk_refuses_messages(tmp_path: Path) -> None:
+    journal = Journal(tmp_path, DISK_BYTES, POSIX.disk)
     journal.close()  # writes fail from here on
     with pytest.raises(JournalFullError):
         accept(journal, "a")
@@ -140,11 +140,11 @@
     suppress_health_check=[HealthCheck.function_scoped_fixture],
 )
 @given(steps=STEPS, bodies=st.lists(st.binary(max_size=40), min_size=6, max_size=6), cut=st.integers(0, 60))
-def test_any_history_is_told_again_up_to_its_torn_tail(
+def test_any_history_is_recovered_up_to_its_torn_tail(
     tmp_path_factory: pytest.TempPathFactory, steps: list[tuple[str, int]], bodies: list[bytes], cut: int
 ) -> None:
     folder = tmp_path_factory.mktemp("journal")
-    journal, path = Journal(folder, DISK, POSIX.disk), folder / "journal"
+    journal, path = Journal(folder, DISK_BYTES, POSIX.disk), folder / "journal"
     states: list[tuple[int, dict[str, tuple[bytes, int, object]]]] = [(0, {})]
     now: dict[str, tuple[bytes, int, object]] = {}
     for word, number in steps:
@@ -172,12 +172,12 @@
     end = max(0, path.stat().st_size - cut)
     path.write_bytes(path.read_bytes()[:end])
     want = [state for size, state in states if size <= end][-1]
-    found = reopened(folder).recovered
+    found = reopen(folder).recovered
     assert {ref: (m.body, len(m.attempts), m.notice) for ref, m in found.items()} == want
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_what_is_open_always_has_room_and_ends_make_room_again(in_memory: Path, seed: int) -> None:
+def test_open_messages_always_have_space_and_completed_ones_free_it(in_memory: Path, seed: int) -> None:
     """At the edge of the budget: only new messages are refused, never a record of an open one; and the log
     never stands still full of garbage.
     """
@@ -207,13 +207,13 @@
         assert not journal.has_pending
         assert sum(size_in_blocks(path.stat().st_size) for path in in_memory.iterdir()) <= disk
     assert refused > 100 and taken > 500
-    assert set(reopened(in_memory, disk).recovered) == set(left)
+    assert set(reopen(in_memory, disk).recovered) == set(left)
     for ref in left:
         journal.record_completed(ref)
     accept(journal, "again", size=600)
 
 
-def test_room_for_what_may_come_is_counted_once(tmp_path: Path) -> None:
+def test_space_for_later_records_is_reserved_once(tmp_path: Path) -> None:
     """Counted twice, and for records that are written already, it left room for fewer than 800 of them."""
     journal, count = Journal(tmp_path, 3_000_000, POSIX.disk), 0
     journal.max_attempts = 6
@@ -224,23 +224,23 @@
     assert count > 1800
 
 
-class Cramped(PosixDisk):
+class FaultyDisk(PosixDisk):
     """A disk that takes a part of each write while it is full, and that may fail to cut one off."""
 
-    full, uncut = False, False
+    full, truncate_fails = False, False
 
     def write(self, fd: int, data: Any) -> int:
         return os.write(fd, memoryview(data)[:7] if self.full else data)
 
     def truncate(self, fd: int, size: int) -> None:
-        if self.uncut:
+        if self.truncate_fails:
             raise OSError(5, "Input/output error")
         os.truncate(fd, size)
 
 
-def test_an_end_told_as_a_failure_is_one_for_later_lives_too(tmp_path: Path) -> None:
+def test_result_replaced_by_a_failure_stays_one_after_a_restart(tmp_path: Path) -> None:
     """The disk was full as it was decided: what is owed says what was told, be there room soon or not."""
-    disk = Cramped()
+    disk = FaultyDisk()
     journal = Journal(tmp_path, 100_000, disk)
     accept(journal, "a")
     accept(journal, "b")
@@ -257,16 +257,16 @@
     assert (tmp_path / "journal").read_bytes().count(b'"bounced"') == 1  # nobody has told of a's
 
 
-def test_a_part_of_a_record_that_cannot_be_cut_off_stops_the_next_one_and_no_step(tmp_path: Path) -> None:
-    disk = Cramped()
+def test_partial_record_that_cannot_be_truncated_stops_only_later_writes(tmp_path: Path) -> None:
+    disk = FaultyDisk()
     journal = Journal(tmp_path, 100_000, disk)
     accept(journal, "a")
-    disk.full = disk.uncut = True
+    disk.full = disk.truncate_fails = True
     assert not journal.record_end("a", "dead", 0)  # it was an OSError once, which ended a reload half way
     disk.full = False
     with pytest.raises(JournalFullError, match="partial record cannot be truncated"):
         accept(journal, "b")
-    disk.uncut = False
+    disk.truncate_fails = False
     accept(journal, "c")
     journal.close()
     again = Journal(tmp_path, 100_000, POSIX.disk)
@@ -274,20 +274,20 @@
 
 
 @pytest.mark.parametrize("kind", list(OutageRecordKind))
-def test_what_was_known_of_an_endpoint_comes_back(kind: OutageRecordKind, tmp_path: Path) -> None:
-    journal = Journal(tmp_path, DISK, POSIX.disk)
+def test_outage_records_are_recovered(kind: OutageRecordKind, tmp_path: Path) -> None:
+    journal = Journal(tmp_path, DISK_BYTES, POSIX.disk)
     due = StoredOutage(77_000_000, kind, 63)
     journal.record_outage("h1", due)
     journal.close()
-    assert reopened(tmp_path).outages == {"h1": due}
+    assert reopen(tmp_path).outages == {"h1": due}
 
 
-def test_care_records_of_older_versions_are_read(tmp_path: Path) -> None:
-    journal = Journal(tmp_path, DISK, POSIX.disk)
+def test_outage_records_of_older_versions_are_read(tmp_path: Path) -> None:
+    journal = Journal(tmp_path, DISK_BYTES, POSIX.disk)
     journal._append_or_queue(["care", "h1", 77])
     journal._append_or_queue(["care", "h2", 78, 1])
     journal.close()
-    found = reopened(tmp_path).outages
+    found = reopen(tmp_path).outages
     assert found == {
         "h1": StoredOutage(77, OutageRecordKind.OUTAGE),
         "h2": StoredOutage(78, OutageRecordKind.SUSPICION),
--- a/tests/test_listings.py
+++ b/tests/test_listings.py
@@ -29,34 +29,34 @@
 READY, DRAINING, GONE = api.Listing.READY, api.Listing.DRAINING, api.Listing.GONE
 
 
-def listed(host: str, dest: int, listing: api.Listing = READY, port: int = 80) -> ResolvedEndpoint:
+def resolved(host: str, dest: int, listing: api.Listing = READY, port: int = 80) -> ResolvedEndpoint:
     """An endpoint of the list."""
     return ResolvedEndpoint(entry(host, dest, listing=listing), ("10.0.0.1", port))
 
 
-class Follower:
+class ListFollower:
     """What the partners' side makes of the news that it hears."""
 
     def __init__(self) -> None:
-        self.known: dict[str, ResolvedEndpoint] = {}
+        self.endpoints: dict[str, ResolvedEndpoint] = {}
 
-    def hear(self, news: EndpointList) -> None:
+    def apply(self, news: EndpointList) -> None:
         if news.full:
-            self.known.clear()
+            self.endpoints.clear()
         for one in news.hosts:
-            self.known.pop(one.entry.host, None)
+            self.endpoints.pop(one.entry.host, None)
             if one.entry.listing is not GONE:
-                self.known[one.entry.host] = one
+                self.endpoints[one.entry.host] = one
 
 
-def numbered(number: int, listing: api.Listing, port: int) -> ResolvedEndpoint:
+def numbered_endpoint(number: int, listing: api.Listing, port: int) -> ResolvedEndpoint:
     """One of twelve endpoints, two to a destination."""
-    return listed(f"h{number}", number // 2, listing, port)
+    return resolved(f"h{number}", number // 2, listing, port)
 
 
 LISTINGS = st.sampled_from((READY, READY, DRAINING, GONE))
 ENTRIES = st.lists(
-    st.builds(numbered, st.integers(0, 11), LISTINGS, st.integers(1, 3)),
+    st.builds(numbered_endpoint, st.integers(0, 11), LISTINGS, st.integers(1, 3)),
     max_size=6,
     unique_by=lambda one: one.entry.host,
 )
@@ -72,39 +72,41 @@
 
 
 @given(STEPS, st.integers(1, 3))
-def test_those_awake_are_told_the_truth_and_nothing_else(steps: list[tuple[str, object]], awake: int) -> None:
-    listings, follower = Listings(awake, 1.0), Follower()
-    truth, used = Follower(), set[int]()
+def test_active_destinations_match_the_list_and_others_are_unknown(
+    steps: list[tuple[str, object]], awake: int
+) -> None:
+    listings, follower = Listings(awake, 1.0), ListFollower()
+    truth, used = ListFollower(), set[int]()
     for at_s, (what, told) in enumerate(steps):
         now_s = 0.6 * at_s
         if isinstance(told, list):
             news = EndpointList(at_s, what == "whole", tuple(told))
-            truth.hear(news)
-            follower.hear(listings.apply(news, now_s))
+            truth.apply(news)
+            follower.apply(listings.apply(news, now_s))
         elif what == "use" and isinstance(told, int):
             for _, news in listings.activate(told, now_s):
-                follower.hear(news)
+                follower.apply(news)
             used.add(told)
-            assert dests_of(follower, told) == dests_of(truth, told)
+            assert endpoints_of(follower, told) == endpoints_of(truth, told)
         else:
             for dest in listings.idle_destinations(now_s):
-                follower.hear(listings.deactivate(dest))
+                follower.apply(listings.deactivate(dest))
                 used.discard(dest)
-                assert dests_of(follower, dest) == {}
+                assert endpoints_of(follower, dest) == {}
         for dest in range(6):
-            assert (dest in listings) == bool(dests_of(truth, dest))
-            known = dests_of(follower, dest)
-            assert known == dests_of(truth, dest) or (known == {} and dest not in used)
+            assert (dest in listings) == bool(endpoints_of(truth, dest))
+            known = endpoints_of(follower, dest)
+            assert known == endpoints_of(truth, dest) or (known == {} and dest not in used)
 
 
-def dests_of(follower: Follower, dest: int) -> dict[str, ResolvedEndpoint]:
+def endpoints_of(follower: ListFollower, dest: int) -> dict[str, ResolvedEndpoint]:
     """What is known of one destination."""
-    return {host: one for host, one in follower.known.items() if one.entry.dest == dest}
+    return {host: one for host, one in follower.endpoints.items() if one.entry.dest == dest}
 
 
-def test_only_what_is_unused_and_crowds_is_asked_to_sleep() -> None:
+def test_only_idle_destinations_beyond_the_limit_are_deactivated() -> None:
     listings = Listings(2, 60.0)
-    listings.apply(EndpointList(1, True, tuple(listed(f"h{n}", n) for n in range(6))), 0.0)
+    listings.apply(EndpointList(1, True, tuple(resolved(f"h{n}", n) for n in range(6))), 0.0)
     for dest in (2, 3, 4):
         list(listings.activate(dest, 10.0 + dest))
     assert listings.idle_destinations(59.0) == []
@@ -116,7 +118,7 @@
 
 
 @pytest.mark.parametrize(("cared", "heard"), [(("h1", "h2", "nobody"), {1, 3}), ((), {1})])
-async def test_the_cares_of_a_former_life_wake_their_destinations(
+async def test_recovered_outages_activate_their_destinations(
     cared: tuple[str, ...], heard: set[int], tmp_path: Path
 ) -> None:
     """One destination may stay awake, the first; who cares must find the others awake as well."""
@@ -125,8 +127,8 @@
     for host in cared:
         former.record_outage(host, StoredOutage(clock_us + 20 * SECOND))
     former.close()
-    follower, journal = Follower(), Journal(tmp_path, 1_000_000, POSIX.disk)
-    partners = Mock(apply=follower.hear)
+    follower, journal = ListFollower(), Journal(tmp_path, 1_000_000, POSIX.disk)
+    partners = Mock(apply=follower.apply)
     driver = RelayCore(
         settings=settings(),
         seed=1,
@@ -138,13 +140,13 @@
         disabled_hosts=DisabledHosts(tmp_path, POSIX.disk),
         on_crash=lambda error: pytest.fail(repr(error)),
     )
-    driver.start(EndpointList(1, True, (listed("h1", 1), listed("h11", 2), listed("h2", 3))))
+    driver.start(EndpointList(1, True, (resolved("h1", 1), resolved("h11", 2), resolved("h2", 3))))
     driver.close()
     journal.close()
-    assert {one.entry.dest for one in follower.known.values()} == heard
+    assert {one.entry.dest for one in follower.endpoints.values()} == heard
 
 
-def test_a_sleeping_destination_of_two_endpoints_takes_less_than_600_bytes() -> None:
+def test_inactive_destination_of_two_endpoints_takes_less_than_600_bytes() -> None:
     """Counted by the allocator, over everything that the list leaves behind."""
     names = [(f"s-{dest:06x}{which}", dest) for dest in range(10_000) for which in "ab"]
     tracemalloc.start()
@@ -161,40 +163,50 @@
     assert held / 10_000 <= 600
 
 
-def told(relay: DecisionEngine, verdict: api.Verdict, wait_us: int = 0) -> None:
+def run_one_message(relay: DecisionEngine, verdict: api.Verdict, wait_us: int = 0) -> None:
     """A message to h1 and its outcome after 10 ms; what was given up or sent again is left as it stands."""
     [send] = sends(relay.step(0, [roster(entry("h1")), api.Arrival("m1", 1, SAFE.name, 2 * SECOND)]))
     relay.step(10_000, [api.Outcome("m1", 0, send.host, verdict, 10_000, verdict is api.Verdict.OK, wait_us)])
 
 
-def refused(relay: DecisionEngine) -> None:
-    told(relay, api.Verdict.FULL, 500 * SECOND)
+def with_retry_after_wait(relay: DecisionEngine) -> None:
+    run_one_message(relay, api.Verdict.FULL, 500 * SECOND)
 
 
-def out(relay: DecisionEngine) -> None:
+def with_open_call(relay: DecisionEngine) -> None:
     relay.step(0, [roster(entry("h1")), api.Arrival("m1", 1, SAFE.name, 3600 * SECOND)])
 
 
-def held(relay: DecisionEngine) -> None:
+def with_held_message(relay: DecisionEngine) -> None:
     relay.step(0, [api.Arrival("m1", 1, SAFE.name, 3600 * SECOND)])
 
 
-def lost(relay: DecisionEngine) -> None:
-    told(relay, api.Verdict.RESET)
+def with_lost_call(relay: DecisionEngine) -> None:
+    run_one_message(relay, api.Verdict.RESET)
 
 
-def cared(relay: DecisionEngine) -> None:
+def with_outage_record(relay: DecisionEngine) -> None:
     relay.step(0, [roster(entry("h1")), api.OutageRecord("h1", 400 * SECOND)])
 
 
-def moved(relay: DecisionEngine) -> None:
+def with_call_at_moved_endpoint(relay: DecisionEngine) -> None:
     """A call is out at an endpoint that belongs to another destination by now."""
-    out(relay)
+    with_open_call(relay)
     relay.step(SECOND, [api.EndpointUpdate(KIND.CHANGES, (entry("h1", dest=2),))])
 
 
-@pytest.mark.parametrize("bind", [refused, out, held, lost, cared, moved])
-def test_what_binds_is_not_slept_away(bind: Callable[[DecisionEngine], None]) -> None:
+@pytest.mark.parametrize(
+    "bind",
+    [
+        with_retry_after_wait,
+        with_open_call,
+        with_held_message,
+        with_lost_call,
+        with_outage_record,
+        with_call_at_moved_endpoint,
+    ],
+)
+def test_destination_with_state_is_not_deactivated(bind: Callable[[DecisionEngine], None]) -> None:
     """A told wait, a call, a held message, an outage, the care of a former life."""
     relay = DecisionEngine(settings(), 1)
     bind(relay)
@@ -202,19 +214,19 @@
     assert 1 in relay.dests
 
 
-def test_a_message_that_comes_with_the_question_keeps_its_destination() -> None:
+def test_message_in_the_same_step_keeps_its_destination_active() -> None:
     relay = DecisionEngine(settings(), 1)
-    told(relay, api.Verdict.OK)
+    run_one_message(relay, api.Verdict.OK)
     events: list[api.Event] = [api.DestinationIdle(1), api.Arrival("m2", 1, SAFE.name, 2 * SECOND)]
     actions = relay.step(100 * SECOND, events)
     assert [send.id for send in sends(actions)] == ["m2"]
     assert api.DestinationDeactivated(1) not in actions
 
 
-def test_one_that_nothing_binds_sleeps_and_wakes_as_it_was_listed() -> None:
+def test_destination_without_state_is_deactivated_and_reactivated_as_listed() -> None:
     """What was listed all along starts in full again; what came later is met as if it were new."""
     relay = DecisionEngine(settings(), 1)
-    told(relay, api.Verdict.OK)
+    run_one_message(relay, api.Verdict.OK)
     assert api.DestinationDeactivated(1) in relay.step(100 * SECOND, [api.DestinationIdle(1)])
     assert (relay.dests, relay.endpoints) == ({}, {})
     relay.step(101 * SECOND, [api.EndpointUpdate(KIND.REACTIVATED, (entry("h1"),))])
@@ -223,7 +235,7 @@
     assert relay.endpoints["h2"].quota == 1
 
 
-def test_a_long_list_is_read_in_slices_and_heard_at_once() -> None:
+def test_long_list_is_read_in_slices_and_applied_at_once() -> None:
     hosts = [
         {"host": f"h{n}", "dial": "10.0.0.1:80", "class": "lots", "block": n, "health": "SERVING"}
         for n in range(2 * SLICE + 1)
--- a/tests/test_figures.py
+++ b/tests/test_metrics.py
@@ -11,28 +11,28 @@
 from tests.world import Reply, Request, World, called, delivered, enqueue, packed, silent, soon
 
 Samples = dict[tuple[str, str, str], float]
-KINDS = ("state", "reason", "phase")  # labels, of which a sample has one at most
+LABELS = ("state", "reason", "phase")  # labels, of which a sample has one at most
 
 
-def parsed(text: str) -> Samples:
+def parse(text: str) -> Samples:
     """Samples by name, group, and state, reason or phase."""
     found: Samples = {}
     for family in text_string_to_metric_families(text):
         assert family.documentation and family.type in ("counter", "gauge")
         for sample in family.samples:
-            [label] = [sample.labels[name] for name in KINDS if name in sample.labels] or [""]
+            [label] = [sample.labels[name] for name in LABELS if name in sample.labels] or [""]
             key = sample.name, sample.labels.get("group", ""), label
             assert key not in found
             found[key] = sample.value
     return found
 
 
-def test_the_format_holds_for_any_name_of_a_class() -> None:
+def test_format_is_valid_for_any_class_name() -> None:
     odd = 'a"b\\c\nd'
     figures = Metrics(["plain", odd])
     figures.count_end(odd, "errored")
     figures.count_end("nobody knows it", "answered")
-    samples = parsed(figures.render(Gauges(7, 3, 2, 1)))
+    samples = parse(figures.render(Gauges(7, 3, 2, 1)))
     assert samples["relay_transactions_total", odd, "errored"] == 1
     assert samples["relay_transactions_total", "plain", "answered"] == 0
     assert samples["relay_sends_total", "", ""] == 7
@@ -42,35 +42,37 @@
     assert not any(group == "nobody knows it" for _, group, _ in samples)
 
 
-def test_classes_without_end_do_not_grow_the_process() -> None:
+def test_number_of_groups_is_bounded() -> None:
     figures = Metrics(["first"])
     for number in range(10_000):
         figures.add_groups([f"c{number}"])
     assert len(figures.end_counts) <= 3 * 65
 
 
-async def scraped(port: int) -> Samples:
+async def scrape(port: int) -> Samples:
     """The relay's figures now."""
     status, text = await called(port, "GET", "/metrics")
     assert status == 200
-    return parsed(text)
+    return parse(text)
 
 
-def differences(samples: Samples, saw: Samples) -> list[str]:
+def mismatches(samples: Samples, expected: Samples) -> list[str]:
     """Figures that are not what the peers saw."""
-    return [f"{key}: {samples.get(key)}, saw {want}" for key, want in saw.items() if samples.get(key) != want]
+    return [
+        f"{key}: {samples.get(key)}, saw {want}" for key, want in expected.items() if samples.get(key) != want
+    ]
 
 
-def test_a_double_count_and_a_miss_are_found() -> None:
+def test_comparison_finds_double_counts_and_misses() -> None:
     """The comparison that the test below rests on can fail."""
     key = ("relay_sends_total", "", "")
     figures = Metrics(["safe"])
     for planted in (2, 0):
-        assert differences(parsed(figures.render(Gauges(planted, 0, 0, 0))), {key: 1.0})
-    assert differences(parsed(figures.render(Gauges(1, 0, 0, 0))), {key: 1.0}) == []
+        assert mismatches(parse(figures.render(Gauges(planted, 0, 0, 0))), {key: 1.0})
+    assert mismatches(parse(figures.render(Gauges(1, 0, 0, 0))), {key: 1.0}) == []
 
 
-def failing(status: int) -> Reply:
+def failing_reply(status: int) -> Reply:
     """A reply that delivers nothing."""
 
     def reply(request: Request) -> None:
@@ -79,7 +81,7 @@
     return reply
 
 
-async def test_mixed_ends_are_counted_as_the_peers_saw_them(world: World) -> None:
+async def test_mixed_results_are_counted_as_the_peers_saw_them(world: World) -> None:
     """Refused at the door, handed back, timed out, repeated, a batch partly refused, a client that left."""
     world.settings["allowed"]["open_cap"] = 12
     first = await world.add("h1")
@@ -88,11 +90,11 @@
     world.name(3)
     port = world.open_console()
     client = await world.run()
-    first.script.extend(map(failing, (503, 500)))
+    first.script.extend(map(failing_reply, (503, 500)))
     for number in range(3):  # the first of them is repeated twice
         assert await client.hand_in(f"s{number}") == b"+OK"
         await first.call(2 + number)
-    first.script.append(failing(500))
+    first.script.append(failing_reply(500))
     assert await client.hand_in("u1", "unsafe") == b"+OK"  # may have run: failed
     assert (await world.directory.notice("u1"))["result"] == "dead"
     assert await client.hand_in("w1", dest=3, d=60) in (b"+OK", b"-BUSY 2000")
@@ -133,41 +135,41 @@
         }
 
     async def agreed() -> None:
-        while found := differences(await scraped(port), saw()):
+        while found := mismatches(await scrape(port), saw()):
             await asyncio.sleep(0.02)
         assert found == []
 
     await soon(agreed())
 
 
-async def test_messages_of_a_former_life_are_counted_where_they_end(world: World) -> None:
+async def test_recovered_messages_are_counted_by_the_process_that_ends_them(world: World) -> None:
     world.name(1)
     port = world.open_console()
     client = await world.run()
     for number in range(3):
         assert await client.hand_in(f"m{number}") == b"+OK"
-    assert (await scraped(port))["relay_current", "", ""] == 3
+    assert (await scrape(port))["relay_current", "", ""] == 3
     await world.kill()
     host = await world.add("h1")
     await world.run()
     await host.until(lambda: sum(len(request.ids) for request in host.seen) == 3)
 
     async def counted() -> None:
-        while (await scraped(port))["relay_transactions_total", "safe", "answered"] != 3:
+        while (await scrape(port))["relay_transactions_total", "safe", "answered"] != 3:
             await asyncio.sleep(0.02)
 
     await soon(counted())
-    assert (await scraped(port))["relay_current", "", ""] == 0
+    assert (await scrape(port))["relay_current", "", ""] == 0
 
 
 @pytest.mark.parametrize("text", ["", "{"])
-async def test_files_taken_and_turned_down_are_counted(world: World, text: str) -> None:
+async def test_accepted_and_rejected_configurations_are_counted(world: World, text: str) -> None:
     port = world.open_console()
     await world.run()
 
     async def counted(invalid: int) -> None:
         want = {("relay_conf_loaded_total", "", ""): 1.0, ("relay_conf_invalid_total", "", ""): 1.0 * invalid}
-        while differences(await scraped(port), want):
+        while mismatches(await scrape(port), want):
             await asyncio.sleep(0.02)
 
     await world.reload()
--- a/tests/test_power.py
+++ b/tests/test_power.py
@@ -14,41 +14,41 @@
 from mallowlug.rig.sim.disk import SimDisk
 from mallowlug.rig.sim.net import failure
 
-FOLDER, BUDGET = Path("/state"), 3_000_000
+STATE_FOLDER, DISK_BYTES = Path("/state"), 3_000_000
 
 
-def opened(disk: SimDisk, durable: bool = True) -> Journal:
+def open_journal(disk: SimDisk, durable: bool = True) -> Journal:
     """A life's journal."""
-    return Journal(FOLDER, BUDGET, disk, durable)
+    return Journal(STATE_FOLDER, DISK_BYTES, disk, durable)
 
 
-def accept(journal: Journal, ref: str, size: int = 100) -> None:
+def accept(journal: Journal, message_id: str, size: int = 100) -> None:
     """Take a message on."""
-    journal.accept(ref, {"id": ref, "dest": 1}, b"x" * size)
+    journal.accept(message_id, {"id": message_id, "dest": 1}, b"x" * size)
 
 
-def failing(disk: SimDisk, name: str, times: int) -> Callable[[], int]:
+def fail_next_calls(disk: SimDisk, name: str, times: int) -> Callable[[], int]:
     """Let the next so many of these calls fail; how many still will."""
-    real, left = getattr(disk, name), [times]
+    real, remaining = getattr(disk, name), [times]
 
     def call(*args: object) -> None:
-        if left[0]:
-            left[0] -= 1
+        if remaining[0]:
+            remaining[0] -= 1
             raise failure(5)
         real(*args)
 
     setattr(disk, name, call)
-    return lambda: left[0]
+    return lambda: remaining[0]
 
 
 @given(st.integers(0, 2**32), st.integers(1, 60), st.integers(0, 4))
-def test_what_was_said_outlasts_any_number_of_losses(seed: int, count: int, losses: int) -> None:
+def test_reported_results_survive_any_number_of_power_losses(seed: int, count: int, losses: int) -> None:
     """Taken messages, attempts and ends are there, whatever else of the log and its names is not."""
     rng, disk = random.Random(seed), SimDisk(random.Random(seed))
     taken: dict[str, int] = {}
     ended: dict[str, str] = {}
     for life in range(losses + 1):
-        journal = opened(disk)
+        journal = open_journal(disk)
         assert set(taken) - set(ended) <= set(journal.recovered)
         for ref, tries in taken.items():
             if ref not in ended:
@@ -71,62 +71,62 @@
         disk.crash()
 
 
-def test_a_journal_that_is_not_durable_does_lose_them() -> None:
+def test_journal_that_is_not_durable_loses_records() -> None:
     """The checker above can fail."""
     lost = 0
     for seed in range(20):
         disk = SimDisk(random.Random(seed))
-        journal = opened(disk, durable=False)
+        journal = open_journal(disk, durable=False)
         accept(journal, "m1")
         disk.crash()
-        lost += "m1" not in opened(disk, durable=False).recovered
+        lost += "m1" not in open_journal(disk, durable=False).recovered
     assert lost
 
 
-def test_power_is_lost_between_a_renaming_and_the_sync_of_its_folder() -> None:
+def test_power_loss_between_rename_and_directory_sync() -> None:
     """Either log may be there; both hold every message that is not over."""
     for seed in range(20):
         disk = SimDisk(random.Random(seed))
-        journal = opened(disk)
+        journal = open_journal(disk)
         accept(journal, "open")
         for number in range(60):
             accept(journal, f"m{number}", 10_000)
             journal.record_completed(f"m{number}")
-        left = failing(disk, "sync_folder", 1)
+        left = fail_next_calls(disk, "sync_folder", 1)
         with pytest.raises(JournalFullError):  # the new log has no lasting name: nothing more is promised
             for number in range(1000):
                 accept(journal, f"n{number}", 10_000)
                 journal.record_completed(f"n{number}")
                 if not left():
-                    failing(disk, "sync_folder", 1)
+                    fail_next_calls(disk, "sync_folder", 1)
                     accept(journal, "refused")
         disk.crash()
-        assert "open" in opened(disk).recovered
+        assert "open" in open_journal(disk).recovered
 
 
-def test_a_failed_sync_refuses_and_the_next_one_writes_the_log_anew() -> None:
+def test_failed_sync_refuses_and_the_next_one_rewrites_the_log() -> None:
     disk = SimDisk(random.Random(1))
-    journal = opened(disk)
+    journal = open_journal(disk)
     accept(journal, "before")
-    failing(disk, "sync", 2)  # the log's, then the new log's
+    fail_next_calls(disk, "sync", 2)  # the log's, then the new log's
     with pytest.raises(JournalFullError):
         accept(journal, "refused")
     with pytest.raises(JournalFullError):
         accept(journal, "refused too")
     accept(journal, "after")
     disk.crash()
-    assert list(opened(disk).recovered) == ["before", "after"]
+    assert list(open_journal(disk).recovered) == ["before", "after"]
 
 
-def test_a_failed_sync_says_so_and_the_next_one_makes_its_records_safe() -> None:
+def test_failed_sync_raises_and_the_next_one_makes_its_records_safe() -> None:
     """``Journal.sync`` raises for what it covered; that record is in the log that is written anew."""
     disk = SimDisk(random.Random(2))
-    journal = opened(disk)
+    journal = open_journal(disk)
     accept(journal, "m")
     journal.record_attempts([("m", Attempt(0, "h", "z", 5))])
-    failing(disk, "sync", 1)
+    fail_next_calls(disk, "sync", 1)
     with pytest.raises(JournalFullError):
         journal.sync()
     journal.sync()
     disk.crash()
-    assert len(opened(disk).recovered["m"].attempts) == 1
+    assert len(open_journal(disk).recovered["m"].attempts) == 1
--- a/tests/test_reasons.py
+++ b/tests/test_reasons.py
@@ -11,11 +11,11 @@
 from mossfront import DecisionEngine
 from mossfront import interface as api
 from tests.support import KEYED, SAFE, SECOND, UNSAFE, arrival, ended, entry, roster, sends, settings
-from tests.test_figures import scraped
+from tests.test_metrics import scrape
 from tests.world import World, packed, silent, soon
 
 
-def test_each_event_is_counted_by_reason_and_told_once(caplog: pytest.LogCaptureFixture) -> None:
+def test_each_event_is_counted_by_reason_and_summarized_once(caplog: pytest.LogCaptureFixture) -> None:
     reasons = Reasons()
     with caplog.at_level(logging.INFO):
         for _ in range(2):
@@ -27,54 +27,56 @@
     assert {reason: count for reason, count in reasons.total(Event.RETRY).items() if count} == {"reset": 2}
 
 
-def test_a_line_each_names_message_and_host_where_that_is_asked_for(caplog: pytest.LogCaptureFixture) -> None:
+def test_debug_lines_name_message_and_host(caplog: pytest.LogCaptureFixture) -> None:
     with caplog.at_level(logging.DEBUG):
         Reasons().count(Event.RETRY, "reset", message_id="m1", host="h1")
     assert caplog.messages == ["retries: reset m1 h1"]
 
 
-def given_up(relay: DecisionEngine, at_us: int, *events: api.Event) -> list[api.GiveUpReason]:
+def give_up_reasons(relay: DecisionEngine, at_us: int, *events: api.Event) -> list[api.GiveUpReason]:
     """Why messages get their final answers in a step."""
     actions = relay.step(at_us, list(events))
     return [action.reason for action in actions if isinstance(action, api.Refuse | api.Fail)]
 
 
-def relay_with_a_host(**told: int) -> DecisionEngine:
+def engine_with_one_host(**overrides: int) -> DecisionEngine:
     """A relay that knows one host."""
-    relay = DecisionEngine(settings(**told), 1)
+    relay = DecisionEngine(settings(**overrides), 1)
     relay.step(0, [roster(entry("h1"))])
     return relay
 
 
-def test_what_may_have_run_and_may_not_be_repeated_is_given_up_for_that() -> None:
-    relay = relay_with_a_host()
+def test_unsafe_message_in_doubt_is_given_up_as_not_repeatable() -> None:
+    relay = engine_with_one_host()
     [send] = sends(relay.step(SECOND, [arrival("m1", UNSAFE)]))
-    reasons = given_up(relay, 2 * SECOND, ended(send, api.Verdict.RESET))
+    reasons = give_up_reasons(relay, 2 * SECOND, ended(send, api.Verdict.RESET))
     assert reasons == [api.GiveUpReason.NOT_REPEATABLE]
 
 
-def test_a_wait_beyond_the_time_a_full_table_and_the_last_try_have_reasons_of_their_own() -> None:
-    relay = relay_with_a_host()
+def test_long_wait_full_backlog_and_last_attempt_have_their_own_reasons() -> None:
+    relay = engine_with_one_host()
     [send] = sends(relay.step(SECOND, [arrival("m1", SAFE)]))
     refusal = ended(send, api.Verdict.FULL, wait_us=3600 * SECOND)
-    assert given_up(relay, 2 * SECOND, refusal) == [api.GiveUpReason.WAIT_EXCEEDS_DEADLINE]
+    assert give_up_reasons(relay, 2 * SECOND, refusal) == [api.GiveUpReason.WAIT_EXCEEDS_DEADLINE]
     full = DecisionEngine(settings(max_held_messages=2), 1)
     full.step(0, [])
     held = [arrival(f"m{number}", KEYED) for number in range(3)]
-    assert set(given_up(full, SECOND, *held)) == {api.GiveUpReason.BACKLOG_FULL}
-    last = relay_with_a_host(max_attempts=1)
+    assert set(give_up_reasons(full, SECOND, *held)) == {api.GiveUpReason.BACKLOG_FULL}
+    last = engine_with_one_host(max_attempts=1)
     [send] = sends(last.step(SECOND, [arrival("m1", SAFE)]))
-    assert given_up(last, 2 * SECOND, ended(send, api.Verdict.ERROR)) == [api.GiveUpReason.NO_ATTEMPTS_LEFT]
+    assert give_up_reasons(last, 2 * SECOND, ended(send, api.Verdict.ERROR)) == [
+        api.GiveUpReason.NO_ATTEMPTS_LEFT
+    ]
 
 
-async def closes(port: int, name: str) -> dict[str, float]:
+async def close_counts(port: int, name: str) -> dict[str, float]:
     """Connections that were closed, by reason."""
-    samples = await scraped(port)
+    samples = await scrape(port)
     counts = {label: count for (known, _, label), count in samples.items() if known == f"relay_{name}_total"}
     return {label: count for label, count in counts.items() if count}
 
 
-async def test_closes_of_clients_and_hosts_have_the_reasons_that_the_peers_gave(world: World) -> None:
+async def test_closed_connections_are_counted_by_reason(world: World) -> None:
     host = await world.add("h1", silent)
     world.name(1)
     port = world.open_console()
@@ -88,12 +90,12 @@
 
     async def counted() -> None:
         want = {ClientClose.ERRORS.value: 1.0, ClientClose.BY_CLIENT.value: 1.0}
-        while (await closes(port, "client_closes")) != want:
+        while (await close_counts(port, "client_closes")) != want:
             rude.writer.close()
             await asyncio.sleep(0.02)
-        while (await closes(port, "host_closes")).get(HostClose.FAILED.value) != 1.0:
+        while (await close_counts(port, "host_closes")).get(HostClose.FAILED.value) != 1.0:
             await asyncio.sleep(0.02)
 
     await soon(counted())
-    samples = await scraped(port)
+    samples = await scrape(port)
     assert samples["relay_host_phases", "", "suspect"] == samples["relay_host_phases", "", "healthy"] == 1
--- a/tests/test_found.py
+++ b/tests/test_recovered_untried.py
@@ -11,24 +11,26 @@
 from tests.support import SAFE, SECOND, UNSAFE, arrival, ended, entry, roster, sends, settings
 from tests.world import Request, World, delivered, silent
 
-LOW = replace(SAFE, worth=0.1)
+LOW_WORTH = replace(SAFE, worth=0.1)
 
 
-def found(ref: str, left_us: int = 5 * SECOND) -> api.Arrival:
+def recovered(message_id: str, left_us: int = 5 * SECOND) -> api.Arrival:
     """A message that a restart has found, of a class that is worth little."""
     return replace(
-        arrival(ref, LOW, left_us=left_us), rules=api.DeliveryRules(LOW, 4), recovered_untried=True
+        arrival(message_id, LOW_WORTH, left_us=left_us),
+        rules=api.DeliveryRules(LOW_WORTH, 4),
+        recovered_untried=True,
     )
 
 
-def one_at_a_time() -> DecisionEngine:
+def single_slot_engine() -> DecisionEngine:
     """A relay with a single slot, so that the order of calls is the order of choice."""
     return DecisionEngine(settings(max_calls=1, max_held_messages=6), 1)
 
 
-def test_what_was_found_is_tried_before_what_came_since_and_is_worth_more() -> None:
-    relay, order = one_at_a_time(), list[str]()
-    events: list[api.Event] = [found("f1"), found("f2"), arrival("n1", UNSAFE), roster(entry("h1"))]
+def test_recovered_messages_go_before_newer_ones_of_greater_worth() -> None:
+    relay, order = single_slot_engine(), list[str]()
+    events: list[api.Event] = [recovered("f1"), recovered("f2"), arrival("n1", UNSAFE), roster(entry("h1"))]
     for at in range(1, 5):
         sent = sends(relay.step(at * SECOND, [*events, api.TimerDue()]))
         order += [send.id for send in sent]
@@ -37,11 +39,16 @@
     assert order[2:] == ["n1"]
 
 
-def test_of_what_was_found_whose_time_ends_first_goes_first() -> None:
+def test_recovered_messages_go_in_the_order_of_their_deadlines() -> None:
     """So the most of it is tried, whatever each is worth."""
-    relay, order = one_at_a_time(), list[str]()
-    costly = replace(found("f2", 9 * SECOND), cls=UNSAFE.name, rules=api.DeliveryRules(UNSAFE, 4))
-    events: list[api.Event] = [found("f3", 5_900_000), costly, found("f1", 4 * SECOND), roster(entry("h1"))]
+    relay, order = single_slot_engine(), list[str]()
+    costly = replace(recovered("f2", 9 * SECOND), cls=UNSAFE.name, rules=api.DeliveryRules(UNSAFE, 4))
+    events: list[api.Event] = [
+        recovered("f3", 5_900_000),
+        costly,
+        recovered("f1", 4 * SECOND),
+        roster(entry("h1")),
+    ]
     for at in range(1, 4):
         sent = sends(relay.step(at * SECOND // 2, [*events, api.TimerDue()]))
         order += [send.id for send in sent]
@@ -49,32 +56,32 @@
     assert order == ["f1", "f3", "f2"]
 
 
-def test_once_tried_it_is_like_any_other() -> None:
-    relay = one_at_a_time()
-    first = sends(relay.step(0, [found("f1"), roster(entry("h1"))]))
+def test_recovered_message_has_no_priority_after_its_first_attempt() -> None:
+    relay = single_slot_engine()
+    first = sends(relay.step(0, [recovered("f1"), roster(entry("h1"))]))
     assert [send.id for send in first] == ["f1"]
     failed = ended(first[0], api.Verdict.ERROR)
     again = sends(relay.step(SECOND, [failed, arrival("n1"), api.TimerDue()]))
     assert [send.id for send in again] == ["n1"]
 
 
-def test_over_the_bound_what_came_since_is_given_up_first() -> None:
-    relay = one_at_a_time()
-    relay.step(0, [found("f1"), found("f2")])  # nobody is listed yet: all of it is held
+def test_newer_messages_are_given_up_before_recovered_ones() -> None:
+    relay = single_slot_engine()
+    relay.step(0, [recovered("f1"), recovered("f2")])  # nobody is listed yet: all of it is held
     gone = relay.step(1000, [arrival(f"n{at}", UNSAFE) for at in range(5)])
     given = [action.id for action in gone if isinstance(action, api.Refuse | api.Fail)]
     assert len(given) == 2
     assert all(ref.startswith("n") for ref in given)
 
 
-def test_where_all_was_found_the_bound_still_holds() -> None:
-    relay = one_at_a_time()
-    gone = relay.step(0, [found(f"f{at}") for at in range(7)])
+def test_backlog_limit_also_holds_for_recovered_messages() -> None:
+    relay = single_slot_engine()
+    gone = relay.step(0, [recovered(f"f{at}") for at in range(7)])
     assert len([action for action in gone if isinstance(action, api.Refuse)]) == 2
 
 
 @pytest.mark.parametrize("listed", ["known", "late"])
-async def test_a_restart_tries_first_what_it_finds(world: World, listed: str) -> None:
+async def test_restart_tries_recovered_messages_first(world: World, listed: str) -> None:
     """Three taken on while the only slot hangs; behind a kill -9 they go before the next client's, by one
     slot at a time, whether the list is known at the start or comes only then.
     """
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -12,7 +12,7 @@
 from tests.world import Request, World, delivered, enqueue, packed, silent, soon
 
 
-async def test_a_message_goes_on_unchanged(world: World) -> None:
+async def test_message_is_forwarded_unchanged(world: World) -> None:
     host = await world.add("h1")
     client = await world.run()
     body = bytes(range(256)) * 4
@@ -24,7 +24,7 @@
     assert 0 < int(re.fullmatch(r"(\d+)m", call.headers["x-remaining"])[1]) <= 30_000  # type: ignore[index]
 
 
-async def test_connections_are_used_again(world: World) -> None:
+async def test_connections_are_reused(world: World) -> None:
     """A new connection for each message costs the host work and the message time."""
     host = await world.add("h1")
     client = await world.run()
@@ -34,7 +34,7 @@
     assert host.connections == 1
 
 
-async def test_a_request_that_comes_twice_is_one_message(world: World) -> None:
+async def test_repeated_request_is_one_message(world: World) -> None:
     """A client repeats a request on a new connection if the old one's end crossed it."""
     host = await world.add("h1")
     client = await world.run()
@@ -63,7 +63,7 @@
         packed(b""),
     ],
 )
-async def test_what_cannot_be_read_is_answered_and_the_connection_goes_on(
+async def test_malformed_request_gets_an_error_and_keeps_the_connection(
     world: World, request_bytes: bytes
 ) -> None:
     client = await world.run()
@@ -94,7 +94,7 @@
     ],
 )
 @pytest.mark.parametrize("whole", [True, False], ids=["one piece", "byte by byte"])
-async def test_a_broken_frame_ends_that_connection_alone(world: World, frame: bytes, whole: bool) -> None:
+async def test_malformed_frame_closes_only_its_connection(world: World, frame: bytes, whole: bool) -> None:
     """Whatever it says of its lengths, and where in a request; the rest of the stream is not to be read."""
     other = await world.run()
     client = await world.client()
@@ -118,7 +118,7 @@
     return told
 
 
-async def test_a_request_may_come_in_pieces(world: World) -> None:
+async def test_request_may_arrive_in_pieces(world: World) -> None:
     host = await world.add("h1")
     client = await world.run()
     data = packed(*enqueue("m1")) + packed(b"PING")
@@ -130,7 +130,7 @@
     await host.call(0)
 
 
-async def test_over_the_holding_cap_a_message_is_refused_with_a_time(world: World) -> None:
+async def test_message_beyond_the_backlog_limit_is_refused_with_a_wait(world: World) -> None:
     world.settings["allowed"]["open_cap"] = 1
     host = await world.add("h1", silent)
     client = await world.run()
@@ -139,7 +139,7 @@
     assert await client.hand_in("m2") == b"-BUSY 2000"
 
 
-async def test_a_full_disk_budget_refuses_and_goes_on(world: World) -> None:
+async def test_full_disk_budget_refuses_new_messages_only(world: World) -> None:
     """More than ``disk_mb`` in the folder is a crash: new work is turned away before."""
     world.disk_mb = 0.1
     host = await world.add("h1", silent)
@@ -155,7 +155,7 @@
     await host.until(lambda: any("late" in request.ids for request in host.seen))
 
 
-async def test_sends_of_one_step_share_a_call_and_each_has_its_own_end(world: World) -> None:
+async def test_sends_of_one_step_share_a_call_with_individual_results(world: World) -> None:
     def mixed(request: Request) -> None:
         ends = {"m1": "delivered", "m2": "refused", "m3": "over", "m4": "failed", "m5": "spent"}
         request.answer(200, "".join(f"{ref} {ends[ref]}\r\n" for ref in request.ids))
@@ -176,7 +176,7 @@
     assert {ref for r in host.seen[1:] for ref in r.ids} == {"m2", "m5"}
 
 
-async def test_a_batch_answer_that_is_cut_may_have_run(world: World) -> None:
+async def test_truncated_batch_response_is_in_doubt(world: World) -> None:
     """A batch is delivered only when its whole answer is there."""
 
     def cut(request: Request) -> None:
@@ -192,7 +192,7 @@
 
 
 @pytest.mark.parametrize("status", [503, 504])
-async def test_what_never_ran_is_sent_again_though_unsafe(world: World, status: int) -> None:
+async def test_unsafe_message_that_never_ran_is_retried(world: World, status: int) -> None:
     host = await world.add("h1")
     client = await world.run()
     host.script.append(lambda request: request.answer(status))
@@ -200,7 +200,7 @@
     assert (await host.call(1)).ids == ["m1"]
 
 
-async def test_a_message_that_is_over_is_left_alone(world: World) -> None:
+async def test_completed_message_is_not_sent_again(world: World) -> None:
     host = await world.add("h1")
     client = await world.run()
     host.script.append(lambda request: request.answer(410))
@@ -214,7 +214,7 @@
 
 
 @pytest.mark.parametrize("reply", [lambda r: r.answer(500), Request.reset, lambda r: r.writer.close()])
-async def test_what_may_have_run_is_not_repeated_where_that_harms(world: World, reply: object) -> None:
+async def test_unsafe_message_in_doubt_is_not_repeated(world: World, reply: object) -> None:
     host = await world.add("h1")
     client = await world.run()
     host.script.append(reply)  # type: ignore[arg-type]
@@ -223,7 +223,7 @@
     assert len(host.seen) == 1
 
 
-async def test_a_reset_on_a_reused_connection_may_have_run(world: World) -> None:
+async def test_reset_on_a_reused_connection_is_in_doubt(world: World) -> None:
     """Idle or not before: once the last byte is out, the host may have begun."""
     host = await world.add("h1")
     client = await world.run()
@@ -235,7 +235,7 @@
     assert [request.connection for request in host.seen] == [1, 1]
 
 
-async def test_a_connection_that_the_host_ended_is_not_written_to(world: World) -> None:
+async def test_connection_closed_by_the_host_is_not_reused(world: World) -> None:
     host = await world.add("h1")
     client = await world.run()
     await client.hand_in("m1", "unsafe")
@@ -247,7 +247,7 @@
     assert (await host.call(1)).connection == 2
 
 
-async def test_a_refused_connection_never_ran(world: World) -> None:
+async def test_refused_connection_proves_that_the_attempt_never_ran(world: World) -> None:
     host = await world.add("h1", listens=False)
     client = await world.run()
     assert await client.hand_in("m1", "unsafe") == b"+OK"
@@ -256,7 +256,7 @@
     assert (await host.call(0)).ids == ["m1"]
 
 
-async def test_silence_ends_with_the_messages_time(world: World) -> None:
+async def test_unanswered_calls_end_at_the_message_deadline(world: World) -> None:
     """A keyed message that may have run is failed, a safe one handed back with a time to come again."""
     await world.add("h1", silent)
     client = await world.run()
@@ -268,7 +268,7 @@
     assert 1000 <= told["wait_ms"] <= 2000, "drawn, so that not all clients come back together"
 
 
-async def test_a_wait_is_heeded(world: World) -> None:
+async def test_retry_after_wait_is_honoured(world: World) -> None:
     """Told on any answer, also on one that delivers."""
     host = await world.add("h1")
     client = await world.run()
@@ -281,7 +281,7 @@
     assert (await host.call(2)).at_s - second.at_s >= 0.6
 
 
-async def test_nothing_new_goes_to_a_host_that_drains(world: World) -> None:
+async def test_draining_host_gets_no_new_calls(world: World) -> None:
     draining, other = await world.add("h1"), await world.add("h2", site="b")
     client = await world.run()
     await client.hand_in("m1")
@@ -300,7 +300,7 @@
 
 
 @pytest.mark.parametrize("how", ["lose", "garble"])
-async def test_a_watch_that_breaks_is_asked_for_again(world: World, how: str) -> None:
+async def test_broken_watch_is_reopened(world: World, how: str) -> None:
     world.name(2)
     host = await world.add("h1")
     client = await world.run()
@@ -320,7 +320,7 @@
     assert not asked[-1].endswith("from=0")
 
 
-async def test_a_notice_is_repeated_until_it_is_confirmed(world: World) -> None:
+async def test_notice_is_repeated_until_confirmed(world: World) -> None:
     client = await world.run()
     await world.directory.call(0)
     world.directory.script += [Request.reset, lambda request: request.answer(503)]
@@ -332,7 +332,7 @@
     assert len(set(posts)) == 1
 
 
-async def test_bad_entries_of_the_list_are_left_out(world: World) -> None:
+async def test_invalid_list_entries_are_skipped(world: World) -> None:
     world.directory.change("bad1", dial="nowhere")
     world.directory.change("bad2", dial="127.0.0.1:1", health="ODD")
     world.directory.change("bad3", dial="127.0.0.1:1", block="x")
@@ -343,7 +343,7 @@
 
 
 @pytest.mark.parametrize("answer", [b"nonsense\r\n\r\n", b"HTTP/1.1 503 X\r\nX: " + b"y" * 70_000])
-async def test_an_answer_that_cannot_be_read_may_have_run(world: World, answer: bytes) -> None:
+async def test_unreadable_response_is_in_doubt(world: World, answer: bytes) -> None:
     host = await world.add("h1")
     client = await world.run()
     host.script.append(lambda request: request.writer.write(answer))
@@ -353,7 +353,7 @@
     await host.until(lambda: host.seen[-1].ids == ["m2"])
 
 
-async def test_over_the_bound_the_connection_that_was_silent_longest_goes(world: World) -> None:
+async def test_longest_idle_connection_is_closed_at_the_limit(world: World) -> None:
     """Descriptors are bounded; turning the new one away would lose the request on its way."""
     world.sockets = 8  # of which half are for clients
     first = await world.run()
@@ -367,7 +367,7 @@
         assert await client.command(b"PING") == b"+PONG"
 
 
-async def test_a_post_of_a_notice_that_hangs_is_made_again_in_time(world: World) -> None:
+async def test_hanging_notice_post_is_repeated_in_time(world: World) -> None:
     """A notice is overdue 300 ms after the message's time: one silent connection must not use that up."""
     client = await world.run()
     await world.directory.call(0)
@@ -379,7 +379,7 @@
     assert [notice["ref"] for notice in world.directory.notices] == ["m1", "m2"]
 
 
-async def test_a_watch_that_falls_silent_is_asked_for_again(world: World) -> None:
+async def test_silent_watch_is_reopened(world: World) -> None:
     """A cut network ends no connection; what the list then tells binds all the same."""
     world.directory.heartbeat = False
     await world.run()
@@ -388,7 +388,7 @@
     assert again.target == "/discovery/hosts?watch=1&from=1"
 
 
-def test_silences_end_within_what_the_rules_allow() -> None:
+def test_timeouts_are_within_the_rules() -> None:
     """A notice is overdue after 300 ms; a change counts as told after 6 s; a watch has a line every 2 s."""
     asked_again_s = 0.65 + 0.5  # the module's first gap at most, and a slow answer
     assert notices.POST_S[0] + notices.AGAIN_S[0] < 0.3
--- a/tests/test_restart.py
+++ b/tests/test_restart.py
@@ -16,7 +16,7 @@
 from tests.world import ROOT, World, delivered, silent, soon
 
 
-async def test_a_held_message_is_delivered_by_the_next_life(world: World) -> None:
+async def test_held_message_is_delivered_after_a_restart(world: World) -> None:
     client = await world.run()
     assert await client.hand_in("m1", "unsafe") == b"+OK"
     await world.kill()
@@ -26,7 +26,7 @@
 
 
 @pytest.mark.parametrize("cls", ["keyed", "safe"])
-async def test_a_call_out_at_the_end_is_repeated_where_that_is_allowed(world: World, cls: str) -> None:
+async def test_interrupted_call_is_repeated_where_allowed(world: World, cls: str) -> None:
     """A keyed one goes only to the zone of its first try, whatever else would be cheaper."""
     first = await world.add("h1", silent, site="b")
     client = await world.run()
@@ -43,7 +43,7 @@
         assert (await other.call(0)).ids == ["m1"]
 
 
-async def test_an_unsafe_call_out_at_the_end_is_failed(world: World) -> None:
+async def test_interrupted_unsafe_call_fails(world: World) -> None:
     host = await world.add("h1", silent)
     client = await world.run()
     await client.hand_in("m1", "unsafe")
@@ -53,7 +53,7 @@
     assert len(host.seen) == 1
 
 
-async def test_an_attempt_that_never_ran_leaves_the_next_life_free(world: World) -> None:
+async def test_attempt_that_never_ran_may_be_retried_after_a_restart(world: World) -> None:
     host = await world.add("h1", lambda request: request.answer(429, X_Retry_In_Ms="20000"))
     client = await world.run()
     await client.hand_in("m1", "unsafe")
@@ -65,7 +65,7 @@
     assert (await host.call(1)).ids == ["m1"]
 
 
-async def test_what_is_over_is_never_sent_again(world: World) -> None:
+async def test_completed_message_is_never_sent_again(world: World) -> None:
     host = await world.add("h1")
     client = await world.run()
     await client.hand_in("m1")
@@ -77,7 +77,7 @@
     assert [request.ids for request in host.seen] == [["m1"], ["m2"]]
 
 
-async def test_an_unconfirmed_notice_is_sent_again(world: World) -> None:
+async def test_unconfirmed_notice_is_sent_again(world: World) -> None:
     client = await world.run()
     world.directory.script += [silent] * 2  # the watch, then the notice
     await world.again()
@@ -90,7 +90,7 @@
     assert (await world.directory.notice("m1"))["result"] == "bounced"
 
 
-async def test_a_message_past_its_time_gets_its_notice_after_the_restart(world: World) -> None:
+async def test_expired_message_gets_its_notice_after_a_restart(world: World) -> None:
     client = await world.run()
     await client.hand_in("m1", d=1500)
     await world.kill()
@@ -100,7 +100,7 @@
     assert (await world.directory.notice("m1"))["result"] == "bounced"
 
 
-async def test_known_serves_until_discovery_answers(world: World) -> None:
+async def test_known_list_is_used_until_discovery_answers(world: World) -> None:
     host = await world.add("h1")
     world.known = list(world.directory.hosts.values())
     world.directory.down = True
@@ -109,7 +109,7 @@
     assert (await host.call(0)).ids == ["m1"]
 
 
-async def test_a_torn_tail_loses_nothing_before_or_behind_it(world: World) -> None:
+async def test_torn_tail_loses_no_record_before_or_after_it(world: World) -> None:
     client = await world.run()
     await client.hand_in("m1")
     await world.kill()
@@ -123,7 +123,7 @@
     await host.until(lambda: {ref for request in host.seen for ref in request.ids} == {"m1", "m2"})
 
 
-async def test_sigterm_lets_calls_end_and_leaves_the_rest(world: World) -> None:
+async def test_sigterm_lets_calls_end_and_keeps_other_messages(world: World) -> None:
     world.name(2)
     host = await world.add("h1", silent)
     client = await world.run()
@@ -145,7 +145,7 @@
     assert world.directory.notices == []
 
 
-async def test_a_recovered_message_that_the_settings_no_longer_name_gets_its_end(world: World) -> None:
+async def test_recovered_message_of_a_removed_class_gets_its_result(world: World) -> None:
     """It lives by the rules that it came under; without any the module would drop it unseen, and lose it."""
     client = await world.run()
     await client.hand_in("m1", "unsafe")
@@ -165,7 +165,7 @@
 
 
 @pytest.mark.parametrize("missing", ["settings", "listen", "known"])
-async def test_a_configuration_that_cannot_be_used_is_told(world: World, missing: str) -> None:
+async def test_unusable_configuration_ends_the_process(world: World, missing: str) -> None:
     """Without settings or an address the relay ends with 2; without a known list it serves."""
     environment = world.environment()
     path = world.folder / "config.json"
@@ -181,7 +181,7 @@
         assert await soon(world.process.wait()) == 2
 
 
-async def test_an_error_in_the_step_loop_is_loud_and_ends_the_process(
+async def test_error_in_the_step_loop_is_logged_and_ends_the_process(
     world: World, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
     """It is no single message's: going on would leave the module in a state that nobody knows."""
