--- a/tests/sim/test_hours.py
+++ b/tests/sim/test_hours.py
@@ -31,9 +31,8 @@
 
 
 def test_memory_and_descriptors_come_back(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(
-        relay, "MAX_REMEMBERED_IDS", 50
-    )  # ids of messages that are over: as many after every hour
+    # Ids of completed messages: as many after every hour.
+    monkeypatch.setattr(relay, "MAX_REMEMBERED_IDS", 50)
     found = hours.played(HOUR, 4, tmp_path, lull_s=45.0)
     assert found.done.complaints == []
     assert found.problems == []
--- a/tests/test_cost.py
+++ b/tests/test_cost.py
@@ -1,6 +1,6 @@
-"""What a message costs, counted in simulated time: the same on every machine; what grows has been changed.
+"""The cost of a message, counted in a simulation: the same on every machine, changed only by the code.
 
-Times are ``bench/``'s; here are function calls of the relay's own code, records and bytes of its journal.
+``bench/`` measures times; these tests count function calls of the relay's own code and journal records.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 from tests.world import ROOT
 
 PACKAGES = ("mossfront", "mallowlug/core", "mallowlug/fronts", "mallowlug/partners", "mallowlug/net")
-# Function calls a message by room, with a tenth of room above what was counted when the bound was set.
+# Function calls per message by package, a tenth above the number counted when the limits were set.
 MAX_CALLS_PER_MESSAGE = {
     "mossfront": 213, "mallowlug/core": 67, "mallowlug/fronts": 30, "mallowlug/partners": 24,
     "mallowlug/net": 33,
@@ -29,12 +29,12 @@
 
 
 def package_of(path: str) -> str:
-    """The room of the relay that a file belongs to; empty for none."""
-    return next((room for room in PACKAGES if f"/{room}/" in path), "")
+    """The package that a file belongs to; empty for another one."""
+    return next((package for package in PACKAGES if f"/{package}/" in path), "")
 
 
 def count_calls(folder: Path) -> tuple[Counter[str], int]:
-    """Function calls by room on a calm day of 6 s, and how many messages it had."""
+    """Count the function calls by package in 6 s of the calm scenario, and its messages."""
     found, packages = Counter[str](), dict[str, str]()
 
     def called(frame: FrameType, event: str, _arg: Any) -> None:
@@ -55,9 +55,9 @@
 
 
 def over_limit(found: Counter[str], messages: int) -> dict[str, float]:
-    """The rooms that cost more than their bound, with their calls a message."""
-    costs = {room: found[room] / messages for room in PACKAGES}
-    return {room: cost for room, cost in costs.items() if cost > MAX_CALLS_PER_MESSAGE[room]}
+    """The packages above their limit, with their calls per message."""
+    costs = {package: found[package] / messages for package in PACKAGES}
+    return {package: cost for package, cost in costs.items() if cost > MAX_CALLS_PER_MESSAGE[package]}
 
 
 def test_function_calls_per_message_are_within_their_limits(tmp_path: Path) -> None:
@@ -81,7 +81,7 @@
 
 
 def test_delivered_message_has_three_records(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Taken on, tried, over: each is a write to the disk."""
+    """Accepted, attempted, completed: each is one write to the disk."""
     kinds, real = Counter[str](), Journal._track_record
 
     def kept(self: Journal, head: list[Any], raw: bytes) -> None:
@@ -93,5 +93,6 @@
     done = simulate(world, tmp_path)
     messages = sum(isinstance(event, rec.Ask) for event in rec.read(done.path).events)
     assert kinds["in"] == messages
-    assert messages - 2 <= kinds["over"] <= messages  # the world ends while the last ones are out
+    # The simulation ends while the last ones are in progress.
+    assert messages - 2 <= kinds["over"] <= messages
     assert messages <= kinds["try"] <= 1.05 * messages
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -1,4 +1,4 @@
-"""Descriptors by role: idle clients fill theirs; the watch, calls, notices and journal still get theirs."""
+"""Descriptors by use: idle clients fill their share; the watch, calls, notices and journal keep theirs."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 
 async def test_new_connection_replaces_the_least_recently_used_idle_one() -> None:
-    """Each destination's connection is kept for the next call, until another needs its descriptor."""
+    """Each destination's connection is kept for the next call until its descriptor is needed."""
     hosts = [await serving() for _ in range(3)]
     calls = Calls(hosts[0].port)
     calls.hosts._most_open = 2
@@ -57,11 +57,11 @@
 
 
 async def test_calls_in_progress_are_limited_by_their_descriptors(world: World) -> None:
-    """The settings allow more; beyond them a connect fails as if the host had refused it."""
+    """The settings allow more calls; beyond the descriptors a connect fails as if the host had refused it."""
     world.sockets = 64
     world.settings["domain"]["calls_out"] = 100
     host = await world.add("h1", silent)
-    world.known = list(world.directory.hosts.values())  # one that is known may have many calls at once
+    world.known = list(world.directory.hosts.values())  # a known host may have many calls at once
     client = await world.run()
     assert world.process is not None
     resource.prlimit(world.process.pid, resource.RLIMIT_NOFILE, (64, 64))
@@ -69,16 +69,17 @@
     for number in range(40):
         assert await client.hand_in(f"n{number}") == b"+OK"
     calls = split_descriptors(64, 1, False).calls
-    await host.until(lambda: len(host.seen) >= calls - 3)  # a quarter of the slots is for others
+    # A quarter of the slots is reserved for other hosts.
+    await host.until(lambda: len(host.seen) >= calls - 3)
     assert await (await world.client()).command(b"PING") == b"+PONG"
-    for _ in range(50):  # in which the rest would go out
+    for _ in range(50):  # time in which the other calls would be sent
         assert await client.command(b"PING") == b"+PONG"
         await asyncio.sleep(0.01)
     assert host.connections <= calls
 
 
 async def test_idle_clients_leave_descriptors_for_all_other_uses(world: World) -> None:
-    """They fill the process while the directory is down; at its return the relay hears, calls and tells."""
+    """They connect while the directory is down; after its return the watch, calls and notices work."""
     world.sockets = 64
     host = await world.add("h1")
     hangs = await world.add("h2", silent, block=2)
@@ -89,8 +90,8 @@
     assert world.process is not None
     world.directory.lose()
     resource.prlimit(world.process.pid, resource.RLIMIT_NOFILE, (64, 64))
-    crowd = [await world.client() for _ in range(150)]
-    for client in crowd[-20:]:
+    idle_clients = [await world.client() for _ in range(150)]
+    for client in idle_clients[-20:]:
         assert await client.command(b"PING") == b"+PONG"
     asked = len(world.directory.seen)
     world.directory.down = False
--- a/tests/test_disabled_hosts.py
+++ b/tests/test_disabled_hosts.py
@@ -1,4 +1,4 @@
-"""Hosts out by hand: nothing new goes there, whatever happens, until one call brings them back, cold."""
+"""Hosts disabled by an operator get no new calls until one call enables them; then they are cold."""
 
 from __future__ import annotations
 
@@ -20,12 +20,12 @@
 
 
 async def post(console: int, target: str) -> int:
-    """The status of one call."""
+    """Make one call to the console and return its status."""
     return (await called(console, "POST", target))[0]
 
 
 async def console_with_hosts(world: World, *hosts: str) -> int:
-    """Hosts of one destination that the relay knows from its start; the console's port."""
+    """Add hosts of one destination that the relay knows at its start; returns the console's port."""
     for host in hosts:
         await world.add(host)
     world.known = list(world.directory.hosts.values())
@@ -33,7 +33,7 @@
 
 
 def messages_at(world: World, host: str) -> list[str]:
-    """The messages that came to a host."""
+    """The ids of the messages received by a host."""
     return [ref for request in world.hosts[host].seen for ref in request.ids]
 
 
@@ -81,13 +81,13 @@
     await world.run()
     await post(console, DISABLE + "h1")
 
-    async def told(line: str) -> None:
+    async def reported(line: str) -> None:
         while line not in (await called(console, "GET", "/metrics"))[1]:
             await asyncio.sleep(0.01)
 
-    await soon(told("relay_cluster_unhealthy 1\n"))
+    await soon(reported("relay_cluster_unhealthy 1\n"))
     world.directory.change("h1", health="DELETED")
-    await soon(told("relay_cluster_unhealthy 0\n"))
+    await soon(reported("relay_cluster_unhealthy 0\n"))
     assert "relay_cluster_size 1\n" in (await called(console, "GET", "/metrics"))[1]
 
 
@@ -107,8 +107,8 @@
     await world.run()
     for target in (DISABLE, ENABLE):
         assert await post(console, target + "h9") == 404
-        assert await post(console, target + "h") == 404  # a part of an id
-    assert await post(console, ENABLE + "h1") == 200  # not out: nothing to undo
+        assert await post(console, target + "h") == 404  # only the start of an id
+    assert await post(console, ENABLE + "h1") == 200  # not disabled: nothing to do
     await post(console, DISABLE + "h1")
     world.directory.change("h1", health="DELETED")
     assert await post(console, DISABLE + "h1") == 200
@@ -145,14 +145,14 @@
 )
 def test_valid_lines_of_a_damaged_file_are_used(tmp_path: Path, data: bytes, want: list[str]) -> None:
     (tmp_path / "out").write_bytes(data)
-    outs = DisabledHosts(tmp_path, POSIX.disk)
-    assert list(outs.hosts) == want
-    assert outs.disable("h3") == ""
+    disabled_hosts = DisabledHosts(tmp_path, POSIX.disk)
+    assert list(disabled_hosts.hosts) == want
+    assert disabled_hosts.disable("h3") == ""
     assert list(DisabledHosts(tmp_path, POSIX.disk).hosts) == [*want, "h3"]
 
 
 class FullDisk(PosixDisk):
-    """A disk that takes nothing."""
+    """A disk whose writes fail."""
 
     @staticmethod
     def write(fd: int, data: object, /) -> int:
@@ -160,29 +160,29 @@
 
 
 def test_change_that_cannot_be_stored_is_rejected(tmp_path: Path) -> None:
-    kept = DisabledHosts(tmp_path, POSIX.disk)
-    kept.disable("h1")
-    full, heard = DisabledHosts(tmp_path, FullDisk()), list[str]()
-    full.on_change = lambda host, _out: heard.append(host)
+    stored = DisabledHosts(tmp_path, POSIX.disk)
+    stored.disable("h1")
+    full, changes = DisabledHosts(tmp_path, FullDisk()), list[str]()
+    full.on_change = lambda host, _disabled: changes.append(host)
     assert "No space" in full.disable("h2")
     assert "No space" in full.enable("h1")
-    assert (list(full.hosts), heard) == (["h1"], [])
+    assert (list(full.hosts), changes) == (["h1"], [])
     assert list(DisabledHosts(tmp_path, POSIX.disk).hosts) == ["h1"]
 
 
 def test_file_is_bounded_and_a_host_can_always_be_enabled(tmp_path: Path) -> None:
-    outs = DisabledHosts(tmp_path, POSIX.disk)
+    disabled_hosts = DisabledHosts(tmp_path, POSIX.disk)
     number = 0
-    while not (why := outs.disable(f"host-{number:08}")):
+    while not (why := disabled_hosts.disable(f"host-{number:08}")):
         number += 1
     assert "too many" in why and number > 1024
     assert (tmp_path / "out").stat().st_size <= 32 * 1024
-    assert outs.enable("host-00000000") == ""
-    assert outs.disable("again") == ""
+    assert disabled_hosts.enable("host-00000000") == ""
+    assert disabled_hosts.disable("again") == ""
 
 
 def test_enabled_host_is_cold_and_its_former_state_is_discarded() -> None:
-    """Its quota begins at one call and its calls are spaced as at a return from an outage."""
+    """Its quota starts at one call and its calls are spaced as after an outage."""
     relay = DecisionEngine(settings(max_calls=40), 1)
     relay.step(0, [roster(entry("h1"))])
     relay.step(SECOND, [arrival(f"a{n}") for n in range(10)])
@@ -197,7 +197,7 @@
     assert relay.avoided() == 0
     came = 0
     now = 3 * SECOND
-    while now < 6 * SECOND:  # what comes at once after a return is far less than before it
+    while now < 6 * SECOND:  # far fewer calls than before it was disabled
         now += 5_000
         new = [arrival(f"c{now}")] if now % 300_000 == 0 else []
         for send in (found := sends(relay.step(now, [api.TimerDue(), *new]))):
@@ -220,11 +220,11 @@
     "kind", [api.EndpointUpdateKind.FULL, api.EndpointUpdateKind.CHANGES, api.EndpointUpdateKind.REACTIVATED]
 )
 def test_list_updates_never_enable_a_host(kind: api.EndpointUpdateKind) -> None:
-    """Not a whole list, nor a change of its address, nor a destination that wakes."""
+    """Neither a full list, nor a change of its destination, nor a reactivation."""
     relay = DecisionEngine(settings(), 1)
     relay.step(0, [api.HostOverride("h1", True), roster(entry("h1"))])
     relay.step(SECOND, [roster(entry("h1", listing=api.Listing.GONE), kind=api.EndpointUpdateKind.CHANGES)])
-    relay.step(40 * SECOND, [roster()])  # long enough to be forgotten
+    relay.step(40 * SECOND, [roster()])  # long enough for the engine to forget the host
     relay.step(41 * SECOND, [roster(entry("h1", dest=2), kind=kind)])
     assert sends(relay.step(42 * SECOND, [arrival("a", dest=2)])) == []
     assert sends(relay.step(43 * SECOND, [api.HostOverride("h1", False)])) or sends(
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -1,4 +1,4 @@
-"""The journal on real files: torn and damaged logs, compaction and the budget."""
+"""The journal on real files: torn and damaged logs, compaction and the disk budget."""
 
 from __future__ import annotations
 
@@ -26,12 +26,12 @@
 
 
 def reopen(folder: Path, disk_bytes: int = DISK_BYTES) -> Journal:
-    """The next life's journal."""
+    """Open the journal as after a restart."""
     return Journal(folder, disk_bytes, POSIX.disk)
 
 
 def accept(journal: Journal, *message_ids: str, size: int = 10) -> None:
-    """Take messages on."""
+    """Accept messages."""
     for ref in message_ids:
         journal.accept(ref, {"id": ref, "dest": 1}, ref.encode() * size)
 
@@ -53,7 +53,7 @@
 
 
 def test_torn_tail_is_truncated_before_appending(tmp_path: Path) -> None:
-    """SIGKILL may fall within a write; what is appended behind half a record would be lost."""
+    """A SIGKILL during a write leaves a partial record; records appended after it would be lost."""
     journal = Journal(tmp_path, DISK_BYTES, POSIX.disk)
     accept(journal, "a")
     whole = (tmp_path / "journal").stat().st_size
@@ -108,7 +108,7 @@
             accept(journal, f"m{number}", size=500)
             refs.append(f"m{number}")
     assert refs
-    for ref in refs:  # everything that can still be said of them fits
+    for ref in refs:  # all later records of them fit
         for number in range(6):
             journal.record_attempts([(ref, Attempt(number, "s-0123456789", "floor-2", 1 << 50))])
             journal.record_never_ran(ref, number)
@@ -125,7 +125,7 @@
     journal.close()  # writes fail from here on
     with pytest.raises(JournalFullError):
         accept(journal, "a")
-    journal.record_completed("a")  # told, not raised: it must not stop the relay
+    journal.record_completed("a")  # logged, not raised: it must not stop the relay
 
 
 STEPS = st.lists(
@@ -147,24 +147,24 @@
     journal, path = Journal(folder, DISK_BYTES, POSIX.disk), folder / "journal"
     states: list[tuple[int, dict[str, tuple[bytes, int, object]]]] = [(0, {})]
     now: dict[str, tuple[bytes, int, object]] = {}
-    for word, number in steps:
+    for kind, number in steps:
         ref, body = f"m{number}", bodies[number]
-        if (word == "in") == (ref in now):
+        if (kind == "in") == (ref in now):
             continue
-        if word == "in":
+        if kind == "in":
             journal.accept(ref, {}, body)
             now[ref] = (body, 0, None)
-        elif word == "over":
+        elif kind == "over":
             journal.record_completed(ref)
             del now[ref]
         else:
-            _, tries, notice = now[ref]
-            if word == "try":
-                journal.record_attempts([(ref, Attempt(tries, "h", "z", 1))])
-                now[ref] = (body, tries + 1, notice)
-            elif word == "end":
+            _, attempts, notice = now[ref]
+            if kind == "try":
+                journal.record_attempts([(ref, Attempt(attempts, "h", "z", 1))])
+                now[ref] = (body, attempts + 1, notice)
+            elif kind == "end":
                 journal.record_end(ref, "dead", 0)
-                now[ref] = (body, tries, ("dead", 0))
+                now[ref] = (body, attempts, ("dead", 0))
             else:
                 journal.record_never_ran(ref, 0)
         states.append((path.stat().st_size, dict(now)))
@@ -178,8 +178,8 @@
 
 @pytest.mark.parametrize("seed", range(6))
 def test_open_messages_always_have_space_and_completed_ones_free_it(in_memory: Path, seed: int) -> None:
-    """At the edge of the budget: only new messages are refused, never a record of an open one; and the log
-    never stands still full of garbage.
+    """At the limit of the budget only new messages are refused, never a record of an open one, and the log
+    never stays full of garbage.
     """
     disk, rng = 120_000, random.Random(seed)
     journal, left = Journal(in_memory, disk, POSIX.disk), dict[str, int]()
@@ -214,7 +214,7 @@
 
 
 def test_space_for_later_records_is_reserved_once(tmp_path: Path) -> None:
-    """Counted twice, and for records that are written already, it left room for fewer than 800 of them."""
+    """Reserved twice, and for records already written, the space was enough for fewer than 800 messages."""
     journal, count = Journal(tmp_path, 3_000_000, POSIX.disk), 0
     journal.max_attempts = 6
     with pytest.raises(JournalFullError):
@@ -225,7 +225,7 @@
 
 
 class FaultyDisk(PosixDisk):
-    """A disk that takes a part of each write while it is full, and that may fail to cut one off."""
+    """A disk that takes only a part of each write while it is full, and whose truncate may fail."""
 
     full, truncate_fails = False, False
 
@@ -239,7 +239,9 @@
 
 
 def test_result_replaced_by_a_failure_stays_one_after_a_restart(tmp_path: Path) -> None:
-    """The disk was full as it was decided: what is owed says what was told, be there room soon or not."""
+    """The disk was full when the result was decided: the record has to agree with the notice that was sent,
+    whether or not the disk takes it later.
+    """
     disk = FaultyDisk()
     journal = Journal(tmp_path, 100_000, disk)
     accept(journal, "a")
@@ -250,11 +252,11 @@
     journal.replace_end_by_failure("a")
     disk.full = False
     journal.flush_pending()
-    journal.replace_end_by_failure("b")  # its own record was taken meanwhile
+    journal.replace_end_by_failure("b")  # its first record has been written meanwhile
     journal.close()
     again = Journal(tmp_path, 100_000, POSIX.disk)
     assert {ref: found.notice for ref, found in again.recovered.items()} == dict.fromkeys("ab", ("dead", 0))
-    assert (tmp_path / "journal").read_bytes().count(b'"bounced"') == 1  # nobody has told of a's
+    assert (tmp_path / "journal").read_bytes().count(b'"bounced"') == 1  # of b only: a's was replaced
 
 
 def test_partial_record_that_cannot_be_truncated_stops_only_later_writes(tmp_path: Path) -> None:
@@ -262,7 +264,7 @@
     journal = Journal(tmp_path, 100_000, disk)
     accept(journal, "a")
     disk.full = disk.truncate_fails = True
-    assert not journal.record_end("a", "dead", 0)  # it was an OSError once, which ended a reload half way
+    assert not journal.record_end("a", "dead", 0)  # an OSError here once aborted a reload half way
     disk.full = False
     with pytest.raises(JournalFullError, match="partial record cannot be truncated"):
         accept(journal, "b")
--- a/tests/test_listings.py
+++ b/tests/test_listings.py
@@ -1,4 +1,4 @@
-"""Destinations that sleep: the ones awake are always told the truth, and nothing that binds is slept away."""
+"""Active destinations match the list, and no destination with state is deactivated."""
 
 from __future__ import annotations
 
@@ -30,12 +30,12 @@
 
 
 def resolved(host: str, dest: int, listing: api.Listing = READY, port: int = 80) -> ResolvedEndpoint:
-    """An endpoint of the list."""
+    """An endpoint of the list, with an address."""
     return ResolvedEndpoint(entry(host, dest, listing=listing), ("10.0.0.1", port))
 
 
 class ListFollower:
-    """What the partners' side makes of the news that it hears."""
+    """The endpoints that the partners adapter knows after the updates it received."""
 
     def __init__(self) -> None:
         self.endpoints: dict[str, ResolvedEndpoint] = {}
@@ -50,7 +50,7 @@
 
 
 def numbered_endpoint(number: int, listing: api.Listing, port: int) -> ResolvedEndpoint:
-    """One of twelve endpoints, two to a destination."""
+    """One of twelve endpoints, two per destination."""
     return resolved(f"h{number}", number // 2, listing, port)
 
 
@@ -77,17 +77,17 @@
 ) -> None:
     listings, follower = Listings(awake, 1.0), ListFollower()
     truth, used = ListFollower(), set[int]()
-    for at_s, (what, told) in enumerate(steps):
+    for at_s, (what, argument) in enumerate(steps):
         now_s = 0.6 * at_s
-        if isinstance(told, list):
-            news = EndpointList(at_s, what == "whole", tuple(told))
+        if isinstance(argument, list):
+            news = EndpointList(at_s, what == "whole", tuple(argument))
             truth.apply(news)
             follower.apply(listings.apply(news, now_s))
-        elif what == "use" and isinstance(told, int):
-            for _, news in listings.activate(told, now_s):
+        elif what == "use" and isinstance(argument, int):
+            for _, news in listings.activate(argument, now_s):
                 follower.apply(news)
-            used.add(told)
-            assert endpoints_of(follower, told) == endpoints_of(truth, told)
+            used.add(argument)
+            assert endpoints_of(follower, argument) == endpoints_of(truth, argument)
         else:
             for dest in listings.idle_destinations(now_s):
                 follower.apply(listings.deactivate(dest))
@@ -100,7 +100,7 @@
 
 
 def endpoints_of(follower: ListFollower, dest: int) -> dict[str, ResolvedEndpoint]:
-    """What is known of one destination."""
+    """The known endpoints of one destination."""
     return {host: one for host, one in follower.endpoints.items() if one.entry.dest == dest}
 
 
@@ -110,26 +110,26 @@
     for dest in (2, 3, 4):
         list(listings.activate(dest, 10.0 + dest))
     assert listings.idle_destinations(59.0) == []
-    assert listings.idle_destinations(61.0) == [0, 1]  # awake since the list came, and never used
+    assert listings.idle_destinations(61.0) == [0, 1]  # active since the list arrived, and never used
     assert listings.idle_destinations(61.0) == []
-    assert list(listings.activate(2, 62.0)) == []  # still awake: nobody has let go of it
+    assert list(listings.activate(2, 62.0)) == []  # still active: it was not deactivated
     listings.deactivate(0)
     assert [later for later, _ in listings.activate(0, 63.0)] == [False]
 
 
-@pytest.mark.parametrize(("cared", "heard"), [(("h1", "h2", "nobody"), {1, 3}), ((), {1})])
+@pytest.mark.parametrize(("outage_hosts", "expected_dests"), [(("h1", "h2", "nobody"), {1, 3}), ((), {1})])
 async def test_recovered_outages_activate_their_destinations(
-    cared: tuple[str, ...], heard: set[int], tmp_path: Path
+    outage_hosts: tuple[str, ...], expected_dests: set[int], tmp_path: Path
 ) -> None:
-    """One destination may stay awake, the first; who cares must find the others awake as well."""
+    """Only the first destination stays active by itself; those with recovered outages are activated."""
     clock_us = 10 * SECOND
     former = Journal(tmp_path, 1_000_000, POSIX.disk)
-    for host in cared:
+    for host in outage_hosts:
         former.record_outage(host, StoredOutage(clock_us + 20 * SECOND))
     former.close()
     follower, journal = ListFollower(), Journal(tmp_path, 1_000_000, POSIX.disk)
     partners = Mock(apply=follower.apply)
-    driver = RelayCore(
+    core = RelayCore(
         settings=settings(),
         seed=1,
         journal=journal,
@@ -140,14 +140,14 @@
         disabled_hosts=DisabledHosts(tmp_path, POSIX.disk),
         on_crash=lambda error: pytest.fail(repr(error)),
     )
-    driver.start(EndpointList(1, True, (resolved("h1", 1), resolved("h11", 2), resolved("h2", 3))))
-    driver.close()
+    core.start(EndpointList(1, True, (resolved("h1", 1), resolved("h11", 2), resolved("h2", 3))))
+    core.close()
     journal.close()
-    assert {one.entry.dest for one in follower.endpoints.values()} == heard
+    assert {one.entry.dest for one in follower.endpoints.values()} == expected_dests
 
 
 def test_inactive_destination_of_two_endpoints_takes_less_than_600_bytes() -> None:
-    """Counted by the allocator, over everything that the list leaves behind."""
+    """Measured by the allocator, over everything that the list keeps allocated."""
     names = [(f"s-{dest:06x}{which}", dest) for dest in range(10_000) for which in "ab"]
     tracemalloc.start()
     try:
@@ -164,7 +164,7 @@
 
 
 def run_one_message(relay: DecisionEngine, verdict: api.Verdict, wait_us: int = 0) -> None:
-    """A message to h1 and its outcome after 10 ms; what was given up or sent again is left as it stands."""
+    """Send a message to h1 and report its outcome after 10 ms; further actions are not carried out."""
     [send] = sends(relay.step(0, [roster(entry("h1")), api.Arrival("m1", 1, SAFE.name, 2 * SECOND)]))
     relay.step(10_000, [api.Outcome("m1", 0, send.host, verdict, 10_000, verdict is api.Verdict.OK, wait_us)])
 
@@ -190,13 +190,13 @@
 
 
 def with_call_at_moved_endpoint(relay: DecisionEngine) -> None:
-    """A call is out at an endpoint that belongs to another destination by now."""
+    """A call is in progress at an endpoint that has moved to another destination."""
     with_open_call(relay)
     relay.step(SECOND, [api.EndpointUpdate(KIND.CHANGES, (entry("h1", dest=2),))])
 
 
 @pytest.mark.parametrize(
-    "bind",
+    "set_up",
     [
         with_retry_after_wait,
         with_open_call,
@@ -206,10 +206,10 @@
         with_call_at_moved_endpoint,
     ],
 )
-def test_destination_with_state_is_not_deactivated(bind: Callable[[DecisionEngine], None]) -> None:
-    """A told wait, a call, a held message, an outage, the care of a former life."""
+def test_destination_with_state_is_not_deactivated(set_up: Callable[[DecisionEngine], None]) -> None:
+    """State: a Retry-After wait, a call, a held message, an outage, a recovered outage record."""
     relay = DecisionEngine(settings(), 1)
-    bind(relay)
+    set_up(relay)
     assert api.DestinationDeactivated(1) not in relay.step(100 * SECOND, [api.DestinationIdle(1)])
     assert 1 in relay.dests
 
@@ -224,7 +224,7 @@
 
 
 def test_destination_without_state_is_deactivated_and_reactivated_as_listed() -> None:
-    """What was listed all along starts in full again; what came later is met as if it were new."""
+    """Endpoints of the first list start at full quota again; ones added later start as if they were new."""
     relay = DecisionEngine(settings(), 1)
     run_one_message(relay, api.Verdict.OK)
     assert api.DestinationDeactivated(1) in relay.step(100 * SECOND, [api.DestinationIdle(1)])
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -1,4 +1,4 @@
-"""Every figure against what the peers saw, and the format against an independent parser."""
+"""Every metric against what the peers expected, and the format against an independent parser."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 from tests.world import Reply, Request, World, called, delivered, enqueue, packed, silent, soon
 
 Samples = dict[tuple[str, str, str], float]
-LABELS = ("state", "reason", "phase")  # labels, of which a sample has one at most
+LABELS = ("state", "reason", "phase")  # a sample has at most one of them
 
 
 def parse(text: str) -> Samples:
-    """Samples by name, group, and state, reason or phase."""
+    """Parse the exposition format into samples by name, group, and state, reason or phase."""
     found: Samples = {}
     for family in text_string_to_metric_families(text):
         assert family.documentation and family.type in ("counter", "gauge")
@@ -29,10 +29,10 @@
 
 def test_format_is_valid_for_any_class_name() -> None:
     odd = 'a"b\\c\nd'
-    figures = Metrics(["plain", odd])
-    figures.count_end(odd, "errored")
-    figures.count_end("nobody knows it", "answered")
-    samples = parse(figures.render(Gauges(7, 3, 2, 1)))
+    metrics = Metrics(["plain", odd])
+    metrics.count_end(odd, "errored")
+    metrics.count_end("nobody knows it", "answered")
+    samples = parse(metrics.render(Gauges(7, 3, 2, 1)))
     assert samples["relay_transactions_total", odd, "errored"] == 1
     assert samples["relay_transactions_total", "plain", "answered"] == 0
     assert samples["relay_sends_total", "", ""] == 7
@@ -43,37 +43,39 @@
 
 
 def test_number_of_groups_is_bounded() -> None:
-    figures = Metrics(["first"])
+    metrics = Metrics(["first"])
     for number in range(10_000):
-        figures.add_groups([f"c{number}"])
-    assert len(figures.end_counts) <= 3 * 65
+        metrics.add_groups([f"c{number}"])
+    assert len(metrics.end_counts) <= 3 * 65
 
 
 async def scrape(port: int) -> Samples:
-    """The relay's figures now."""
+    """Read the relay's current metrics."""
     status, text = await called(port, "GET", "/metrics")
     assert status == 200
     return parse(text)
 
 
 def mismatches(samples: Samples, expected: Samples) -> list[str]:
-    """Figures that are not what the peers saw."""
+    """Samples that differ from the expected ones."""
     return [
-        f"{key}: {samples.get(key)}, saw {want}" for key, want in expected.items() if samples.get(key) != want
+        f"{key}: {samples.get(key)}, expected {want}"
+        for key, want in expected.items()
+        if samples.get(key) != want
     ]
 
 
 def test_comparison_finds_double_counts_and_misses() -> None:
-    """The comparison that the test below rests on can fail."""
+    """The comparison used by the next test can fail."""
     key = ("relay_sends_total", "", "")
-    figures = Metrics(["safe"])
-    for planted in (2, 0):
-        assert mismatches(parse(figures.render(Gauges(planted, 0, 0, 0))), {key: 1.0})
-    assert mismatches(parse(figures.render(Gauges(1, 0, 0, 0))), {key: 1.0}) == []
+    metrics = Metrics(["safe"])
+    for sent in (2, 0):
+        assert mismatches(parse(metrics.render(Gauges(sent, 0, 0, 0))), {key: 1.0})
+    assert mismatches(parse(metrics.render(Gauges(1, 0, 0, 0))), {key: 1.0}) == []
 
 
 def failing_reply(status: int) -> Reply:
-    """A reply that delivers nothing."""
+    """A reply with an error status."""
 
     def reply(request: Request) -> None:
         request.answer(status)
@@ -82,7 +84,7 @@
 
 
 async def test_mixed_results_are_counted_as_the_peers_saw_them(world: World) -> None:
-    """Refused at the door, handed back, timed out, repeated, a batch partly refused, a client that left."""
+    """Rejected at submission, refused, timed out, repeated, a batch partly refused, a client that left."""
     world.settings["allowed"]["open_cap"] = 12
     first = await world.add("h1")
     bank = await world.add("b1", silent, kind="banks", block=2)
@@ -91,11 +93,11 @@
     port = world.open_console()
     client = await world.run()
     first.script.extend(map(failing_reply, (503, 500)))
-    for number in range(3):  # the first of them is repeated twice
+    for number in range(3):  # the first of them is retried twice
         assert await client.hand_in(f"s{number}") == b"+OK"
         await first.call(2 + number)
     first.script.append(failing_reply(500))
-    assert await client.hand_in("u1", "unsafe") == b"+OK"  # may have run: failed
+    assert await client.hand_in("u1", "unsafe") == b"+OK"  # in doubt: failed
     assert (await world.directory.notice("u1"))["result"] == "dead"
     assert await client.hand_in("w1", dest=3, d=60) in (b"+OK", b"-BUSY 2000")
     assert await client.command(b"ENQUEUE", b"0", b"k1", b"c=keyed,d=900,dest=1", b"") == b"-ERR k is missing"
@@ -114,7 +116,7 @@
         assert (await soon(client.reader.readline())) == b"+OK\r\n"
     await bank.until(lambda: sum(len(request.ids) for request in bank.seen) == 7)
 
-    def saw() -> Samples:
+    def expected() -> Samples:
         calls = [ref for host in world.hosts.values() for request in host.seen for ref in request.ids]
         return {
             ("relay_sends_total", "", ""): float(len(calls)),
@@ -135,7 +137,7 @@
         }
 
     async def agreed() -> None:
-        while found := mismatches(await scrape(port), saw()):
+        while found := mismatches(await scrape(port), expected()):
             await asyncio.sleep(0.02)
         assert found == []
 
@@ -173,6 +175,6 @@
             await asyncio.sleep(0.02)
 
     await world.reload()
-    await soon(counted(0))  # two signals at once would be one
+    await soon(counted(0))  # two signals at once would count as one
     await world.reload(text)
     await soon(counted(1))
--- a/tests/test_power.py
+++ b/tests/test_power.py
@@ -1,4 +1,4 @@
-"""The loss of a machine's power: what a durable journal said must be there when the machine is back."""
+"""Power loss: what a durable journal has reported as stored must be there after the machine is back."""
 
 from __future__ import annotations
 
@@ -18,17 +18,17 @@
 
 
 def open_journal(disk: SimDisk, durable: bool = True) -> Journal:
-    """A life's journal."""
+    """Open the journal, as at a start."""
     return Journal(STATE_FOLDER, DISK_BYTES, disk, durable)
 
 
 def accept(journal: Journal, message_id: str, size: int = 100) -> None:
-    """Take a message on."""
+    """Accept a message."""
     journal.accept(message_id, {"id": message_id, "dest": 1}, b"x" * size)
 
 
 def fail_next_calls(disk: SimDisk, name: str, times: int) -> Callable[[], int]:
-    """Let the next so many of these calls fail; how many still will."""
+    """Make the next ``times`` calls of a method fail; returns a function with how many still will."""
     real, remaining = getattr(disk, name), [times]
 
     def call(*args: object) -> None:
@@ -43,36 +43,40 @@
 
 @given(st.integers(0, 2**32), st.integers(1, 60), st.integers(0, 4))
 def test_reported_results_survive_any_number_of_power_losses(seed: int, count: int, losses: int) -> None:
-    """Taken messages, attempts and ends are there, whatever else of the log and its names is not."""
+    """Accepted messages, attempts and results are recovered, whatever unsynced data is lost."""
     rng, disk = random.Random(seed), SimDisk(random.Random(seed))
-    taken: dict[str, int] = {}
-    ended: dict[str, str] = {}
+    accepted: dict[str, int] = {}
+    results: dict[str, str] = {}
     for life in range(losses + 1):
         journal = open_journal(disk)
-        assert set(taken) - set(ended) <= set(journal.recovered)
-        for ref, tries in taken.items():
-            if ref not in ended:
-                assert len(journal.recovered[ref].attempts) >= tries, "a try that was made is known"
+        assert set(accepted) - set(results) <= set(journal.recovered)
+        for ref, attempts in accepted.items():
+            if ref not in results:
+                assert len(journal.recovered[ref].attempts) >= attempts, "an attempt that was made is known"
             elif ref in journal.recovered:
-                assert journal.recovered[ref].notice == (ended[ref], 0), "its end stays the end that was told"
+                assert journal.recovered[ref].notice == (results[ref], 0), (
+                    "the result stays the one that was reported"
+                )
         for number in range(count):
             accept(journal, ref := f"{life}-{number}", rng.randint(0, 20_000))
-            taken[ref] = 0
-            for known in rng.sample(sorted(set(taken) - set(ended)), min(2, len(set(taken) - set(ended)))):
-                journal.record_attempts([(known, Attempt(taken[known], "h", "z", 5))])
+            accepted[ref] = 0
+            for known in rng.sample(
+                sorted(set(accepted) - set(results)), min(2, len(set(accepted) - set(results)))
+            ):
+                journal.record_attempts([(known, Attempt(accepted[known], "h", "z", 5))])
                 journal.sync()
-                taken[known] += 1
+                accepted[known] += 1
                 if rng.random() < 0.6:
                     journal.record_end(known, "dead", 0)
                     journal.sync()
-                    ended[known] = "dead"
+                    results[known] = "dead"
                     if rng.random() < 0.8:
                         journal.record_completed(known)
         disk.crash()
 
 
 def test_journal_that_is_not_durable_loses_records() -> None:
-    """The checker above can fail."""
+    """The check above can fail."""
     lost = 0
     for seed in range(20):
         disk = SimDisk(random.Random(seed))
@@ -84,7 +88,7 @@
 
 
 def test_power_loss_between_rename_and_directory_sync() -> None:
-    """Either log may be there; both hold every message that is not over."""
+    """Either log may be found; both hold every open message."""
     for seed in range(20):
         disk = SimDisk(random.Random(seed))
         journal = open_journal(disk)
@@ -92,12 +96,13 @@
         for number in range(60):
             accept(journal, f"m{number}", 10_000)
             journal.record_completed(f"m{number}")
-        left = fail_next_calls(disk, "sync_folder", 1)
-        with pytest.raises(JournalFullError):  # the new log has no lasting name: nothing more is promised
+        calls_left = fail_next_calls(disk, "sync_folder", 1)
+        # The new log's directory entry is not synced: messages are refused.
+        with pytest.raises(JournalFullError):
             for number in range(1000):
                 accept(journal, f"n{number}", 10_000)
                 journal.record_completed(f"n{number}")
-                if not left():
+                if not calls_left():
                     fail_next_calls(disk, "sync_folder", 1)
                     accept(journal, "refused")
         disk.crash()
@@ -108,7 +113,7 @@
     disk = SimDisk(random.Random(1))
     journal = open_journal(disk)
     accept(journal, "before")
-    fail_next_calls(disk, "sync", 2)  # the log's, then the new log's
+    fail_next_calls(disk, "sync", 2)  # of the log, then of the new log
     with pytest.raises(JournalFullError):
         accept(journal, "refused")
     with pytest.raises(JournalFullError):
@@ -119,7 +124,7 @@
 
 
 def test_failed_sync_raises_and_the_next_one_makes_its_records_safe() -> None:
-    """``Journal.sync`` raises for what it covered; that record is in the log that is written anew."""
+    """``Journal.sync`` raises for the records it covers; they are in the log that is rewritten."""
     disk = SimDisk(random.Random(2))
     journal = open_journal(disk)
     accept(journal, "m")
--- a/tests/test_reasons.py
+++ b/tests/test_reasons.py
@@ -1,4 +1,4 @@
-"""Why connections are closed, calls made again and messages refused: counted once, and told in the log."""
+"""Closed connections, retries and refusals are counted once by reason, and logged."""
 
 from __future__ import annotations
 
@@ -34,13 +34,13 @@
 
 
 def give_up_reasons(relay: DecisionEngine, at_us: int, *events: api.Event) -> list[api.GiveUpReason]:
-    """Why messages get their final answers in a step."""
+    """The reasons of the final results decided in one step."""
     actions = relay.step(at_us, list(events))
     return [action.reason for action in actions if isinstance(action, api.Refuse | api.Fail)]
 
 
 def engine_with_one_host(**overrides: int) -> DecisionEngine:
-    """A relay that knows one host."""
+    """An engine that knows one host."""
     relay = DecisionEngine(settings(**overrides), 1)
     relay.step(0, [roster(entry("h1"))])
     return relay
@@ -70,7 +70,7 @@
 
 
 async def close_counts(port: int, name: str) -> dict[str, float]:
-    """Connections that were closed, by reason."""
+    """Counts of closed connections by reason."""
     samples = await scrape(port)
     counts = {label: count for (known, _, label), count in samples.items() if known == f"relay_{name}_total"}
     return {label: count for label, count in counts.items() if count}
@@ -83,15 +83,15 @@
     client = await world.run()
     assert await client.hand_in("m1", d=3_000) == b"+OK"  # its call times out
     await host.call(0)
-    rude = await world.client()
-    rude.writer.write(packed(b"NOTHING") * 100)
+    malformed = await world.client()
+    malformed.writer.write(packed(b"NOTHING") * 100)
     gone = await world.client()
     gone.writer.close()
 
     async def counted() -> None:
         want = {ClientClose.ERRORS.value: 1.0, ClientClose.BY_CLIENT.value: 1.0}
         while (await close_counts(port, "client_closes")) != want:
-            rude.writer.close()
+            malformed.writer.close()
             await asyncio.sleep(0.02)
         while (await close_counts(port, "host_closes")).get(HostClose.FAILED.value) != 1.0:
             await asyncio.sleep(0.02)
--- a/tests/test_recovered_untried.py
+++ b/tests/test_recovered_untried.py
@@ -1,4 +1,4 @@
-"""What a restart finds taken on and untried goes first, and is given up last."""
+"""Messages recovered by a restart without an attempt are sent first and given up last."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def recovered(message_id: str, left_us: int = 5 * SECOND) -> api.Arrival:
-    """A message that a restart has found, of a class that is worth little."""
+    """A message recovered without an attempt, of a class of low worth."""
     return replace(
         arrival(message_id, LOW_WORTH, left_us=left_us),
         rules=api.DeliveryRules(LOW_WORTH, 4),
@@ -24,7 +24,7 @@
 
 
 def single_slot_engine() -> DecisionEngine:
-    """A relay with a single slot, so that the order of calls is the order of choice."""
+    """An engine with a single call slot, so that the order of calls is the order of choice."""
     return DecisionEngine(settings(max_calls=1, max_held_messages=6), 1)
 
 
@@ -40,7 +40,7 @@
 
 
 def test_recovered_messages_go_in_the_order_of_their_deadlines() -> None:
-    """So the most of it is tried, whatever each is worth."""
+    """The earliest deadline goes first, so that most of them are tried, whatever each is worth."""
     relay, order = single_slot_engine(), list[str]()
     costly = replace(recovered("f2", 9 * SECOND), cls=UNSAFE.name, rules=api.DeliveryRules(UNSAFE, 4))
     events: list[api.Event] = [
@@ -67,7 +67,7 @@
 
 def test_newer_messages_are_given_up_before_recovered_ones() -> None:
     relay = single_slot_engine()
-    relay.step(0, [recovered("f1"), recovered("f2")])  # nobody is listed yet: all of it is held
+    relay.step(0, [recovered("f1"), recovered("f2")])  # no endpoint is listed yet: all messages are held
     gone = relay.step(1000, [arrival(f"n{at}", UNSAFE) for at in range(5)])
     given = [action.id for action in gone if isinstance(action, api.Refuse | api.Fail)]
     assert len(given) == 2
@@ -82,8 +82,8 @@
 
 @pytest.mark.parametrize("listed", ["known", "late"])
 async def test_restart_tries_recovered_messages_first(world: World, listed: str) -> None:
-    """Three taken on while the only slot hangs; behind a kill -9 they go before the next client's, by one
-    slot at a time, whether the list is known at the start or comes only then.
+    """Three messages are accepted while the only slot is busy. After a SIGKILL they go before newer ones, one
+    at a time, whether the list is known at the start or arrives later.
     """
     world.settings["domain"]["calls_out"] = 1
     order: list[str] = []
@@ -107,4 +107,4 @@
         assert await again.hand_in(ref, "safe") == b"+OK"
     await host.until(lambda: len(order) >= 5)
     assert sorted(order[:3]) == ["f1", "f2", "f3"]
-    assert (await world.directory.notice("hangs"))["result"] == "dead"  # it may have run
+    assert (await world.directory.notice("hangs"))["result"] == "dead"  # in doubt
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -1,4 +1,4 @@
-"""The real process on loopback sockets: what clients, hosts and the platform see of it."""
+"""The real process on loopback sockets, as clients, hosts and the platform see it."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 async def test_connections_are_reused(world: World) -> None:
-    """A new connection for each message costs the host work and the message time."""
+    """A new connection for each message would cost the host work and the message time."""
     host = await world.add("h1")
     client = await world.run()
     for number in range(5):
@@ -35,7 +35,7 @@
 
 
 async def test_repeated_request_is_one_message(world: World) -> None:
-    """A client repeats a request on a new connection if the old one's end crossed it."""
+    """A client repeats a request on a new connection if the old one closed while it was being sent."""
     host = await world.add("h1")
     client = await world.run()
     assert await client.hand_in("m1") == b"+OK"
@@ -95,27 +95,27 @@
 )
 @pytest.mark.parametrize("whole", [True, False], ids=["one piece", "byte by byte"])
 async def test_malformed_frame_closes_only_its_connection(world: World, frame: bytes, whole: bool) -> None:
-    """Whatever it says of its lengths, and where in a request; the rest of the stream is not to be read."""
+    """Whatever its lengths say, and wherever in a request: the rest of the stream cannot be parsed."""
     other = await world.run()
     client = await world.client()
     for at in range(0, 1 if whole else min(len(frame), 40)):
         client.writer.write(frame if whole else frame[at : at + 1])
         await asyncio.sleep(0)
     client.writer.write(b"" if whole else frame[40:])
-    told = await soon(ended(client.reader))
-    assert told == b"" or told.splitlines()[-1].startswith(b"-ERR")
+    received = await soon(ended(client.reader))
+    assert received == b"" or received.splitlines()[-1].startswith(b"-ERR")
     assert await other.command(b"PING") == b"+PONG"
 
 
 async def ended(reader: asyncio.StreamReader) -> bytes:
-    """What came before the end; a reset, where bytes were left unread, is an end too."""
-    told = b""
+    """Return the bytes received until the connection ends; a reset (with unread bytes) is an end, too."""
+    received = b""
     try:
         while data := await reader.read(4096):
-            told += data
+            received += data
     except ConnectionError:
         pass
-    return told
+    return received
 
 
 async def test_request_may_arrive_in_pieces(world: World) -> None:
@@ -140,7 +140,7 @@
 
 
 async def test_full_disk_budget_refuses_new_messages_only(world: World) -> None:
-    """More than ``disk_mb`` in the folder is a crash: new work is turned away before."""
+    """More than ``disk_mb`` in the folder would end the process: new messages are refused before."""
     world.disk_mb = 0.1
     host = await world.add("h1", silent)
     client = await world.run()
@@ -171,13 +171,13 @@
     assert call.target == "/hook/batch"
     assert sorted(call.ids) == refs
     assert b"m2 key-m2 5\r\nhello\r\n" in call.body
-    assert (await world.directory.notice("m4"))["result"] == "dead"  # it may have run
+    assert (await world.directory.notice("m4"))["result"] == "dead"  # in doubt
     await host.until(lambda: {"m2", "m5"} <= {ref for r in host.seen[1:] for ref in r.ids})
     assert {ref for r in host.seen[1:] for ref in r.ids} == {"m2", "m5"}
 
 
 async def test_truncated_batch_response_is_in_doubt(world: World) -> None:
-    """A batch is delivered only when its whole answer is there."""
+    """A batch counts as delivered only once its whole response has arrived."""
 
     def cut(request: Request) -> None:
         request.writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 400\r\n\r\nm1 delivered\r\n")
@@ -224,7 +224,7 @@
 
 
 async def test_reset_on_a_reused_connection_is_in_doubt(world: World) -> None:
-    """Idle or not before: once the last byte is out, the host may have begun."""
+    """Idle before or not: once the last byte is sent, the host may have started."""
     host = await world.add("h1")
     client = await world.run()
     await client.hand_in("m1", "unsafe")
@@ -251,25 +251,26 @@
     host = await world.add("h1", listens=False)
     client = await world.run()
     assert await client.hand_in("m1", "unsafe") == b"+OK"
-    await asyncio.sleep(0.05)  # a first try may be refused; without one the test proves less, not wrongly
+    # Time for a refused first attempt; without one the test proves less, but is not wrong.
+    await asyncio.sleep(0.05)
     await host.start()
     assert (await host.call(0)).ids == ["m1"]
 
 
 async def test_unanswered_calls_end_at_the_message_deadline(world: World) -> None:
-    """A keyed message that may have run is failed, a safe one handed back with a time to come again."""
+    """A keyed message in doubt fails; a safe one is refused with a time to retry after."""
     await world.add("h1", silent)
     client = await world.run()
     await client.hand_in("m1", "keyed", d=1500)
     await client.hand_in("m2", "safe", d=1500)
     assert await world.directory.notice("m1") == {"ref": "m1", "result": "dead"}
-    told = await world.directory.notice("m2")
-    assert (told["ref"], told["result"]) == ("m2", "bounced")
-    assert 1000 <= told["wait_ms"] <= 2000, "drawn, so that not all clients come back together"
+    received = await world.directory.notice("m2")
+    assert (received["ref"], received["result"]) == ("m2", "bounced")
+    assert 1000 <= received["wait_ms"] <= 2000, "random, so that not all clients retry together"
 
 
 async def test_retry_after_wait_is_honoured(world: World) -> None:
-    """Told on any answer, also on one that delivers."""
+    """It may come with any response, also with one that delivers."""
     host = await world.add("h1")
     client = await world.run()
     host.script.append(lambda request: request.answer(429, X_Retry_In_Ms="600"))
@@ -287,7 +288,7 @@
     await client.hand_in("m1")
     await draining.call(0)
     world.directory.change("h1", health="DRAINING")
-    while draining.writers:  # the relay has heard of it once it closes its idle connection
+    while draining.writers:  # the relay has received it once it closes its idle connection
         await asyncio.sleep(0.01)
     await client.hand_in("m2")
     assert (await other.call(0)).ids == ["m2"]
@@ -307,10 +308,10 @@
     await client.insist("m1")
     await host.call(0)
     getattr(world.directory, how)()
-    await client.hand_in("m2", dest=2, d=400)  # notices go through also while discovery is down
+    await client.hand_in("m2", dest=2, d=400)  # notices are sent even while discovery is down
     assert (await world.directory.notice("m2"))["result"] == "bounced"
     await client.hand_in("m3")
-    await host.call(1)  # the list that was held still serves
+    await host.call(1)  # the list held is still used
     world.directory.down = False
     late = await world.add("h2", block=2)
     await client.hand_in("m4", dest=2)
@@ -354,7 +355,7 @@
 
 
 async def test_longest_idle_connection_is_closed_at_the_limit(world: World) -> None:
-    """Descriptors are bounded; turning the new one away would lose the request on its way."""
+    """Descriptors are limited; closing the new connection would lose the request on its way."""
     world.sockets = 8  # of which half are for clients
     first = await world.run()
     others = [await world.client() for _ in range(3)]
@@ -368,7 +369,7 @@
 
 
 async def test_hanging_notice_post_is_repeated_in_time(world: World) -> None:
-    """A notice is overdue 300 ms after the message's time: one silent connection must not use that up."""
+    """A notice is overdue 300 ms after the deadline: one hanging connection must not use that up."""
     client = await world.run()
     await world.directory.call(0)
     world.directory.script.append(silent)
@@ -380,7 +381,7 @@
 
 
 async def test_silent_watch_is_reopened(world: World) -> None:
-    """A cut network ends no connection; what the list then tells binds all the same."""
+    """A network failure closes no connection, but list changes during it have to be applied."""
     world.directory.heartbeat = False
     await world.run()
     await world.directory.call(0)
@@ -389,7 +390,7 @@
 
 
 def test_timeouts_are_within_the_rules() -> None:
-    """A notice is overdue after 300 ms; a change counts as told after 6 s; a watch has a line every 2 s."""
-    asked_again_s = 0.65 + 0.5  # the module's first gap at most, and a slow answer
+    """A notice is overdue after 300 ms, a list change after 6 s; a watch has a line every 2 s."""
+    reopen_s = 0.65 + 0.5  # the engine's first retry gap at most, and a slow response
     assert notices.POST_S[0] + notices.AGAIN_S[0] < 0.3
-    assert 2 < discovery.QUIET_S < 6 - asked_again_s
+    assert 2 < discovery.QUIET_S < 6 - reopen_s
--- a/tests/test_restart.py
+++ b/tests/test_restart.py
@@ -1,4 +1,4 @@
-"""What outlasts the process: SIGKILL and SIGTERM with work in each state, on the real process."""
+"""Restarts of the real process: SIGKILL and SIGTERM with messages in each state."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 @pytest.mark.parametrize("cls", ["keyed", "safe"])
 async def test_interrupted_call_is_repeated_where_allowed(world: World, cls: str) -> None:
-    """A keyed one goes only to the zone of its first try, whatever else would be cheaper."""
+    """A keyed message goes only to the zone of its first attempt, even if another endpoint is cheaper."""
     first = await world.add("h1", silent, site="b")
     client = await world.run()
     await client.hand_in("m1", cls)
@@ -134,9 +134,9 @@
     world.process.terminate()
     call.answer()
     assert await client.command(b"PING") == b"+PONG"
-    assert await client.hand_in("m3", dest=2) == b"+OK"  # taken on, for this life or the next
+    assert await client.hand_in("m3", dest=2) == b"+OK"  # accepted, for this process or the next
     assert await (await world.client()).hand_in("m4", dest=2) == b"+OK"
-    assert await soon(client.reader.read()) == b""  # ended between two requests, by the relay
+    assert await soon(client.reader.read()) == b""  # closed by the relay between two requests
     assert await soon(world.process.wait()) == 0
     late = await world.add("h2", block=2)
     await world.run()
@@ -146,7 +146,7 @@
 
 
 async def test_recovered_message_of_a_removed_class_gets_its_result(world: World) -> None:
-    """It lives by the rules that it came under; without any the module would drop it unseen, and lose it."""
+    """It keeps the rules it was accepted under; without rules the engine would drop it without a result."""
     client = await world.run()
     await client.hand_in("m1", "unsafe")
     await world.kill()
@@ -154,7 +154,7 @@
     journal = Journal(world.state, 3_000_000, POSIX.disk)
     journal.accept("m2", {"odd": 1}, b"")
     fields = {"id": "m3", "dest": 1, "cls": "unsafe", "deadline_us": 1 << 60}
-    journal.accept("m3", fields, b"")  # of a version that kept no rules
+    journal.accept("m3", fields, b"")  # of a version that stored no rules
     journal.accept("m4", fields | {"id": "m4", "cls": "safe"}, b"")
     journal.close()
     host = await world.add("h1")
@@ -166,7 +166,7 @@
 
 @pytest.mark.parametrize("missing", ["settings", "listen", "known"])
 async def test_unusable_configuration_ends_the_process(world: World, missing: str) -> None:
-    """Without settings or an address the relay ends with 2; without a known list it serves."""
+    """Without settings or a listen address the relay exits with 2; without a known list it serves."""
     environment = world.environment()
     path = world.folder / "config.json"
     config = json.loads(path.read_text(encoding="utf-8"))
@@ -184,7 +184,7 @@
 async def test_error_in_the_step_loop_is_logged_and_ends_the_process(
     world: World, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
-    """It is no single message's: going on would leave the module in a state that nobody knows."""
+    """The error is not attributable to one message: the engine would go on in an unknown state."""
 
     def broken(*_args: object) -> None:
         raise RuntimeError("broken")
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -1,4 +1,4 @@
-"""No list of relays or of hosts ends under 1,024: what a bound of bytes holds, and what it says beyond."""
+"""Every list of relays or hosts holds more than 1024 entries; beyond a size limit an error is reported."""
 
 from __future__ import annotations
 
@@ -46,7 +46,7 @@
 
 
 def handover_of(hosts: list[str]) -> HandoverState:
-    """What a process tells its successor of so many hosts, and of what it has learned of each."""
+    """The state handed over for these hosts, with learned state of each."""
     rows = {
         n: [[host, f"10.{n % 200}.9.{RNG.randrange(250)}", 6379, "floor-2", "banks", "ready", 1.0, True]]
         for n, host in enumerate(hosts)
@@ -60,16 +60,16 @@
 
 @pytest.mark.parametrize("count", [HOST_COUNT, HOST_COUNT + 1])
 def test_handover_file_can_hold_all_hosts(count: int, tmp_path: Path) -> None:
-    binds = handover_of(HOSTS[:count])
-    assert handover_file.keep(tmp_path, POSIX.disk, binds)
+    handover = handover_of(HOSTS[:count])
+    assert handover_file.keep(tmp_path, POSIX.disk, handover)
     assert (tmp_path / handover_file.FILE).stat().st_size <= LARGE_FOLDER.handover_bytes
-    kept = handover_file.take(tmp_path, POSIX.disk)
-    assert kept is not None
-    assert (kept.seq, len(kept.rows), len(kept.learned)) == (41, count, count)
+    stored = handover_file.take(tmp_path, POSIX.disk)
+    assert stored is not None
+    assert (stored.seq, len(stored.rows), len(stored.learned)) == (41, count, count)
 
 
 def test_reserved_space_leaves_most_of_a_folder_to_the_journal() -> None:
-    """Each file stands twice while it is written anew, and a door has three of 32 kB."""
+    """Each file exists twice while it is rewritten, and a spool has three files of 32 kB."""
     for room in (LARGE_FOLDER, SMALL_FOLDER):
         assert 2 * room.handover_bytes + 2 * room.disabled_hosts_bytes + 3 * 32 * 1024 <= room.total_bytes
     assert reserved_space(3_000_000) == LARGE_FOLDER and LARGE_FOLDER.total_bytes <= 3_000_000 // 7
@@ -77,15 +77,15 @@
 
 
 def test_more_than_1024_hosts_can_be_disabled_and_excess_is_rejected(tmp_path: Path) -> None:
-    outs = DisabledHosts(tmp_path, POSIX.disk)
+    disabled_hosts = DisabledHosts(tmp_path, POSIX.disk)
     for host in HOSTS:
-        assert outs.disable(host) == ""
+        assert disabled_hosts.disable(host) == ""
     assert len(DisabledHosts(tmp_path, POSIX.disk).hosts) == HOST_COUNT + 1
-    long = [f"{number:0>120}" for number in range(LARGE_FOLDER.disabled_hosts_bytes // 120)]
-    said = [outs.disable(host) for host in long]
-    assert said[0] == "" and said[-1] == "too many hosts are disabled already"
-    kept = DisabledHosts(tmp_path, POSIX.disk).hosts
-    assert set(HOSTS) <= set(kept) and len(kept) == len(HOSTS) + said.count("")
+    long_ids = [f"{number:0>120}" for number in range(LARGE_FOLDER.disabled_hosts_bytes // 120)]
+    replies = [disabled_hosts.disable(host) for host in long_ids]
+    assert replies[0] == "" and replies[-1] == "too many hosts are disabled already"
+    stored = DisabledHosts(tmp_path, POSIX.disk).hosts
+    assert set(HOSTS) <= set(stored) and len(stored) == len(HOSTS) + replies.count("")
 
 
 def test_list_of_all_hosts_is_kept_and_each_gets_a_call() -> None:
