--- a/mallowlug/compose.py
+++ b/mallowlug/compose.py
@@ -10,12 +10,12 @@
 from typing import TYPE_CHECKING, Any
 
 from mallowlug import config
-from mallowlug.core.clock import clock_of
-from mallowlug.core.descriptors import Shares, shares_of
+from mallowlug.core.clock import create_clock
+from mallowlug.core.descriptors import DescriptorShares, split_descriptors
 from mallowlug.core.disabled_hosts import DisabledHosts
 from mallowlug.core.handover import HandoverState
 from mallowlug.core.journal import Journal
-from mallowlug.core.listings import Listings, listed_of
+from mallowlug.core.listings import Listings, endpoint_from_row
 from mallowlug.core.metrics import Metrics
 from mallowlug.core.model import EndpointList
 from mallowlug.core.operator_interface import OperatorInterface
@@ -63,17 +63,17 @@
     ]
     # A second process may listen at the same address only if a console can tell operators when it is ready.
     shared = cfg.console is not None
-    burst = max(1, shares.burst // len(listeners))
+    burst = max(1, shares.accept_burst // len(listeners))
     return [
         Server(core, address, max_connections, system, shared, burst=burst, reasons=reasons)
         for address, max_connections in listeners
     ]
 
 
-def descriptor_shares(cfg: config.Config, extras: config.Extras) -> Shares:
+def descriptor_shares(cfg: config.Config, extras: config.Extras) -> DescriptorShares:
     """Divide the file descriptors between fronts, calls and console; warn if they are too few."""
     listeners = 1 + len(extras.fronts) + (extras.fleet is not None)
-    shares = shares_of(cfg.sockets, listeners, cfg.console is not None)
+    shares = split_descriptors(cfg.sockets, listeners, cfg.console is not None)
     if shares.total > cfg.sockets:
         LOG.warning(
             "limits.sockets: %d descriptors are too few for separate shares of fronts, calls and console",
@@ -132,7 +132,7 @@
         return EndpointList(0, True, ())
     if handover is None or handover.seq < known.seq or not handover.rows:
         return known
-    hosts = tuple(listed_of(tuple(row), dest) for dest, rows in handover.rows.items() for row in rows)
+    hosts = tuple(endpoint_from_row(tuple(row), dest) for dest, rows in handover.rows.items() for row in rows)
     return EndpointList(handover.seq, True, hosts)
 
 
@@ -154,9 +154,11 @@
         self._terminated = asyncio.Event()
         reserved = reserved_space(cfg.disk_bytes)
         self._metrics = Metrics(cls.name for cls in cfg.settings.classes)
-        self._disabled_hosts = DisabledHosts(cfg.state, system.disk, extras.durable, most_bytes=reserved.outs)
+        self._disabled_hosts = DisabledHosts(
+            cfg.state, system.disk, extras.durable, max_bytes=reserved.disabled_hosts_bytes
+        )
         self._operator_interface = OperatorInterface(self._metrics, self._disabled_hosts)
-        self._operator_interface.names = (
+        self._operator_interface.known_hosts = (
             {listed.entry.host for listed in cfg.known.hosts} if cfg.console else set()
         )
         self._journal: Journal | None = None
@@ -172,7 +174,7 @@
     @property
     def core(self) -> RelayCore | None:
         """The relay core, once the journal has been replayed."""
-        return self._operator_interface.driver
+        return self._operator_interface.core
 
     @property
     def terminating(self) -> bool:
@@ -217,9 +219,11 @@
 
         self._coordinator = UpgradeCoordinator(
             cfg.state, self._system.disk, self, self._extras.durable,
-            max_handover_bytes=reserved_space(cfg.disk_bytes).binds,
+            max_handover_bytes=reserved_space(cfg.disk_bytes).handover_bytes,
         )  # fmt: skip
-        console = Console(self._operator_interface, cfg.console, self._shares.callers - 1, self._system)
+        console = Console(
+            self._operator_interface, cfg.console, self._shares.console_connections - 1, self._system
+        )
         await console.start()
         LOG.info("%s: console listening at %s:%d", cfg.name, *cfg.console)
         return console
@@ -276,7 +280,7 @@
     def start_core(self, handover: HandoverState | None) -> RelayCore:
         """Replay the journal and start a core from it."""
         cfg, system = self._cfg, self._system
-        disk_bytes = cfg.disk_bytes - (cfg.console is not None) * reserved_space(cfg.disk_bytes).total
+        disk_bytes = cfg.disk_bytes - (cfg.console is not None) * reserved_space(cfg.disk_bytes).total_bytes
         self._journal = Journal(cfg.state, disk_bytes, system.disk, self._extras.durable)
         known, self._known_list = newest_list(handover, self._known_list), EndpointList(0, True, ())
 
@@ -288,18 +292,18 @@
             settings=self._effective_settings(cfg.settings),
             seed=cfg.seed,
             journal=self._journal,
-            plugs=build_adapters(cfg, known.seq, system, self._shares.calls, self._metrics.reasons),
-            clock=clock_of(system, cfg.state, self._loop.time),
+            adapters=build_adapters(cfg, known.seq, system, self._shares.calls, self._metrics.reasons),
+            clock=create_clock(system, cfg.state, self._loop.time),
             listings=Listings(self._extras.active_destinations, self._extras.inactive_after_s),
-            figures=self._metrics,
-            outs=self._disabled_hosts,
-            crashed=crashed,
+            metrics=self._metrics,
+            disabled_hosts=self._disabled_hosts,
+            on_crash=crashed,
         )
         core.start(known, handover)
         if self.core is not None:
-            core.sent_before = self.core.gauges.sends
+            core.sent_by_former_core = self.core.gauges.sends
         # From now on the core's own list says which hosts are known.
-        self._operator_interface.driver, self._operator_interface.names = core, set()
+        self._operator_interface.core, self._operator_interface.known_hosts = core, set()
         if self._extras.fleet is not None:
             self._join_fleet(self._extras.fleet)
         return core
@@ -356,9 +360,9 @@
     def handle_sighup(self) -> None:
         """Reload the configuration, count the result and pass the SIGHUP on to the other process."""
         if self.reload_config():
-            self._metrics.loaded += 1
+            self._metrics.configs_loaded += 1
         else:
-            self._metrics.invalid += 1
+            self._metrics.configs_invalid += 1
         if self._coordinator is not None:
             self._coordinator.announce_sighup()
 
@@ -421,7 +425,7 @@
             LOG.error("takeover: the file is unusable, keeping the configuration in force: %s", error)
             cfg = in_force
         self._apply_config(cfg)
-        self._metrics.know(cls.name for cls in cfg.settings.classes)
+        self._metrics.add_groups(cls.name for cls in cfg.settings.classes)
         self._persist_overridden_discovery()
         LOG.info("takeover: discovery at %s:%d", *cfg.discovery)
 
--- a/mallowlug/console/calls.py
+++ b/mallowlug/console/calls.py
@@ -19,10 +19,10 @@
     def ready(self) -> bool:
         """Whether this process accepts messages now."""
 
-    def figures(self) -> str:
+    def metrics_text(self) -> str:
         """Return the metrics in the Prometheus text exposition format."""
 
-    def members(self) -> str:
+    def fleet_json(self) -> str:
         """Return the fleet view as JSON; empty if none is kept."""
 
     def disable_host(self, host: str) -> str:
@@ -46,7 +46,7 @@
     path, separator, query = target.partition("?")
     table: dict[str, tuple[str, Callable[[], Response]]] = {
         "/ready": ("GET", lambda: ready_response(relay)),
-        "/metrics": ("GET", lambda: Response(200, relay.figures(), METRICS_TYPE)),
+        "/metrics": ("GET", lambda: Response(200, relay.metrics_text(), METRICS_TYPE)),
         "/fleet": ("GET", lambda: fleet_response(relay)),
         "/hosts/disable": ("POST", lambda: set_host_availability(query, relay.disable_host)),
         "/hosts/enable": ("POST", lambda: set_host_availability(query, relay.enable_host)),
@@ -68,7 +68,7 @@
 
 def fleet_response(relay: Operations) -> Response:
     """Respond to ``GET /fleet``."""
-    text = relay.members()
+    text = relay.fleet_json()
     return Response(200, text, JSON_TYPE) if text else Response(404, "no view of a fleet is kept here\n")
 
 
--- a/mallowlug/upgrade/coordinator.py
+++ b/mallowlug/upgrade/coordinator.py
@@ -16,7 +16,7 @@
 from mallowlug.core.model import Answer, Refused, Submission
 from mallowlug.core.ports import Intake
 from mallowlug.core.relay import RelayCore
-from mallowlug.core.reserved_space import ROOMY
+from mallowlug.core.reserved_space import LARGE_FOLDER
 from mallowlug.system import APPEND, Disk
 from mallowlug.upgrade import handover_file
 from mallowlug.upgrade.locks import OwnershipLocks
@@ -91,7 +91,7 @@
         process: ProcessControl,
         durable: bool = False,
         *,
-        max_handover_bytes: int = ROOMY.binds,
+        max_handover_bytes: int = LARGE_FOLDER.handover_bytes,
     ) -> None:
         """``max_handover_bytes`` limits the handover file."""
         self._max_handover_bytes = max_handover_bytes
--- a/mallowlug/upgrade/handover_file.py
+++ b/mallowlug/upgrade/handover_file.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from mallowlug.core.handover import HandoverState
-from mallowlug.core.reserved_space import ROOMY
+from mallowlug.core.reserved_space import LARGE_FOLDER
 from mallowlug.system import Disk, replace_file
 
 LOG = logging.getLogger(__name__)
@@ -21,7 +21,9 @@
 MAX_DECOMPRESSED_BYTES = 16 << 20  # a file that decompresses to more is invalid
 
 
-def write(folder: Path, disk: Disk, state: HandoverState, max_bytes: int = ROOMY.binds) -> bool:
+def write(
+    folder: Path, disk: Disk, state: HandoverState, max_bytes: int = LARGE_FOLDER.handover_bytes
+) -> bool:
     """Write the state atomically; return whether it was written.
 
     If it exceeds ``max_bytes``, parts of it are dropped in this order: the ids of finished messages, the
--- a/mallowlug/upgrade/spool.py
+++ b/mallowlug/upgrade/spool.py
@@ -19,7 +19,7 @@
 from mallowlug.core.journal import encode_record, read_record
 from mallowlug.core.model import Accepted, Answer, Failed, Refused, Submission
 from mallowlug.core.reasons import RejectReason
-from mallowlug.core.relay import FIELDS, RelayCore
+from mallowlug.core.relay import SUBMISSION_FIELDS, RelayCore
 from mallowlug.system import APPEND, Disk
 from mallowlug.upgrade.locks import Lock
 
@@ -58,17 +58,17 @@
         return answer
 
     def _append(self, submission: Submission, body: bytes) -> Answer:
-        fields, written = {name: getattr(submission, name) for name in FIELDS}, 0
+        fields, written = {name: getattr(submission, name) for name in SUBMISSION_FIELDS}, 0
         record = encode_record(
             ["in", submission.id, fields, self._former_core.rules_record(submission.cls)], body
         )
         try:
             if not self._ensure_file(len(record)):
-                return self._former_core.refused(RejectReason.DISK)
+                return self._former_core.refusal_for(RejectReason.JOURNAL_FULL)
             written = self._disk.write(self._fd, record)
             if written < len(record):
                 self._disk.truncate(self._fd, self._size)
-                return self._former_core.refused(RejectReason.DISK)
+                return self._former_core.refusal_for(RejectReason.JOURNAL_FULL)
             self._size += written
             if self._durable:
                 self._disk.sync(self._fd)
@@ -77,7 +77,7 @@
             LOG.warning("spool: cannot write a message: %s", error, extra={"message_id": submission.id})
             self.close()
             whole = written >= len(record)
-            return Failed("not kept") if whole else self._former_core.refused(RejectReason.DISK)
+            return Failed("not kept") if whole else self._former_core.refusal_for(RejectReason.JOURNAL_FULL)
         self._accepted_ids.add(submission.id)
         return Accepted()
 
--- a/tests/test_cost.py
+++ b/tests/test_cost.py
@@ -1,6 +1,6 @@
-"""What a message costs, counted in simulated time: the same on every machine; what grows has been changed.
+"""The cost of a message, counted in a simulation: the same on every machine, changed only by the code.
 
-Times are ``bench/``'s; here are function calls of the relay's own code, records and bytes of its journal.
+``bench/`` measures times; these tests count function calls of the relay's own code and journal records.
 """
 
 from __future__ import annotations
@@ -20,29 +20,29 @@
 from mossfront.engine import DecisionEngine
 from tests.world import ROOT
 
-ROOMS = ("mossfront", "mallowlug/core", "mallowlug/fronts", "mallowlug/partners", "mallowlug/net")
-# Function calls a message by room, with a tenth of room above what was counted when the bound was set.
-MOST = {
+PACKAGES = ("mossfront", "mallowlug/core", "mallowlug/fronts", "mallowlug/partners", "mallowlug/net")
+# Function calls per message by package, a tenth above the number counted when the limits were set.
+MAX_CALLS_PER_MESSAGE = {
     "mossfront": 213, "mallowlug/core": 67, "mallowlug/fronts": 30, "mallowlug/partners": 24,
     "mallowlug/net": 33,
 }  # fmt: skip
 
 
-def room_of(path: str) -> str:
-    """The room of the relay that a file belongs to; empty for none."""
-    return next((room for room in ROOMS if f"/{room}/" in path), "")
+def package_of(path: str) -> str:
+    """The package that a file belongs to; empty for another one."""
+    return next((package for package in PACKAGES if f"/{package}/" in path), "")
 
 
-def counted(folder: Path) -> tuple[Counter[str], int]:
-    """Function calls by room on a calm day of 6 s, and how many messages it had."""
-    found, rooms = Counter[str](), dict[str, str]()
+def count_calls(folder: Path) -> tuple[Counter[str], int]:
+    """Count the function calls by package in 6 s of the calm scenario, and its messages."""
+    found, packages = Counter[str](), dict[str, str]()
 
     def called(frame: FrameType, event: str, _arg: Any) -> None:
         if event == "call":
             path = frame.f_code.co_filename
-            if path not in rooms:
-                rooms[path] = room_of(path)
-            found[rooms[path]] += 1
+            if path not in packages:
+                packages[path] = package_of(path)
+            found[packages[path]] += 1
 
     world = scenario.load(ROOT / "scenarios" / "calm.toml").model_copy(update={"length_s": 6.0})
     sys.setprofile(called)
@@ -54,19 +54,21 @@
     return found, messages
 
 
-def over(found: Counter[str], messages: int) -> dict[str, float]:
-    """The rooms that cost more than their bound, with their calls a message."""
-    costs = {room: found[room] / messages for room in ROOMS}
-    return {room: cost for room, cost in costs.items() if cost > MOST[room]}
+def over_limit(found: Counter[str], messages: int) -> dict[str, float]:
+    """The packages above their limit, with their calls per message."""
+    costs = {package: found[package] / messages for package in PACKAGES}
+    return {package: cost for package, cost in costs.items() if cost > MAX_CALLS_PER_MESSAGE[package]}
 
 
-def test_a_message_costs_no_more_calls_than_when_it_was_counted(tmp_path: Path) -> None:
-    found, messages = counted(tmp_path)
+def test_function_calls_per_message_are_within_their_limits(tmp_path: Path) -> None:
+    found, messages = count_calls(tmp_path)
     assert messages > 100
-    assert over(found, messages) == {}
+    assert over_limit(found, messages) == {}
 
 
-def test_a_pass_over_all_that_is_held_is_noticed(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_loop_over_all_held_messages_exceeds_the_limit(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     real = DecisionEngine._dispatch
 
     def slow(self: DecisionEngine) -> None:
@@ -75,21 +77,22 @@
         real(self)
 
     monkeypatch.setattr(DecisionEngine, "_dispatch", slow)
-    assert "mossfront" in over(*counted(tmp_path))
+    assert "mossfront" in over_limit(*count_calls(tmp_path))
 
 
-def test_a_delivered_message_has_three_records(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Taken on, tried, over: each is a write to the disk."""
-    kinds, real = Counter[str](), Journal._keep
+def test_delivered_message_has_three_records(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    """Accepted, attempted, completed: each is one write to the disk."""
+    kinds, real = Counter[str](), Journal._track_record
 
     def kept(self: Journal, head: list[Any], raw: bytes) -> None:
         kinds[head[0]] += 1
         real(self, head, raw)
 
-    monkeypatch.setattr(Journal, "_keep", kept)
+    monkeypatch.setattr(Journal, "_track_record", kept)
     world = scenario.load(ROOT / "scenarios" / "calm.toml").model_copy(update={"length_s": 3.0})
     done = simulate(world, tmp_path)
     messages = sum(isinstance(event, rec.Ask) for event in rec.read(done.path).events)
     assert kinds["in"] == messages
-    assert messages - 2 <= kinds["over"] <= messages  # the world ends while the last ones are out
+    # The simulation ends while the last ones are in progress.
+    assert messages - 2 <= kinds["over"] <= messages
     assert messages <= kinds["try"] <= 1.05 * messages
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -1,4 +1,4 @@
-"""Descriptors by role: idle clients fill theirs; the watch, calls, notices and journal still get theirs."""
+"""Descriptors by use: idle clients fill their share; the watch, calls, notices and journal keep theirs."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 import pytest
 
-from mallowlug.core.descriptors import LEAST, shares_of
+from mallowlug.core.descriptors import MIN_SOCKETS, split_descriptors
 from mallowlug.core.model import Call, EndpointList, Part, ResolvedEndpoint
 from mossfront.interface import EndpointEntry, Listing, Verdict
 from tests.calls import Calls, serving
@@ -17,24 +17,24 @@
 
 
 @pytest.mark.parametrize("console", [False, True])
-@pytest.mark.parametrize("sockets", [*range(LEAST, 300, 11), 512, 1024, 4096])
-def test_the_shares_are_within_the_limit_and_nobody_has_none(sockets: int, console: bool) -> None:
-    shares = shares_of(sockets, 1, console)
+@pytest.mark.parametrize("sockets", [*range(MIN_SOCKETS, 300, 11), 512, 1024, 4096])
+def test_shares_are_within_the_limit_and_never_empty(sockets: int, console: bool) -> None:
+    shares = split_descriptors(sockets, 1, console)
     assert shares.total <= sockets
     assert shares.clients == sockets // 2
-    assert min(shares.calls, shares.burst) >= 1
-    assert (shares.callers > 1) == console
+    assert min(shares.calls, shares.accept_burst) >= 1
+    assert (shares.console_connections > 1) == console
 
 
 @pytest.mark.parametrize("sockets", [8, 16, 40])
-def test_under_a_limit_that_is_too_low_every_role_has_the_least_that_it_can_work_with(sockets: int) -> None:
-    shares = shares_of(sockets, 1, True)
+def test_every_use_keeps_its_minimum_below_the_lowest_limit(sockets: int) -> None:
+    shares = split_descriptors(sockets, 1, True)
     assert shares.total > sockets
-    assert min(shares.clients, shares.burst, shares.calls, shares.callers) >= 1
+    assert min(shares.clients, shares.accept_burst, shares.calls, shares.console_connections) >= 1
 
 
-async def test_a_new_connection_takes_the_place_of_the_idle_one_that_is_due_first() -> None:
-    """Each destination's connection is kept for the next call, until another needs its descriptor."""
+async def test_new_connection_replaces_the_least_recently_used_idle_one() -> None:
+    """Each destination's connection is kept for the next call until its descriptor is needed."""
     hosts = [await serving() for _ in range(3)]
     calls = Calls(hosts[0].port)
     calls.hosts._most_open = 2
@@ -56,29 +56,30 @@
         host.stop()
 
 
-async def test_no_more_calls_are_out_than_there_are_descriptors_for_them(world: World) -> None:
-    """The settings allow more; beyond them a connect fails as if the host had refused it."""
+async def test_calls_in_progress_are_limited_by_their_descriptors(world: World) -> None:
+    """The settings allow more calls; beyond the descriptors a connect fails as if the host had refused it."""
     world.sockets = 64
     world.settings["domain"]["calls_out"] = 100
     host = await world.add("h1", silent)
-    world.known = list(world.directory.hosts.values())  # one that is known may have many calls at once
+    world.known = list(world.directory.hosts.values())  # a known host may have many calls at once
     client = await world.run()
     assert world.process is not None
     resource.prlimit(world.process.pid, resource.RLIMIT_NOFILE, (64, 64))
     await client.insist("m0")
     for number in range(40):
         assert await client.hand_in(f"n{number}") == b"+OK"
-    calls = shares_of(64, 1, False).calls
-    await host.until(lambda: len(host.seen) >= calls - 3)  # a quarter of the slots is for others
+    calls = split_descriptors(64, 1, False).calls
+    # A quarter of the slots is reserved for other hosts.
+    await host.until(lambda: len(host.seen) >= calls - 3)
     assert await (await world.client()).command(b"PING") == b"+PONG"
-    for _ in range(50):  # in which the rest would go out
+    for _ in range(50):  # time in which the other calls would be sent
         assert await client.command(b"PING") == b"+PONG"
         await asyncio.sleep(0.01)
     assert host.connections <= calls
 
 
-async def test_behind_a_crowd_of_idle_clients_everybody_else_still_has_a_descriptor(world: World) -> None:
-    """They fill the process while the directory is down; at its return the relay hears, calls and tells."""
+async def test_idle_clients_leave_descriptors_for_all_other_uses(world: World) -> None:
+    """They connect while the directory is down; after its return the watch, calls and notices work."""
     world.sockets = 64
     host = await world.add("h1")
     hangs = await world.add("h2", silent, block=2)
@@ -89,8 +90,8 @@
     assert world.process is not None
     world.directory.lose()
     resource.prlimit(world.process.pid, resource.RLIMIT_NOFILE, (64, 64))
-    crowd = [await world.client() for _ in range(150)]
-    for client in crowd[-20:]:
+    idle_clients = [await world.client() for _ in range(150)]
+    for client in idle_clients[-20:]:
         assert await client.command(b"PING") == b"+PONG"
     asked = len(world.directory.seen)
     world.directory.down = False
--- a/tests/test_figures.py
+++ b/tests/test_metrics.py
@@ -1,4 +1,4 @@
-"""Every figure against what the peers saw, and the format against an independent parser."""
+"""Every metric against what the peers expected, and the format against an independent parser."""
 
 from __future__ import annotations
 
@@ -11,28 +11,28 @@
 from tests.world import Reply, Request, World, called, delivered, enqueue, packed, silent, soon
 
 Samples = dict[tuple[str, str, str], float]
-KINDS = ("state", "reason", "phase")  # labels, of which a sample has one at most
+LABELS = ("state", "reason", "phase")  # a sample has at most one of them
 
 
-def parsed(text: str) -> Samples:
-    """Samples by name, group, and state, reason or phase."""
+def parse(text: str) -> Samples:
+    """Parse the exposition format into samples by name, group, and state, reason or phase."""
     found: Samples = {}
     for family in text_string_to_metric_families(text):
         assert family.documentation and family.type in ("counter", "gauge")
         for sample in family.samples:
-            [label] = [sample.labels[name] for name in KINDS if name in sample.labels] or [""]
+            [label] = [sample.labels[name] for name in LABELS if name in sample.labels] or [""]
             key = sample.name, sample.labels.get("group", ""), label
             assert key not in found
             found[key] = sample.value
     return found
 
 
-def test_the_format_holds_for_any_name_of_a_class() -> None:
+def test_format_is_valid_for_any_class_name() -> None:
     odd = 'a"b\\c\nd'
-    figures = Metrics(["plain", odd])
-    figures.ended(odd, "errored")
-    figures.ended("nobody knows it", "answered")
-    samples = parsed(figures.text(Gauges(7, 3, 2, 1)))
+    metrics = Metrics(["plain", odd])
+    metrics.count_end(odd, "errored")
+    metrics.count_end("nobody knows it", "answered")
+    samples = parse(metrics.render(Gauges(7, 3, 2, 1)))
     assert samples["relay_transactions_total", odd, "errored"] == 1
     assert samples["relay_transactions_total", "plain", "answered"] == 0
     assert samples["relay_sends_total", "", ""] == 7
@@ -42,36 +42,40 @@
     assert not any(group == "nobody knows it" for _, group, _ in samples)
 
 
-def test_classes_without_end_do_not_grow_the_process() -> None:
-    figures = Metrics(["first"])
+def test_number_of_groups_is_bounded() -> None:
+    metrics = Metrics(["first"])
     for number in range(10_000):
-        figures.know([f"c{number}"])
-    assert len(figures.ends) <= 3 * 65
+        metrics.add_groups([f"c{number}"])
+    assert len(metrics.end_counts) <= 3 * 65
 
 
-async def scraped(port: int) -> Samples:
-    """The relay's figures now."""
+async def scrape(port: int) -> Samples:
+    """Read the relay's current metrics."""
     status, text = await called(port, "GET", "/metrics")
     assert status == 200
-    return parsed(text)
+    return parse(text)
 
 
-def differences(samples: Samples, saw: Samples) -> list[str]:
-    """Figures that are not what the peers saw."""
-    return [f"{key}: {samples.get(key)}, saw {want}" for key, want in saw.items() if samples.get(key) != want]
+def mismatches(samples: Samples, expected: Samples) -> list[str]:
+    """Samples that differ from the expected ones."""
+    return [
+        f"{key}: {samples.get(key)}, expected {want}"
+        for key, want in expected.items()
+        if samples.get(key) != want
+    ]
 
 
-def test_a_double_count_and_a_miss_are_found() -> None:
-    """The comparison that the test below rests on can fail."""
+def test_comparison_finds_double_counts_and_misses() -> None:
+    """The comparison used by the next test can fail."""
     key = ("relay_sends_total", "", "")
-    figures = Metrics(["safe"])
-    for planted in (2, 0):
-        assert differences(parsed(figures.text(Gauges(planted, 0, 0, 0))), {key: 1.0})
-    assert differences(parsed(figures.text(Gauges(1, 0, 0, 0))), {key: 1.0}) == []
+    metrics = Metrics(["safe"])
+    for sent in (2, 0):
+        assert mismatches(parse(metrics.render(Gauges(sent, 0, 0, 0))), {key: 1.0})
+    assert mismatches(parse(metrics.render(Gauges(1, 0, 0, 0))), {key: 1.0}) == []
 
 
-def failing(status: int) -> Reply:
-    """A reply that delivers nothing."""
+def failing_reply(status: int) -> Reply:
+    """A reply with an error status."""
 
     def reply(request: Request) -> None:
         request.answer(status)
@@ -79,8 +83,8 @@
     return reply
 
 
-async def test_mixed_ends_are_counted_as_the_peers_saw_them(world: World) -> None:
-    """Refused at the door, handed back, timed out, repeated, a batch partly refused, a client that left."""
+async def test_mixed_results_are_counted_as_the_peers_saw_them(world: World) -> None:
+    """Rejected at submission, refused, timed out, repeated, a batch partly refused, a client that left."""
     world.settings["allowed"]["open_cap"] = 12
     first = await world.add("h1")
     bank = await world.add("b1", silent, kind="banks", block=2)
@@ -88,12 +92,12 @@
     world.name(3)
     port = world.open_console()
     client = await world.run()
-    first.script.extend(map(failing, (503, 500)))
-    for number in range(3):  # the first of them is repeated twice
+    first.script.extend(map(failing_reply, (503, 500)))
+    for number in range(3):  # the first of them is retried twice
         assert await client.hand_in(f"s{number}") == b"+OK"
         await first.call(2 + number)
-    first.script.append(failing(500))
-    assert await client.hand_in("u1", "unsafe") == b"+OK"  # may have run: failed
+    first.script.append(failing_reply(500))
+    assert await client.hand_in("u1", "unsafe") == b"+OK"  # in doubt: failed
     assert (await world.directory.notice("u1"))["result"] == "dead"
     assert await client.hand_in("w1", dest=3, d=60) in (b"+OK", b"-BUSY 2000")
     assert await client.command(b"ENQUEUE", b"0", b"k1", b"c=keyed,d=900,dest=1", b"") == b"-ERR k is missing"
@@ -112,7 +116,7 @@
         assert (await soon(client.reader.readline())) == b"+OK\r\n"
     await bank.until(lambda: sum(len(request.ids) for request in bank.seen) == 7)
 
-    def saw() -> Samples:
+    def expected() -> Samples:
         calls = [ref for host in world.hosts.values() for request in host.seen for ref in request.ids]
         return {
             ("relay_sends_total", "", ""): float(len(calls)),
@@ -133,44 +137,44 @@
         }
 
     async def agreed() -> None:
-        while found := differences(await scraped(port), saw()):
+        while found := mismatches(await scrape(port), expected()):
             await asyncio.sleep(0.02)
         assert found == []
 
     await soon(agreed())
 
 
-async def test_messages_of_a_former_life_are_counted_where_they_end(world: World) -> None:
+async def test_recovered_messages_are_counted_by_the_process_that_ends_them(world: World) -> None:
     world.name(1)
     port = world.open_console()
     client = await world.run()
     for number in range(3):
         assert await client.hand_in(f"m{number}") == b"+OK"
-    assert (await scraped(port))["relay_current", "", ""] == 3
+    assert (await scrape(port))["relay_current", "", ""] == 3
     await world.kill()
     host = await world.add("h1")
     await world.run()
     await host.until(lambda: sum(len(request.ids) for request in host.seen) == 3)
 
     async def counted() -> None:
-        while (await scraped(port))["relay_transactions_total", "safe", "answered"] != 3:
+        while (await scrape(port))["relay_transactions_total", "safe", "answered"] != 3:
             await asyncio.sleep(0.02)
 
     await soon(counted())
-    assert (await scraped(port))["relay_current", "", ""] == 0
+    assert (await scrape(port))["relay_current", "", ""] == 0
 
 
 @pytest.mark.parametrize("text", ["", "{"])
-async def test_files_taken_and_turned_down_are_counted(world: World, text: str) -> None:
+async def test_accepted_and_rejected_configurations_are_counted(world: World, text: str) -> None:
     port = world.open_console()
     await world.run()
 
     async def counted(invalid: int) -> None:
         want = {("relay_conf_loaded_total", "", ""): 1.0, ("relay_conf_invalid_total", "", ""): 1.0 * invalid}
-        while differences(await scraped(port), want):
+        while mismatches(await scrape(port), want):
             await asyncio.sleep(0.02)
 
     await world.reload()
-    await soon(counted(0))  # two signals at once would be one
+    await soon(counted(0))  # two signals at once would count as one
     await world.reload(text)
     await soon(counted(1))
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -1,4 +1,4 @@
-"""The real process on loopback sockets: what clients, hosts and the platform see of it."""
+"""The real process on loopback sockets, as clients, hosts and the platform see it."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from tests.world import Request, World, delivered, enqueue, packed, silent, soon
 
 
-async def test_a_message_goes_on_unchanged(world: World) -> None:
+async def test_message_is_forwarded_unchanged(world: World) -> None:
     host = await world.add("h1")
     client = await world.run()
     body = bytes(range(256)) * 4
@@ -24,8 +24,8 @@
     assert 0 < int(re.fullmatch(r"(\d+)m", call.headers["x-remaining"])[1]) <= 30_000  # type: ignore[index]
 
 
-async def test_connections_are_used_again(world: World) -> None:
-    """A new connection for each message costs the host work and the message time."""
+async def test_connections_are_reused(world: World) -> None:
+    """A new connection for each message would cost the host work and the message time."""
     host = await world.add("h1")
     client = await world.run()
     for number in range(5):
@@ -34,8 +34,8 @@
     assert host.connections == 1
 
 
-async def test_a_request_that_comes_twice_is_one_message(world: World) -> None:
-    """A client repeats a request on a new connection if the old one's end crossed it."""
+async def test_repeated_request_is_one_message(world: World) -> None:
+    """A client repeats a request on a new connection if the old one closed while it was being sent."""
     host = await world.add("h1")
     client = await world.run()
     assert await client.hand_in("m1") == b"+OK"
@@ -63,7 +63,7 @@
         packed(b""),
     ],
 )
-async def test_what_cannot_be_read_is_answered_and_the_connection_goes_on(
+async def test_malformed_request_gets_an_error_and_keeps_the_connection(
     world: World, request_bytes: bytes
 ) -> None:
     client = await world.run()
@@ -94,31 +94,31 @@
     ],
 )
 @pytest.mark.parametrize("whole", [True, False], ids=["one piece", "byte by byte"])
-async def test_a_broken_frame_ends_that_connection_alone(world: World, frame: bytes, whole: bool) -> None:
-    """Whatever it says of its lengths, and where in a request; the rest of the stream is not to be read."""
+async def test_malformed_frame_closes_only_its_connection(world: World, frame: bytes, whole: bool) -> None:
+    """Whatever its lengths say, and wherever in a request: the rest of the stream cannot be parsed."""
     other = await world.run()
     client = await world.client()
     for at in range(0, 1 if whole else min(len(frame), 40)):
         client.writer.write(frame if whole else frame[at : at + 1])
         await asyncio.sleep(0)
     client.writer.write(b"" if whole else frame[40:])
-    told = await soon(ended(client.reader))
-    assert told == b"" or told.splitlines()[-1].startswith(b"-ERR")
+    received = await soon(ended(client.reader))
+    assert received == b"" or received.splitlines()[-1].startswith(b"-ERR")
     assert await other.command(b"PING") == b"+PONG"
 
 
 async def ended(reader: asyncio.StreamReader) -> bytes:
-    """What came before the end; a reset, where bytes were left unread, is an end too."""
-    told = b""
+    """Return the bytes received until the connection ends; a reset (with unread bytes) is an end, too."""
+    received = b""
     try:
         while data := await reader.read(4096):
-            told += data
+            received += data
     except ConnectionError:
         pass
-    return told
+    return received
 
 
-async def test_a_request_may_come_in_pieces(world: World) -> None:
+async def test_request_may_arrive_in_pieces(world: World) -> None:
     host = await world.add("h1")
     client = await world.run()
     data = packed(*enqueue("m1")) + packed(b"PING")
@@ -130,7 +130,7 @@
     await host.call(0)
 
 
-async def test_over_the_holding_cap_a_message_is_refused_with_a_time(world: World) -> None:
+async def test_message_beyond_the_backlog_limit_is_refused_with_a_wait(world: World) -> None:
     world.settings["allowed"]["open_cap"] = 1
     host = await world.add("h1", silent)
     client = await world.run()
@@ -139,8 +139,8 @@
     assert await client.hand_in("m2") == b"-BUSY 2000"
 
 
-async def test_a_full_disk_budget_refuses_and_goes_on(world: World) -> None:
-    """More than ``disk_mb`` in the folder is a crash: new work is turned away before."""
+async def test_full_disk_budget_refuses_new_messages_only(world: World) -> None:
+    """More than ``disk_mb`` in the folder would end the process: new messages are refused before."""
     world.disk_mb = 0.1
     host = await world.add("h1", silent)
     client = await world.run()
@@ -155,7 +155,7 @@
     await host.until(lambda: any("late" in request.ids for request in host.seen))
 
 
-async def test_sends_of_one_step_share_a_call_and_each_has_its_own_end(world: World) -> None:
+async def test_sends_of_one_step_share_a_call_with_individual_results(world: World) -> None:
     def mixed(request: Request) -> None:
         ends = {"m1": "delivered", "m2": "refused", "m3": "over", "m4": "failed", "m5": "spent"}
         request.answer(200, "".join(f"{ref} {ends[ref]}\r\n" for ref in request.ids))
@@ -171,13 +171,13 @@
     assert call.target == "/hook/batch"
     assert sorted(call.ids) == refs
     assert b"m2 key-m2 5\r\nhello\r\n" in call.body
-    assert (await world.directory.notice("m4"))["result"] == "dead"  # it may have run
+    assert (await world.directory.notice("m4"))["result"] == "dead"  # in doubt
     await host.until(lambda: {"m2", "m5"} <= {ref for r in host.seen[1:] for ref in r.ids})
     assert {ref for r in host.seen[1:] for ref in r.ids} == {"m2", "m5"}
 
 
-async def test_a_batch_answer_that_is_cut_may_have_run(world: World) -> None:
-    """A batch is delivered only when its whole answer is there."""
+async def test_truncated_batch_response_is_in_doubt(world: World) -> None:
+    """A batch counts as delivered only once its whole response has arrived."""
 
     def cut(request: Request) -> None:
         request.writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 400\r\n\r\nm1 delivered\r\n")
@@ -192,7 +192,7 @@
 
 
 @pytest.mark.parametrize("status", [503, 504])
-async def test_what_never_ran_is_sent_again_though_unsafe(world: World, status: int) -> None:
+async def test_unsafe_message_that_never_ran_is_retried(world: World, status: int) -> None:
     host = await world.add("h1")
     client = await world.run()
     host.script.append(lambda request: request.answer(status))
@@ -200,7 +200,7 @@
     assert (await host.call(1)).ids == ["m1"]
 
 
-async def test_a_message_that_is_over_is_left_alone(world: World) -> None:
+async def test_completed_message_is_not_sent_again(world: World) -> None:
     host = await world.add("h1")
     client = await world.run()
     host.script.append(lambda request: request.answer(410))
@@ -214,7 +214,7 @@
 
 
 @pytest.mark.parametrize("reply", [lambda r: r.answer(500), Request.reset, lambda r: r.writer.close()])
-async def test_what_may_have_run_is_not_repeated_where_that_harms(world: World, reply: object) -> None:
+async def test_unsafe_message_in_doubt_is_not_repeated(world: World, reply: object) -> None:
     host = await world.add("h1")
     client = await world.run()
     host.script.append(reply)  # type: ignore[arg-type]
@@ -223,8 +223,8 @@
     assert len(host.seen) == 1
 
 
-async def test_a_reset_on_a_reused_connection_may_have_run(world: World) -> None:
-    """Idle or not before: once the last byte is out, the host may have begun."""
+async def test_reset_on_a_reused_connection_is_in_doubt(world: World) -> None:
+    """Idle before or not: once the last byte is sent, the host may have started."""
     host = await world.add("h1")
     client = await world.run()
     await client.hand_in("m1", "unsafe")
@@ -235,7 +235,7 @@
     assert [request.connection for request in host.seen] == [1, 1]
 
 
-async def test_a_connection_that_the_host_ended_is_not_written_to(world: World) -> None:
+async def test_connection_closed_by_the_host_is_not_reused(world: World) -> None:
     host = await world.add("h1")
     client = await world.run()
     await client.hand_in("m1", "unsafe")
@@ -247,29 +247,30 @@
     assert (await host.call(1)).connection == 2
 
 
-async def test_a_refused_connection_never_ran(world: World) -> None:
+async def test_refused_connection_proves_that_the_attempt_never_ran(world: World) -> None:
     host = await world.add("h1", listens=False)
     client = await world.run()
     assert await client.hand_in("m1", "unsafe") == b"+OK"
-    await asyncio.sleep(0.05)  # a first try may be refused; without one the test proves less, not wrongly
+    # Time for a refused first attempt; without one the test proves less, but is not wrong.
+    await asyncio.sleep(0.05)
     await host.start()
     assert (await host.call(0)).ids == ["m1"]
 
 
-async def test_silence_ends_with_the_messages_time(world: World) -> None:
-    """A keyed message that may have run is failed, a safe one handed back with a time to come again."""
+async def test_unanswered_calls_end_at_the_message_deadline(world: World) -> None:
+    """A keyed message in doubt fails; a safe one is refused with a time to retry after."""
     await world.add("h1", silent)
     client = await world.run()
     await client.hand_in("m1", "keyed", d=1500)
     await client.hand_in("m2", "safe", d=1500)
     assert await world.directory.notice("m1") == {"ref": "m1", "result": "dead"}
-    told = await world.directory.notice("m2")
-    assert (told["ref"], told["result"]) == ("m2", "bounced")
-    assert 1000 <= told["wait_ms"] <= 2000, "drawn, so that not all clients come back together"
+    received = await world.directory.notice("m2")
+    assert (received["ref"], received["result"]) == ("m2", "bounced")
+    assert 1000 <= received["wait_ms"] <= 2000, "random, so that not all clients retry together"
 
 
-async def test_a_wait_is_heeded(world: World) -> None:
-    """Told on any answer, also on one that delivers."""
+async def test_retry_after_wait_is_honoured(world: World) -> None:
+    """It may come with any response, also with one that delivers."""
     host = await world.add("h1")
     client = await world.run()
     host.script.append(lambda request: request.answer(429, X_Retry_In_Ms="600"))
@@ -281,13 +282,13 @@
     assert (await host.call(2)).at_s - second.at_s >= 0.6
 
 
-async def test_nothing_new_goes_to_a_host_that_drains(world: World) -> None:
+async def test_draining_host_gets_no_new_calls(world: World) -> None:
     draining, other = await world.add("h1"), await world.add("h2", site="b")
     client = await world.run()
     await client.hand_in("m1")
     await draining.call(0)
     world.directory.change("h1", health="DRAINING")
-    while draining.writers:  # the relay has heard of it once it closes its idle connection
+    while draining.writers:  # the relay has received it once it closes its idle connection
         await asyncio.sleep(0.01)
     await client.hand_in("m2")
     assert (await other.call(0)).ids == ["m2"]
@@ -300,17 +301,17 @@
 
 
 @pytest.mark.parametrize("how", ["lose", "garble"])
-async def test_a_watch_that_breaks_is_asked_for_again(world: World, how: str) -> None:
+async def test_broken_watch_is_reopened(world: World, how: str) -> None:
     world.name(2)
     host = await world.add("h1")
     client = await world.run()
     await client.insist("m1")
     await host.call(0)
     getattr(world.directory, how)()
-    await client.hand_in("m2", dest=2, d=400)  # notices go through also while discovery is down
+    await client.hand_in("m2", dest=2, d=400)  # notices are sent even while discovery is down
     assert (await world.directory.notice("m2"))["result"] == "bounced"
     await client.hand_in("m3")
-    await host.call(1)  # the list that was held still serves
+    await host.call(1)  # the list held is still used
     world.directory.down = False
     late = await world.add("h2", block=2)
     await client.hand_in("m4", dest=2)
@@ -320,7 +321,7 @@
     assert not asked[-1].endswith("from=0")
 
 
-async def test_a_notice_is_repeated_until_it_is_confirmed(world: World) -> None:
+async def test_notice_is_repeated_until_confirmed(world: World) -> None:
     client = await world.run()
     await world.directory.call(0)
     world.directory.script += [Request.reset, lambda request: request.answer(503)]
@@ -332,7 +333,7 @@
     assert len(set(posts)) == 1
 
 
-async def test_bad_entries_of_the_list_are_left_out(world: World) -> None:
+async def test_invalid_list_entries_are_skipped(world: World) -> None:
     world.directory.change("bad1", dial="nowhere")
     world.directory.change("bad2", dial="127.0.0.1:1", health="ODD")
     world.directory.change("bad3", dial="127.0.0.1:1", block="x")
@@ -343,7 +344,7 @@
 
 
 @pytest.mark.parametrize("answer", [b"nonsense\r\n\r\n", b"HTTP/1.1 503 X\r\nX: " + b"y" * 70_000])
-async def test_an_answer_that_cannot_be_read_may_have_run(world: World, answer: bytes) -> None:
+async def test_unreadable_response_is_in_doubt(world: World, answer: bytes) -> None:
     host = await world.add("h1")
     client = await world.run()
     host.script.append(lambda request: request.writer.write(answer))
@@ -353,8 +354,8 @@
     await host.until(lambda: host.seen[-1].ids == ["m2"])
 
 
-async def test_over_the_bound_the_connection_that_was_silent_longest_goes(world: World) -> None:
-    """Descriptors are bounded; turning the new one away would lose the request on its way."""
+async def test_longest_idle_connection_is_closed_at_the_limit(world: World) -> None:
+    """Descriptors are limited; closing the new connection would lose the request on its way."""
     world.sockets = 8  # of which half are for clients
     first = await world.run()
     others = [await world.client() for _ in range(3)]
@@ -367,8 +368,8 @@
         assert await client.command(b"PING") == b"+PONG"
 
 
-async def test_a_post_of_a_notice_that_hangs_is_made_again_in_time(world: World) -> None:
-    """A notice is overdue 300 ms after the message's time: one silent connection must not use that up."""
+async def test_hanging_notice_post_is_repeated_in_time(world: World) -> None:
+    """A notice is overdue 300 ms after the deadline: one hanging connection must not use that up."""
     client = await world.run()
     await world.directory.call(0)
     world.directory.script.append(silent)
@@ -379,8 +380,8 @@
     assert [notice["ref"] for notice in world.directory.notices] == ["m1", "m2"]
 
 
-async def test_a_watch_that_falls_silent_is_asked_for_again(world: World) -> None:
-    """A cut network ends no connection; what the list then tells binds all the same."""
+async def test_silent_watch_is_reopened(world: World) -> None:
+    """A network failure closes no connection, but list changes during it have to be applied."""
     world.directory.heartbeat = False
     await world.run()
     await world.directory.call(0)
@@ -388,8 +389,8 @@
     assert again.target == "/discovery/hosts?watch=1&from=1"
 
 
-def test_silences_end_within_what_the_rules_allow() -> None:
-    """A notice is overdue after 300 ms; a change counts as told after 6 s; a watch has a line every 2 s."""
-    asked_again_s = 0.65 + 0.5  # the module's first gap at most, and a slow answer
+def test_timeouts_are_within_the_rules() -> None:
+    """A notice is overdue after 300 ms, a list change after 6 s; a watch has a line every 2 s."""
+    reopen_s = 0.65 + 0.5  # the engine's first retry gap at most, and a slow response
     assert notices.POST_S[0] + notices.AGAIN_S[0] < 0.3
-    assert 2 < discovery.QUIET_S < 6 - asked_again_s
+    assert 2 < discovery.QUIET_S < 6 - reopen_s
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -15,7 +15,7 @@
 import pytest
 
 from mallowlug.core.handover import HandoverState
-from mallowlug.core.reserved_space import ROOMY
+from mallowlug.core.reserved_space import LARGE_FOLDER
 from mallowlug.system import POSIX, PosixDisk
 from mallowlug.upgrade import handover_file
 from mallowlug.upgrade.locks import Lock, OwnershipLocks
@@ -448,7 +448,7 @@
         {"h1": 5}, [("h1", 5, 1.0, 2.0, 3.0, -1, 0)], 7, rows, [f"id-{n}" for n in range(512)]
     )
     assert handover_file.write(tmp_path, POSIX.disk, many)
-    assert (tmp_path / "binds").stat().st_size <= ROOMY.binds
+    assert (tmp_path / "binds").stat().st_size <= LARGE_FOLDER.handover_bytes
     kept = handover_file.read(tmp_path, POSIX.disk)
     assert kept is not None
     assert (kept.waits, kept.seq, kept.rows, kept.over) == ({"h1": 5}, -1, {}, [])
