--- a/mallowlug/compose.py
+++ b/mallowlug/compose.py
@@ -23,10 +23,10 @@
 from mallowlug.core.reasons import Reasons
 from mallowlug.core.relay import RelayCore
 from mallowlug.core.reserved_space import reserved_space
-from mallowlug.directory.discovery import FIRST_S, Watch
-from mallowlug.ends.notices import Notices
-from mallowlug.fronts.resp2 import Server
-from mallowlug.partners.http_calls import Hosts
+from mallowlug.directory.discovery import FIRST_LINE_TIMEOUT_S, DirectoryWatch
+from mallowlug.ends.notices import HttpNotifier
+from mallowlug.fronts.resp2 import Resp2Server
+from mallowlug.partners.http_calls import HttpPartners
 from mallowlug.system import System
 from mossfront.interface import Settings
 
@@ -47,7 +47,7 @@
 
 def fronts_of(
     cfg: config.Config, extras: config.Extras, core: Intake, system: System, reasons: Reasons
-) -> list[Server]:
+) -> list[Resp2Server]:
     """The platform's front, then the operator's; all share one half of the descriptors."""
     shares = shares_in(cfg, extras)
     left = shares.clients - sum(plan.connections for plan in extras.fronts)
@@ -57,7 +57,8 @@
     shared = cfg.console is not None  # by it staff learn when a process that starts beside this one is ready
     burst = max(1, shares.burst // len(plans))
     return [
-        Server(core, address, most, system, shared, burst=burst, reasons=reasons) for address, most in plans
+        Resp2Server(core, address, most, system, shared, accept_backlog=burst, reasons=reasons)
+        for address, most in plans
     ]
 
 
@@ -73,7 +74,7 @@
 def plugs_of(cfg: config.Config, seq: int, system: System, calls: int, reasons: Reasons) -> Adapters:
     """The platform's adapters, bound to what the configuration tells."""
     return Adapters(
-        partners=lambda settled, released: Hosts(
+        partners=lambda settled, released: HttpPartners(
             cfg.settings.kinds,
             cfg.settings.keepalive_us,
             cfg.connect_timeout_us,
@@ -81,13 +82,19 @@
             settled=settled,
             released=released,
             system=system,
-            most_open=calls,
+            max_open=calls,
             reasons=reasons,
         ),
-        directory=lambda told, failed: Watch(
-            cfg.discovery, seq, told, failed, system, most_line=cfg.memory_bytes // 8, answer_s=answer_s(cfg)
+        directory=lambda told, failed: DirectoryWatch(
+            cfg.discovery,
+            seq,
+            told,
+            failed,
+            system,
+            max_line_bytes=cfg.memory_bytes // 8,
+            response_timeout_s=answer_s(cfg),
         ),
-        notifier=lambda confirmed: Notices(cfg.discovery, confirmed, system),
+        notifier=lambda confirmed: HttpNotifier(cfg.discovery, confirmed, system),
     )
 
 
@@ -98,7 +105,7 @@
     counts as told at once. So an ask that hangs must not outlast its return by a drain's grace.
     """
     least_s = max(LEAST_ANSWER_S, cfg.settings.drain_grace_us / 4e6)
-    return min(FIRST_S, least_s) if cfg.settings.list_is_pushed else FIRST_S
+    return min(FIRST_LINE_TIMEOUT_S, least_s) if cfg.settings.list_is_pushed else FIRST_LINE_TIMEOUT_S
 
 
 def list_of(binds: HandoverState | None, known: EndpointList) -> EndpointList:
@@ -136,7 +143,7 @@
         self._desk = OperatorInterface(self._figures, self._outs)
         self._desk.names = {listed.entry.host for listed in cfg.known.hosts} if cfg.console else set()
         self._journal: Journal | None = None
-        self._fronts: list[Server] = []
+        self._fronts: list[Resp2Server] = []
         self._core: Intake | None = None  # what the fronts talk to
         self._shift: Shift | None = None
         self._owing: asyncio.TimerHandle | None = None  # the next attempt to keep what a reload put aside
@@ -238,7 +245,7 @@
         self._fronts = fronts_of(self._cfg, self._extras, self._core, self._system, self._figures.reasons)
         for front in self._fronts:
             await front.start()
-            if self._shift is not None and self._shift.followed and not front.prevail():
+            if self._shift is not None and self._shift.followed and not front.steer_connections_here():
                 LOG.warning("upgrade: new connections cannot be steered here; any process gets them")
 
     def take_up(self, binds: HandoverState | None) -> RelayCore:
@@ -310,7 +317,7 @@
         """What clients bring goes there from now on."""
         self._core = core
         for front in self._fronts:
-            front.core = core
+            front.intake = core
 
     def hear(self) -> None:
         """The other process's staff may have put a host out or back."""
@@ -413,10 +420,10 @@
 
         if followed := self._shift is not None and self._shift.door is not None:
             for front in self._fronts:
-                front.part()
+                front.close_after_next_answer()
             await asyncio.sleep(SHUT_S)
             for front in self._fronts:
-                front.shut()
+                front.stop_listening()
         await self._until(start_s + SERVE_S, parted, start_s + 0.5)
         for front in self._fronts:
             front.drain_clients()
--- a/mallowlug/config.py
+++ b/mallowlug/config.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from mallowlug.core.model import Address, EndpointList, parse_address
-from mallowlug.directory.discovery import read_list
+from mallowlug.directory.discovery import parse_list
 from mallowlug.system import Disk, System, save
 from mossfront.interface import Settings
 from mossfront.settings import settings_of, whole
@@ -261,7 +261,7 @@
             disk_bytes=int(float(limits.get("disk_mb", 3)) * 1_000_000),
             memory_bytes=int(float(limits.get("memory_mb", 64)) * 1_000_000),
             sockets=int(limits.get("sockets", 1024)),
-            known=read_list(raw["known"]) if raw.get("known") else EndpointList(0, True, ()),
+            known=parse_list(raw["known"]) if raw.get("known") else EndpointList(0, True, ()),
             console=address_of(console) if console else None,
             shape=shape_of(raw | ({"known": ...} if "known" in raw else {})),
             told=without_list(raw) if console else b"",
--- a/mallowlug/ends/notices.py
+++ b/mallowlug/ends/notices.py
@@ -9,30 +9,30 @@
 from contextlib import suppress
 
 from mallowlug.core.model import Address, Notice
-from mallowlug.net.http import FAULTS, Connection
+from mallowlug.net.http import CONNECTION_ERRORS, Connection
 from mallowlug.system import System
 
 LOG = logging.getLogger(__name__)
-NOTICES = "/v1/notices"
-MOST_LINE = 1 << 20  # bytes of an answer, which means nothing
-POST_S = (0.25, 1.0)  # s for the answer to a notice, which is given at once: at first, and at most
-WORKERS, MOST_NOTICES = 3, 64  # posts out at once, so that a hanging one delays no other; lines in a post
-AGAIN_S = (0.02, 0.5)  # s before a post is repeated: at first, and at most
+NOTICES_PATH = "/v1/notices"
+MAX_RESPONSE_BYTES = 1 << 20  # bytes of an answer, which means nothing
+POST_TIMEOUT_S = (0.25, 1.0)  # s for the answer to a notice, which is given at once: at first, and at most
+WORKERS, MAX_BATCH = 3, 64  # posts out at once, so that a hanging one delays no other; lines in a post
+RETRY_DELAY_S = (0.02, 0.5)  # s before a post is repeated: at first, and at most
 
 
-def line_of(notice: Notice) -> bytes:
+def encode_notice(notice: Notice) -> bytes:
     """The notice as the platform reads it: one JSON object and a newline."""
-    told: dict[str, str | int] = {"ref": notice.message_id, "result": notice.result}
+    fields: dict[str, str | int] = {"ref": notice.message_id, "result": notice.result}
     if notice.wait_ms > 0:
-        told["wait_ms"] = notice.wait_ms
-    return json.dumps(told, separators=(",", ":")).encode() + b"\n"
+        fields["wait_ms"] = notice.wait_ms
+    return json.dumps(fields, separators=(",", ":")).encode() + b"\n"
 
 
-class Notices:
+class HttpNotifier:
     """Posts each notice until the platform confirms it; it is answered also while discovery is down."""
 
-    def __init__(self, address: Address, confirmed: Callable[[str], None], system: System) -> None:
-        self._address, self._confirmed, self._system = address, confirmed, system
+    def __init__(self, address: Address, on_confirmed: Callable[[str], None], system: System) -> None:
+        self._address, self._on_confirmed, self._system = address, on_confirmed, system
         self._queue: asyncio.Queue[Notice] = asyncio.Queue()
         self._tasks: list[asyncio.Task[None]] = []
         self.unconfirmed = 0
@@ -60,13 +60,13 @@
         while True:
             batch = [await self._queue.get()]
             with suppress(asyncio.QueueEmpty):
-                while len(batch) < MOST_NOTICES:
+                while len(batch) < MAX_BATCH:
                     batch.append(self._queue.get_nowait())
-            again_s, post_s = AGAIN_S[0], POST_S[0]
+            retry_delay_s, timeout_s = RETRY_DELAY_S[0], POST_TIMEOUT_S[0]
             while batch:
-                connection, status = await self._post(connection, batch, post_s)
+                connection, status = await self._post(connection, batch, timeout_s)
                 if status == 204:
-                    self._done(batch)
+                    self._confirm(batch)
                     batch = []
                 elif status == 400 and len(batch) > 1:  # one bad line must not hold up the others
                     for notice in batch[1:]:
@@ -76,31 +76,38 @@
                     if status == 400:
                         ref = batch[0].message_id
                         LOG.error("notice for %s was not understood", ref, extra={"message_id": ref})
-                    await asyncio.sleep(again_s)
-                    again_s, post_s = min(2 * again_s, AGAIN_S[1]), min(2 * post_s, POST_S[1])
+                    await asyncio.sleep(retry_delay_s)
+                    retry_delay_s, timeout_s = (
+                        min(2 * retry_delay_s, RETRY_DELAY_S[1]),
+                        min(2 * timeout_s, POST_TIMEOUT_S[1]),
+                    )
 
-    def _done(self, batch: list[Notice]) -> None:
+    def _confirm(self, batch: list[Notice]) -> None:
         for notice in batch:
             self.unconfirmed -= 1
-            self._confirmed(notice.message_id)
+            self._on_confirmed(notice.message_id)
 
     async def _post(
-        self, connection: Connection | None, batch: list[Notice], post_s: float
+        self, connection: Connection | None, batch: list[Notice], timeout_s: float
     ) -> tuple[Connection | None, int]:
         """One post; the connection if it can serve again, and the status (0: none came)."""
         try:
-            async with asyncio.timeout(post_s):
-                if connection is None or connection.address != self._address or not connection.quiet():
+            async with asyncio.timeout(timeout_s):
+                if (
+                    connection is None
+                    or connection.address != self._address
+                    or not connection.no_unsolicited_data()
+                ):
                     if connection is not None:
                         connection.close()
                     connection = await Connection.open(self._address, self._system)
-                body = b"".join(line_of(notice) for notice in batch)
-                await connection.send(connection.request("POST", NOTICES, [], body))
-                status = (await connection.answer()).status
-                await connection.body(MOST_LINE)
+                body = b"".join(encode_notice(notice) for notice in batch)
+                await connection.send(connection.request("POST", NOTICES_PATH, [], body))
+                status = (await connection.read_head()).status
+                await connection.read_body(MAX_RESPONSE_BYTES)
             if connection.reusable():
                 return connection, status
-        except (*FAULTS, TimeoutError) as error:
+        except (*CONNECTION_ERRORS, TimeoutError) as error:
             LOG.info("notices: post of %d failed: %r", len(batch), error)
             status = 0
         except Exception:  # a worker that dies would hold back every later notice
--- a/mallowlug/fronts/resp2.py
+++ b/mallowlug/fronts/resp2.py
@@ -14,73 +14,75 @@
 from mallowlug.system import System
 
 LOG = logging.getLogger(__name__)
-MOST_BODY = 64 * 1024
-MOST_REQUEST = MOST_BODY + 4096  # bytes of one request's strings
-MOST_PARTS = 16  # strings of one request
-MOST_COUNT = 16  # bytes of a count or a length with its sign
-READ = 32 * 1024  # bytes taken from one connection before the others have their turn
-MOST_TURN = 32  # requests of one connection before the others have their turn
-MOST_ERRORS = 8  # requests of one connection that make no sense, before it is closed
-SILENT_S = 2.05  # s in which a new connection has to say something
-REQUEST_S = 0.8  # s from a request's first byte to its last: its client waits for 0.4 s
-LINGER_S = 0.4  # s in which a lingering close waits for the client's end: so long it waits for an answer
-SWEEP_S = 0.1  # s between looks for connections past these bounds
-COUNT = re.compile(rb"[*$][0-9]{1,8}")
+MAX_BODY_BYTES = 64 * 1024
+MAX_REQUEST_BYTES = MAX_BODY_BYTES + 4096  # bytes of one request's strings
+MAX_ARGUMENTS = 16  # strings of one request
+MAX_LENGTH_LINE_BYTES = 16  # bytes of a count or a length with its sign
+READ_BUFFER_BYTES = 32 * 1024  # bytes taken from one connection before the others have their turn
+MAX_REQUESTS_PER_TURN = 32  # requests of one connection before the others have their turn
+MAX_ERRORS = 8  # requests of one connection that make no sense, before it is closed
+FIRST_REQUEST_TIMEOUT_S = 2.05  # s in which a new connection has to say something
+REQUEST_TIMEOUT_S = 0.8  # s from a request's first byte to its last: its client waits for 0.4 s
+LINGER_TIMEOUT_S = (
+    0.4  # s in which a lingering close waits for the client's end: so long it waits for an answer
+)
+SWEEP_INTERVAL_S = 0.1  # s between looks for connections past these bounds
+LENGTH_LINE = re.compile(rb"[*$][0-9]{1,8}")
 TOKEN = re.compile(rb"[!-~]{1,128}")  # what can stand in a header and in a batch's line
 NUMBER = re.compile(rb"[0-9]{1,12}")
-LONGEST_MS = 24 * 3600 * 1000
+MAX_TIME_LEFT_MS = 24 * 3600 * 1000
 
 
 class BadRequestError(ValueError):
     """A whole request that cannot be taken on."""
 
 
-def token(raw: bytes, name: str) -> str:
+def parse_token(raw: bytes, name: str) -> str:
     """A short printable word."""
     if not TOKEN.fullmatch(raw):
         raise BadRequestError(f"{name} is unreadable")
     return raw.decode("ascii")
 
 
-def number(pairs: dict[bytes, bytes], name: bytes) -> int:
+def parse_number(fields: dict[bytes, bytes], name: bytes) -> int:
     """A whole number that has to be there."""
-    text = pairs.get(name, b"")
+    text = fields.get(name, b"")
     if not NUMBER.fullmatch(text):
         raise BadRequestError(f"{name.decode()} is no whole number")
     return int(text)
 
 
-def handed_of(args: list[bytes], now_us: int) -> tuple[Submission, bytes]:
+def parse_submission(args: list[bytes], now_us: int) -> tuple[Submission, bytes]:
     """The message in an ENQUEUE request; its time counts from ``now_us``."""
     if len(args) != 5:
         raise BadRequestError("ENQUEUE takes a key, an id, a list and a body")
-    _, order, ref, names, body = args
-    if len(body) > MOST_BODY:
+    _, order, message_id, field_list, body = args
+    if len(body) > MAX_BODY_BYTES:
         raise BadRequestError("the body is too long")
-    pairs: dict[bytes, bytes] = {}
-    for pair in names.split(b","):
-        name, sign, value = pair.partition(b"=")
+    fields: dict[bytes, bytes] = {}
+    for item in field_list.split(b","):
+        name, sign, value = item.partition(b"=")
         if not sign:
             raise BadRequestError("the list holds no name=value pair")
-        pairs[name.strip()] = value
-    left_ms = min(number(pairs, b"d"), LONGEST_MS)
-    handed = Submission(
-        id=token(ref, "the id"),
-        dest=number(pairs, b"dest"),
-        cls=token(pairs.get(b"c", b""), "c"),
-        deadline_us=now_us + left_ms * 1000,
-        tenant=token(pairs[b"t"], "t") if pairs.get(b"t") else "",
-        order="" if not order.strip(b"0") else token(order, "the key"),
-        key=token(pairs[b"k"], "k") if pairs.get(b"k") else "",
+        fields[name.strip()] = value
+    time_left_ms = min(parse_number(fields, b"d"), MAX_TIME_LEFT_MS)
+    submission = Submission(
+        id=parse_token(message_id, "the id"),
+        dest=parse_number(fields, b"dest"),
+        cls=parse_token(fields.get(b"c", b""), "c"),
+        deadline_us=now_us + time_left_ms * 1000,
+        tenant=parse_token(fields[b"t"], "t") if fields.get(b"t") else "",
+        order="" if not order.strip(b"0") else parse_token(order, "the key"),
+        key=parse_token(fields[b"k"], "k") if fields.get(b"k") else "",
     )
-    return handed, body
+    return submission, body
 
 
 class FrameError(ValueError):
     """The stream cannot be read on: where the next request begins is not known."""
 
 
-class Requests:
+class RequestParser:
     """Cuts requests out of a client's stream: arrays of bulk strings, strictly and within bounds.
 
     A parser made for a server's answers will not do: it makes room for whatever count it is told, nested ones
@@ -88,62 +90,70 @@
     """
 
     def __init__(self) -> None:
-        self._buffer, self._at = bytearray(), 0  # what has come, and how much of it is read
-        self._strings: list[bytes] = []
-        self._missing, self._size, self._total = 0, -1, 0  # strings to come; length of the next; sum so far
+        self._buffer, self._position = bytearray(), 0  # what has come, and how much of it is read
+        self._arguments: list[bytes] = []
+        self._arguments_left, self._argument_length, self._total_length = (
+            0,
+            -1,
+            0,
+        )  # strings to come; length of the next; sum so far
 
     def feed(self, data: bytes | memoryview) -> None:
         """Add what has come."""
         self._buffer += data
 
     @property
-    def begun(self) -> bool:
+    def in_progress(self) -> bool:
         """Whether a part of a request has come."""
-        return len(self._buffer) > self._at or self._missing > 0
+        return len(self._buffer) > self._position or self._arguments_left > 0
 
-    def next(self) -> list[bytes] | None:
+    def next_request(self) -> list[bytes] | None:
         """The next whole request; None where more has to come."""
         buffer = self._buffer
         while True:
-            if self._missing and self._size >= 0:
-                end = self._at + self._size
+            if self._arguments_left and self._argument_length >= 0:
+                end = self._position + self._argument_length
                 if len(buffer) < end + 2:
                     return None
                 if buffer[end : end + 2] != b"\r\n":
                     raise FrameError("a string is longer than its length")
-                self._strings.append(bytes(buffer[self._at : end]))
-                self._at, self._missing, self._size = end + 2, self._missing - 1, -1
-                if not self._missing:
-                    del buffer[: self._at]  # once for a request, not for each of its parts
-                    request, self._strings, self._total, self._at = self._strings, [], 0, 0
+                self._arguments.append(bytes(buffer[self._position : end]))
+                self._position, self._arguments_left, self._argument_length = (
+                    end + 2,
+                    self._arguments_left - 1,
+                    -1,
+                )
+                if not self._arguments_left:
+                    del buffer[: self._position]  # once for a request, not for each of its parts
+                    request, self._arguments, self._total_length, self._position = self._arguments, [], 0, 0
                     return request
-            elif not self._count():
+            elif not self._read_length():
                 return None
 
-    def _count(self) -> bool:
+    def _read_length(self) -> bool:
         """Read how many strings come, or how long the next one is; False where that is not there yet."""
-        sign, buffer, at = b"$" if self._missing else b"*", self._buffer, self._at
-        if len(buffer) > at and not buffer.startswith(sign, at):
+        sign, buffer, start = b"$" if self._arguments_left else b"*", self._buffer, self._position
+        if len(buffer) > start and not buffer.startswith(sign, start):
             raise FrameError(f"expected '{sign.decode()}'")
-        end = buffer.find(b"\r\n", at, at + MOST_COUNT)
+        end = buffer.find(b"\r\n", start, start + MAX_LENGTH_LINE_BYTES)
         if end < 0:
-            if len(buffer) - at >= MOST_COUNT:
+            if len(buffer) - start >= MAX_LENGTH_LINE_BYTES:
                 raise FrameError("a count without end")
             return False
-        line = bytes(buffer[at:end])
-        if not COUNT.fullmatch(line):
+        line = bytes(buffer[start:end])
+        if not LENGTH_LINE.fullmatch(line):
             raise FrameError("not a count")
-        self._at, number = end + 2, int(line[1:])
-        if self._missing:
-            self._size, self._total = number, self._total + number
+        self._position, length = end + 2, int(line[1:])
+        if self._arguments_left:
+            self._argument_length, self._total_length = length, self._total_length + length
         else:
-            self._missing = number
-        if self._total > MOST_REQUEST or not 0 < self._missing <= MOST_PARTS:
+            self._arguments_left = length
+        if self._total_length > MAX_REQUEST_BYTES or not 0 < self._arguments_left <= MAX_ARGUMENTS:
             raise FrameError("invalid length")
         return True
 
 
-class Client(asyncio.BufferedProtocol):
+class ClientConnection(asyncio.BufferedProtocol):
     """One client's connection: requests in order, one answer each.
 
     It ends by a lingering close (RFC 9112, 9.6): the answers go out, then the sending ends, then what the
@@ -151,127 +161,129 @@
     connection, and the reset takes back answers that the client has not read yet.
     """
 
-    def __init__(self, server: Server) -> None:
-        self._server, self._requests = server, Requests()
+    def __init__(self, server: Resp2Server) -> None:
+        self._server, self._parser = server, RequestParser()
         self._transport: asyncio.Transport | None = None
-        self._errors, self._unread = 0, False  # unread: the client does not take its answers
-        self._turn: asyncio.Handle | None = None
-        self.ending = False
-        self._ended, self._lingers = False, False  # the client's sending has ended; ours has
-        self._why_closed: ClientClose | None = None  # as decided here
+        self._error_count, self._writing_paused = 0, False  # unread: the client does not take its answers
+        self._scheduled_turn: asyncio.Handle | None = None
+        self.closing = False
+        self._client_eof, self._lingering = False, False  # the client's sending has ended; ours has
+        self._close_reason: ClientClose | None = None  # as decided here
 
     @property
-    def begun(self) -> bool:
+    def request_in_progress(self) -> bool:
         """Whether a request is under way."""
-        return self._requests.begun
+        return self._parser.in_progress
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
-        self._server.joined(self)
+        self._server.connection_opened(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        if self._turn is not None:
-            self._turn.cancel()
-        self._server.left(self)
+        if self._scheduled_turn is not None:
+            self._scheduled_turn.cancel()
+        self._server.forget(self)
         by_client = ClientClose.BY_CLIENT if exc is None else ClientClose.BROKEN
-        self._server.reasons.count(Event.CLIENT_CLOSE, self._why_closed or by_client)
+        self._server.reasons.count(Event.CLIENT_CLOSE, self._close_reason or by_client)
 
     def pause_writing(self) -> None:
         """A client that does not read its answers is not read either: buffers stay bounded."""
-        self._unread = True
+        self._writing_paused = True
         if self._transport is not None and not self._transport.is_closing():
             self._transport.pause_reading()
 
     def resume_writing(self) -> None:
-        self._unread = False
-        self._go_on()
+        self._writing_paused = False
+        self._schedule_turn()
 
     def get_buffer(self, sizehint: int) -> memoryview:
         """One buffer serves all connections, as each read is taken over at once."""
-        return self._server.buffer
+        return self._server.read_buffer
 
     def buffer_updated(self, nbytes: int) -> None:
-        if self._lingers:  # it comes again on another connection: taken on here, it would have no answer
+        if self._lingering:  # it comes again on another connection: taken on here, it would have no answer
             return
-        self._requests.feed(self._server.buffer[:nbytes])
-        self._serve()
+        self._parser.feed(self._server.read_buffer[:nbytes])
+        self._serve_requests()
 
     def eof_received(self) -> bool:
         """Whether to stay open: whole requests that came before the end still get their answers."""
-        self.ending = self._ended = True
-        return self._turn is not None
+        self.closing = self._client_eof = True
+        return self._scheduled_turn is not None
 
-    def _serve(self) -> None:
+    def _serve_requests(self) -> None:
         """Answer whole requests, only so many a turn: hundreds at once must not hold up the others."""
-        transport, self._turn, answers, more = self._transport, None, list[bytes](), True
-        if transport is None or transport.is_closing() or self._lingers:
+        transport, self._scheduled_turn, answers, more_requests = self._transport, None, list[bytes](), True
+        if transport is None or transport.is_closing() or self._lingering:
             return
         try:
-            while more and len(answers) < MOST_TURN and self._errors < MOST_ERRORS:
-                if more := (request := self._requests.next()) is not None:
-                    answers.append(self._server.answer(request or []))
-                    self._errors += answers[-1].startswith(b"-ERR")
+            while more_requests and len(answers) < MAX_REQUESTS_PER_TURN and self._error_count < MAX_ERRORS:
+                if more_requests := (request := self._parser.next_request()) is not None:
+                    answers.append(self._server.handle_request(request or []))
+                    self._error_count += answers[-1].startswith(b"-ERR")
         except FrameError as error:
             answers.append(b"-ERR Protocol error: %s\r\n" % str(error).encode())
-            self._errors = MOST_ERRORS
+            self._error_count = MAX_ERRORS
         except Exception:
             LOG.exception("clients: a connection broke")
             answers.append(b"-ERR internal error\r\n")
-            self._errors = MOST_ERRORS
+            self._error_count = MAX_ERRORS
         transport.write(b"".join(answers))
-        leaves = self.ending or (self._server.parting and not more)
-        if self._errors >= MOST_ERRORS or (leaves and not self.begun):
-            self.drop(self._why_it_ends())
+        should_close = self.closing or (self._server.closing_after_answer and not more_requests)
+        if self._error_count >= MAX_ERRORS or (should_close and not self.request_in_progress):
+            self.close_lingering(self._reason_to_close())
             return
-        self._server.heard(self, bool(answers))
-        if more:
+        self._server.update_table(self, bool(answers))
+        if more_requests:
             transport.pause_reading()
-            self._go_on()
-        elif not self._unread:
+            self._schedule_turn()
+        elif not self._writing_paused:
             transport.resume_reading()
 
-    def _why_it_ends(self) -> ClientClose:
+    def _reason_to_close(self) -> ClientClose:
         """Why nothing more is read behind the answers so far."""
-        if self._errors >= MOST_ERRORS:
+        if self._error_count >= MAX_ERRORS:
             return ClientClose.ERRORS
-        if self._ended:
+        if self._client_eof:
             return ClientClose.BY_CLIENT
-        return ClientClose.ENDING if self.ending else ClientClose.HANDED_OVER
+        return ClientClose.ENDING if self.closing else ClientClose.HANDED_OVER
 
-    def _go_on(self) -> None:
+    def _schedule_turn(self) -> None:
         """Serve the rest in a later turn."""
-        if self._turn is None and not self._unread:
-            self._turn = asyncio.get_running_loop().call_soon(self._serve)
+        if self._scheduled_turn is None and not self._writing_paused:
+            self._scheduled_turn = asyncio.get_running_loop().call_soon(self._serve_requests)
 
-    def end(self) -> None:
+    def close_after_request(self) -> None:
         """Close between requests: now, or once the request that is coming in has its answer.
 
         What stands in the kernel already is no crossing: the loop's next look at its sockets reads it.
         """
-        self.ending = True
+        self.closing = True
         loop = asyncio.get_running_loop()
-        loop.call_soon(loop.call_soon, self._end_between)  # the second one runs behind that look
+        loop.call_soon(
+            loop.call_soon, self._close_if_between_requests
+        )  # the second one runs behind that look
 
-    def _end_between(self) -> None:
-        if not self.begun:
-            self.drop(ClientClose.ENDING)
+    def _close_if_between_requests(self) -> None:
+        if not self.request_in_progress:
+            self.close_lingering(ClientClose.ENDING)
 
-    def drop(self, reason: ClientClose, answer: bytes = b"") -> None:
+    def close_lingering(self, reason: ClientClose, answer: bytes = b"") -> None:
         """End the connection by a lingering close; one that lingers already is broken off."""
-        self._why_closed = self._why_closed or reason
+        self._close_reason = self._close_reason or reason
         transport = self._transport
         if transport is None:
             return
-        if self._lingers or transport.is_closing():
+        if self._lingering or transport.is_closing():
             transport.abort()
             return
         transport.write(answer)
-        if self._ended:
+        if self._client_eof:
             transport.close()
             return
-        self._lingers = True
-        self._server.lingers(self)
+        self._lingering = True
+        self._server.lingering_started(self)
         try:
             transport.write_eof()
         except OSError:  # the connection is broken already
@@ -279,14 +291,14 @@
             return
         transport.resume_reading()
 
-    def cut(self) -> None:
+    def close_now(self) -> None:
         """Close at once, as its descriptor is needed."""
-        self._why_closed = self._why_closed or ClientClose.ROOM
+        self._close_reason = self._close_reason or ClientClose.ROOM
         if self._transport is not None:
-            (self._transport.abort if self._lingers else self._transport.close)()
+            (self._transport.abort if self._lingering else self._transport.close)()
 
 
-class Server:
+class Resp2Server:
     """Listens for clients and answers their requests.
 
     Every connection stands in one of four tables, each in order of time: those that have said nothing, those
@@ -295,29 +307,34 @@
 
     def __init__(
         self,
-        core: Intake,
+        intake: Intake,
         address: Address,
-        most: int,
+        max_connections: int,
         system: System,
         shared: bool = False,
         *,
-        burst: int = 16,
+        accept_backlog: int = 16,
         reasons: Reasons | None = None,
     ) -> None:
-        self.core, self._address, self.most, self._system = core, address, most, system
+        self.intake, self._address, self.max_connections, self._system = (
+            intake,
+            address,
+            max_connections,
+            system,
+        )
         self.reasons = reasons or Reasons()
-        self._burst = burst  # connections taken on before any of them is served
+        self._accept_backlog = accept_backlog  # connections taken on before any of them is served
         self._shared = shared  # whether another process of this relay may listen beside this one
         self._sock: socket.socket | None = None
-        self.parting = False
-        self.buffer = memoryview(bytearray(READ))
-        self.silent: OrderedDict[Client, float] = OrderedDict()  # by when they connected
-        self.asking: OrderedDict[Client, float] = OrderedDict()  # by when their request began
-        self.idle: OrderedDict[Client, float] = OrderedDict()  # by when they were heard of last
-        self.lingering: OrderedDict[Client, float] = OrderedDict()  # by when their close began
+        self.closing_after_answer = False
+        self.read_buffer = memoryview(bytearray(READ_BUFFER_BYTES))
+        self.unused: OrderedDict[ClientConnection, float] = OrderedDict()  # by when they connected
+        self.receiving: OrderedDict[ClientConnection, float] = OrderedDict()  # by when their request began
+        self.idle: OrderedDict[ClientConnection, float] = OrderedDict()  # by when they were heard of last
+        self.lingering: OrderedDict[ClientConnection, float] = OrderedDict()  # by when their close began
         self._server: asyncio.Server | None = None
-        self._sweeper: asyncio.TimerHandle | None = None
-        self.refusing = False
+        self._sweep_timer: asyncio.TimerHandle | None = None
+        self.draining = False
 
     @property
     def clients(self) -> int:
@@ -325,8 +342,8 @@
         return sum(map(len, self._tables))
 
     @property
-    def _tables(self) -> tuple[OrderedDict[Client, float], ...]:
-        return self.silent, self.asking, self.idle, self.lingering
+    def _tables(self) -> tuple[OrderedDict[ClientConnection, float], ...]:
+        return self.unused, self.receiving, self.idle, self.lingering
 
     async def start(self) -> None:
         """Begin to listen; the journal must have been replayed by then."""
@@ -334,63 +351,65 @@
         # The loop takes on as many connections in one turn as its backlog has room for, before any is counted
         # here: a burst would use up the descriptors. The kernel's own backlog stays long.
         sock = self._sock = self._system.listener(self._address, self._shared)
-        self._server = await loop.create_server(lambda: Client(self), sock=sock, backlog=self._burst)
+        self._server = await loop.create_server(
+            lambda: ClientConnection(self), sock=sock, backlog=self._accept_backlog
+        )
         sock.listen(512)
         self._sweep()
 
-    def prevail(self) -> bool:
+    def steer_connections_here(self) -> bool:
         """Beside a process that listens at this address too: every new connection comes here from now on."""
         return self._sock is not None and self._system.steer(self._sock)
 
-    def part(self) -> None:
+    def close_after_next_answer(self) -> None:
         """Close each connection behind its next answer: its client has nothing on the way then."""
-        self.parting = True
+        self.closing_after_answer = True
 
-    def shut(self) -> None:
+    def stop_listening(self) -> None:
         """Stop listening; open connections go on."""
         if self._server is not None:
             self._server.close()
 
-    def joined(self, client: Client) -> None:
+    def connection_opened(self, client: ClientConnection) -> None:
         """A new connection; over the bound another one goes, for descriptors are bounded."""
-        if self.clients >= self.most:
-            self._make_room()
-        self.silent[client] = asyncio.get_running_loop().time()
-        client.ending |= self.refusing
+        if self.clients >= self.max_connections:
+            self._evict_connection()
+        self.unused[client] = asyncio.get_running_loop().time()
+        client.closing |= self.draining
 
-    def _make_room(self) -> None:
+    def _evict_connection(self) -> None:
         """Close the one that was silent longest: a request that crosses the close has failed.
 
         A lingering close ends first: nobody waits for it. A new connection that has said nothing yet must
         not go before others: in a crowd its request is on its way. One with a request under way goes last.
         """
-        tables = (self.lingering,) if self.lingering else (self.silent, self.idle)
+        tables = (self.lingering,) if self.lingering else (self.unused, self.idle)
         oldest = [next(iter(table.items())) for table in tables if table]
-        victim, _ = min(oldest or [next(iter(self.asking.items()))], key=lambda item: item[1])
-        self.left(victim)
-        victim.cut()
+        victim, _ = min(oldest or [next(iter(self.receiving.items()))], key=lambda item: item[1])
+        self.forget(victim)
+        victim.close_now()
 
-    def lingers(self, client: Client) -> None:
+    def lingering_started(self, client: ClientConnection) -> None:
         """Its close has begun."""
-        self.left(client)
+        self.forget(client)
         self.lingering[client] = asyncio.get_running_loop().time()
 
-    def heard(self, client: Client, answered: bool) -> None:
+    def update_table(self, client: ClientConnection, answered: bool) -> None:
         """A connection has brought something: put it where it belongs.
 
         A request's time counts from its first byte, however it trickles, and anew behind one that was
         answered: who sends without a pause has a part of the next request here at every look.
         """
         now_s = asyncio.get_running_loop().time()
-        if client.begun:
-            if answered or client not in self.asking:
-                self.left(client)
-                self.asking[client] = now_s
+        if client.request_in_progress:
+            if answered or client not in self.receiving:
+                self.forget(client)
+                self.receiving[client] = now_s
             return
-        self.left(client)
+        self.forget(client)
         self.idle[client] = now_s
 
-    def left(self, client: Client) -> None:
+    def forget(self, client: ClientConnection) -> None:
         """A connection is gone, or counts as gone."""
         for table in self._tables:
             table.pop(client, None)
@@ -398,31 +417,31 @@
     def _sweep(self) -> None:
         """Close connections that say nothing and requests that do not end."""
         loop = asyncio.get_running_loop()
-        self._sweeper = loop.call_later(SWEEP_S, self._sweep)
-        for table, most_s, reason, answer in (
-            (self.silent, SILENT_S, ClientClose.SILENT, b""),
-            (self.asking, REQUEST_S, ClientClose.UNFINISHED, b"-ERR a request without end\r\n"),
-            (self.lingering, LINGER_S, ClientClose.LINGERED, b""),
+        self._sweep_timer = loop.call_later(SWEEP_INTERVAL_S, self._sweep)
+        for table, timeout_s, reason, answer in (
+            (self.unused, FIRST_REQUEST_TIMEOUT_S, ClientClose.SILENT, b""),
+            (self.receiving, REQUEST_TIMEOUT_S, ClientClose.UNFINISHED, b"-ERR a request without end\r\n"),
+            (self.lingering, LINGER_TIMEOUT_S, ClientClose.LINGERED, b""),
         ):
-            while table and loop.time() - next(iter(table.values())) > most_s:
+            while table and loop.time() - next(iter(table.values())) > timeout_s:
                 client = next(iter(table))
-                self.left(client)
-                client.drop(reason, answer)
+                self.forget(client)
+                client.close_lingering(reason, answer)
 
     def drain_clients(self) -> None:
         """Close every connection between requests; new ones get answers and are closed behind them."""
-        self.refusing = True
-        for client in [*self.silent, *self.asking, *self.idle]:
-            client.end()
+        self.draining = True
+        for client in [*self.unused, *self.receiving, *self.idle]:
+            client.close_after_request()
 
     def close(self) -> None:
         """Stop listening."""
-        if self._sweeper is not None:
-            self._sweeper.cancel()
+        if self._sweep_timer is not None:
+            self._sweep_timer.cancel()
         if self._server is not None:
             self._server.close()
 
-    def answer(self, request: list[bytes]) -> bytes:
+    def handle_request(self, request: list[bytes]) -> bytes:
         """The answer to one whole request."""
         command = request[0].upper()
         if command == b"PING":
@@ -430,17 +449,17 @@
         if command != b"ENQUEUE":
             return b"-ERR unknown command\r\n"
         try:
-            handed, body = handed_of(request, self.core.clock())
+            submission, body = parse_submission(request, self.intake.clock())
         except ValueError as error:
             return b"-ERR %s\r\n" % str(error).encode()
-        if self.refusing:
-            refusal = self.core.refusal
-            self.reasons.count(Event.REFUSAL, refusal.reason, message_id=handed.id)
-            return said(refusal)
-        return said(self.core.submit(handed, body))
+        if self.draining:
+            refusal = self.intake.refusal
+            self.reasons.count(Event.REFUSAL, refusal.reason, message_id=submission.id)
+            return encode_answer(refusal)
+        return encode_answer(self.intake.submit(submission, body))
 
 
-def said(answer: Answer) -> bytes:
+def encode_answer(answer: Answer) -> bytes:
     """The core's answer in a client's words."""
     if isinstance(answer, Accepted):
         return b"+OK\r\n"
--- a/mallowlug/net/http.py
+++ b/mallowlug/net/http.py
@@ -7,12 +7,14 @@
 from collections.abc import Callable
 
 from mallowlug.core.model import Address
-from mallowlug.net.answers import Answer, Answers, SpoiltError
+from mallowlug.net.responses import CorruptResponseError, ResponseHead, ResponseParser
 from mallowlug.system import System, family_of
 
 Headers = list[tuple[str, str]]
-ANSWER_S = 0.5  # s from an answer's first byte to its last: it is written in one go, or it has no end
-READ = 64 * 1024
+RESPONSE_TIMEOUT_S = (
+    0.5  # s from an answer's first byte to its last: it is written in one go, or it has no end
+)
+READ_BYTES = 64 * 1024
 
 
 class Connection:
@@ -22,9 +24,9 @@
         self.sock, self.address, self.unsent = sock, address, 0
         # The loop gets the number: it names what it does not find, a socket by two system calls.
         self.fd = sock.fileno()
-        self.begun = False  # whether a byte of the present request has gone out
-        self._end_s: float | None = None  # when the present answer has to be complete
-        self._answers = Answers()
+        self.write_started = False  # whether a byte of the present request has gone out
+        self._response_deadline_s: float | None = None  # when the present answer has to be complete
+        self._parser = ResponseParser()
 
     @classmethod
     async def open(cls, address: Address, system: System) -> Connection:
@@ -55,33 +57,35 @@
         and a call that may have run would be taken for one that never did.
         """
         loop, view = asyncio.get_running_loop(), memoryview(data)
-        self.unsent, self.begun = len(view), False
-        self._answers.begin()
-        self._end_s = None
+        self.unsent, self.write_started = len(view), False
+        self._parser.begin_response()
+        self._response_deadline_s = None
         while view:
             try:
                 sent = self.sock.send(view)
             except (BlockingIOError, InterruptedError):
-                await self._ready(loop.add_writer, loop.remove_writer)
+                await self._wait_ready(loop.add_writer, loop.remove_writer)
                 continue
-            view, self.begun = view[sent:], True
+            view, self.write_started = view[sent:], True
             self.unsent = len(view)
 
-    async def _ready(self, add: Callable[..., None], remove: Callable[..., object]) -> None:
+    async def _wait_ready(
+        self, add_watcher: Callable[..., None], remove_watcher: Callable[..., object]
+    ) -> None:
         """Wait for one side of the socket, by the loop's pair of calls for it."""
         ready = asyncio.Event()
-        add(self.fd, ready.set)
+        add_watcher(self.fd, ready.set)
         try:
             await ready.wait()
         finally:
-            remove(self.fd)
+            remove_watcher(self.fd)
 
-    async def _more(self) -> None:
+    async def _read_more(self) -> None:
         """Take in what comes next; a broken or ended connection raises."""
         if data := await self._receive():
-            self._answers.feed(data)
+            self._parser.feed(data)
         else:
-            self._answers.ended()
+            self._parser.handle_eof()
 
     async def _receive(self) -> bytes:
         """What has come; cancelled, it has taken nothing from the kernel, so nothing that came is lost.
@@ -91,74 +95,79 @@
         loop = asyncio.get_running_loop()
         while True:
             try:
-                return self.sock.recv(READ)
+                return self.sock.recv(READ_BYTES)
             except (BlockingIOError, InterruptedError):
                 pass
-            if self._end_s is None:
-                await self._ready(loop.add_reader, loop.remove_reader)
+            if self._response_deadline_s is None:
+                await self._wait_ready(loop.add_reader, loop.remove_reader)
                 continue
             try:
-                async with asyncio.timeout_at(self._end_s):
-                    await self._ready(loop.add_reader, loop.remove_reader)
+                async with asyncio.timeout_at(self._response_deadline_s):
+                    await self._wait_ready(loop.add_reader, loop.remove_reader)
             except TimeoutError:
-                if self._empty():  # what has come of an answer stays in the parser: it is not the question
-                    raise SpoiltError("an answer without end") from None
+                if (
+                    self._receive_queue_empty()
+                ):  # what has come of an answer stays in the parser: it is not the question
+                    raise CorruptResponseError("an answer without end") from None
 
-    async def answer(self) -> Answer:
+    async def read_head(self) -> ResponseHead:
         """Status and headers of the final answer; from its first byte on it has to end soon.
 
         The wait for that byte is the caller's to bound; 1xx answers may come long before the final one.
         """
-        answers, begun = self._answers, -1  # begun: the 1xx answers ahead of the one that has begun
-        while answers.head is None:
-            await self._more()
-            if not answers.first:
-                self._end_s = None
-            elif begun != answers.interims:
-                self._end_s, begun = asyncio.get_running_loop().time() + ANSWER_S, answers.interims
-        return answers.head
+        parser, timed_interims = self._parser, -1  # begun: the 1xx answers ahead of the one that has begun
+        while parser.head is None:
+            await self._read_more()
+            if not parser.head_bytes:
+                self._response_deadline_s = None
+            elif timed_interims != parser.interim_count:
+                self._response_deadline_s, timed_interims = (
+                    asyncio.get_running_loop().time() + RESPONSE_TIMEOUT_S,
+                    parser.interim_count,
+                )
+        return parser.head
 
     @property
-    def answering(self) -> bool:
+    def response_started(self) -> bool:
         """Whether the other side has begun to answer."""
-        return bool(self._answers.first)
+        return bool(self._parser.head_bytes)
 
     @property
-    def says_delivered(self) -> bool:
+    def status_is_200(self) -> bool:
         """Whether the first line is whole and says 200, whatever became of the rest."""
-        return self._answers.says_delivered
+        return self._parser.status_is_200
 
-    async def body(self, most: int) -> bytes:
+    async def read_body(self, max_bytes: int) -> bytes:
         """The rest of the answer, of which ``most`` bytes are bearable."""
-        data = self._answers.body()
-        while not self._answers.done:
-            await self._more()
-            data += self._answers.body()
-            if len(data) > most:
-                raise SpoiltError("the answer is too long")
+        data = self._parser.take_body()
+        while not self._parser.done:
+            await self._read_more()
+            data += self._parser.take_body()
+            if len(data) > max_bytes:
+                raise CorruptResponseError("the answer is too long")
         return data
 
-    async def part(self) -> bytes:
+    async def read_body_part(self) -> bytes:
         """The next part of an answer that takes its time: a watch. Its end is a ``ConnectionResetError``."""
-        self._end_s = None
-        while not (data := self._answers.body()):
-            if self._answers.done:
+        self._response_deadline_s = None
+        while not (data := self._parser.take_body()):
+            if self._parser.done:
                 raise ConnectionResetError("the answer has ended")
-            await self._more()
+            await self._read_more()
         return data
 
     def reusable(self) -> bool:
         """Whether both sides are done with the last call and keep the connection."""
-        if not (self._answers.done and self._answers.keep and self.quiet()):
+        if not (self._parser.done and self._parser.keep_alive and self.no_unsolicited_data()):
             return False
-        self.begun = False
+        self.write_started = False
         return True
 
-    def quiet(self) -> bool:
+    def no_unsolicited_data(self) -> bool:
         """Whether nothing came unasked: neither bytes nor the other side's end."""
-        return not self._answers.extra and self._empty()
+        return not self._parser.has_extra_data and self._receive_queue_empty()
 
-    def _empty(self) -> bool:
+    def _receive_queue_empty(self) -> bool:
         """Whether the kernel holds neither bytes nor the other side's end."""
         try:
             self.sock.recv(1, socket.MSG_PEEK)
@@ -173,4 +182,4 @@
         self.sock.close()
 
 
-FAULTS = (OSError, SpoiltError)
+CONNECTION_ERRORS = (OSError, CorruptResponseError)
--- a/tests/calls.py
+++ b/tests/calls.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from mallowlug.core.model import Call, EndpointList, Part, PartOutcome, ResolvedEndpoint
-from mallowlug.partners.http_calls import Exchange, Hosts
+from mallowlug.partners.http_calls import Exchange, HttpPartners
 from mallowlug.system import POSIX
 from mossfront.interface import EndpointEntry, Kind, Listing
 from tests.world import HttpServer, delivered, soon
@@ -23,7 +23,7 @@
         self.ended = asyncio.Event()
         self.released: list[Part] = []
         ends: Any = {"settled": self._settled, "released": self.released.append}
-        self.hosts = Hosts([KIND], 15_000_000, connect_us, 10, **ends, system=POSIX)
+        self.hosts = HttpPartners([KIND], 15_000_000, connect_us, 10, **ends, system=POSIX)
         self.list(port)
 
     def list(self, port: int, listing: Listing = Listing.READY) -> None:
--- a/tests/sim/test_determinism.py
+++ b/tests/sim/test_determinism.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from mallowlug.partners.http_calls import Hosts
+from mallowlug.partners.http_calls import HttpPartners
 from mallowlug.rig.sim.faults import swarm
 from mallowlug.rig.sim.ground import simulate
 from mallowlug.rig.world import scenario
@@ -49,13 +49,13 @@
 
 def test_an_unordered_set_is_found(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     """Planted: batches in the order of their objects' addresses. Two runs of a seed then differ."""
-    send = Hosts.send
+    send = HttpPartners.send
     junk: list[Any] = []
 
-    def shuffled(self: Hosts, call: Any) -> Any:
+    def shuffled(self: HttpPartners, call: Any) -> Any:
         junk.append([object() for _ in range(len(junk) % 7)])  # as any program's memory would be
         call.parts.sort(key=lambda part: hash((id(part), len(junk))))
         return send(self, call)
 
-    monkeypatch.setattr(Hosts, "send", shuffled)
+    monkeypatch.setattr(HttpPartners, "send", shuffled)
     assert len({digest(SEED, tmp_path / str(number)) for number in range(3)}) > 1
--- a/tests/sim/test_guards.py
+++ b/tests/sim/test_guards.py
@@ -78,12 +78,12 @@
 
 def unwaiting(monkey: pytest.MonkeyPatch) -> None:
     """The adapter writes what was decided, whatever was told since."""
-    monkey.setattr(http_calls.Hosts, "wait_left_us", lambda self, host: 0)
+    monkey.setattr(http_calls.HttpPartners, "wait_left_us", lambda self, host: 0)
 
 
 def serving(monkey: pytest.MonkeyPatch) -> None:
     """The adapter writes what was decided, whatever the list or the staff say since."""
-    monkey.setattr(http_calls.Hosts, "_serves", lambda self, host: host in self._listed)
+    monkey.setattr(http_calls.HttpPartners, "_may_call", lambda self, host: host in self._listed)
 
 
 MODULE: dict[str, tuple[Patch, scenario.Scenario, int, str]] = {
--- a/tests/sim/worlds.py
+++ b/tests/sim/worlds.py
@@ -13,7 +13,7 @@
 from mallowlug.core.journal import Journal
 from mallowlug.core.relay import RelayCore
 from mallowlug.directory import discovery
-from mallowlug.ends.notices import Notices
+from mallowlug.ends.notices import HttpNotifier
 from mallowlug.net.http import Connection
 from mallowlug.partners import http_calls
 from mallowlug.rig.judge import record as rec
@@ -43,7 +43,7 @@
 
 def lost_ends(monkey: MonkeyPatch) -> None:
     """Ends that are not told."""
-    monkey.setattr(Notices, "send", lambda self, notice: None)
+    monkey.setattr(HttpNotifier, "send", lambda self, notice: None)
 
 
 def all_never_ran(monkey: MonkeyPatch) -> None:
@@ -53,7 +53,7 @@
 
 def drains_unread(monkey: MonkeyPatch) -> None:
     """A drain is not understood."""
-    monkey.setitem(discovery.STATES, "DRAINING", api.Listing.READY)
+    monkey.setitem(discovery.LISTINGS_BY_HEALTH, "DRAINING", api.Listing.READY)
 
 
 def nothing_learnt(monkey: MonkeyPatch) -> None:
@@ -70,7 +70,7 @@
 
 def waits_unread(monkey: MonkeyPatch) -> None:
     """Waits are not read."""
-    monkey.setattr(http_calls, "wait_of", lambda answer: 0)
+    monkey.setattr(http_calls, "parse_retry_after_us", lambda answer: 0)
 
 
 def tried_after_the_bytes(monkey: MonkeyPatch) -> None:
--- a/tests/test_contracts.py
+++ b/tests/test_contracts.py
@@ -8,16 +8,16 @@
 
 from mallowlug.core.model import Address
 from mallowlug.core.ports import Directory, Front, Notifier, Partners, PartSettled
-from mallowlug.directory.discovery import Watch
-from mallowlug.ends.notices import Notices
-from mallowlug.fronts.resp2 import Server
-from mallowlug.partners.http_calls import Hosts
+from mallowlug.directory.discovery import DirectoryWatch
+from mallowlug.ends.notices import HttpNotifier
+from mallowlug.fronts.resp2 import Resp2Server
+from mallowlug.partners.http_calls import HttpPartners
 from mallowlug.system import POSIX
 from mossfront.interface import Listing
 from tests import world
 from tests.contracts.directory import DirectoryContract, News
-from tests.contracts.ends import Confirmed, EndsContract
 from tests.contracts.front import Core, FrontContract
+from tests.contracts.notifier import Confirmed, EndsContract
 from tests.contracts.partners import KIND, PartnersContract
 from tests.world import HttpServer, Reply, Request, delivered, enqueue, packed, silent, soon
 
@@ -55,7 +55,7 @@
 
 class TestResp2(FrontContract):
     def front(self, core: Core, port: int, most: int) -> Front:
-        return Server(core, ("127.0.0.1", port), most, POSIX)
+        return Resp2Server(core, ("127.0.0.1", port), most, POSIX)
 
     async def peer(self, port: int) -> Resp2Peer:
         return Resp2Peer(*await asyncio.open_connection("127.0.0.1", port))
@@ -96,7 +96,7 @@
 class TestHttpCalls(PartnersContract):
     def partners(self, settled: PartSettled) -> Partners:
         ends: Any = {"settled": settled, "released": lambda _part: None}
-        return Hosts([KIND], 15_000_000, 10_000_000, 10, **ends, system=POSIX)
+        return HttpPartners([KIND], 15_000_000, 10_000_000, 10, **ends, system=POSIX)
 
     async def peer(self) -> HttpPeer:
         server = HttpServer(delivered)
@@ -149,7 +149,7 @@
 
 class TestDiscovery(DirectoryContract):
     def directory(self, address: Address, news: News) -> Directory:
-        return Watch(address, 0, news.told, news.failed, POSIX, most_line=1 << 20)
+        return DirectoryWatch(address, 0, news.told, news.failed, POSIX, max_line_bytes=1 << 20)
 
     async def peer(self) -> DiscoveryPeer:
         server = world.Directory()
@@ -160,7 +160,7 @@
 
 class TestNotices(EndsContract):
     def ends(self, address: Address, confirmed: Confirmed) -> Notifier:
-        return Notices(address, confirmed, POSIX)
+        return HttpNotifier(address, confirmed, POSIX)
 
     async def peer(self) -> HttpPeer:
         server = HttpServer(lambda request: request.answer(204))
--- a/tests/test_spoilt.py
+++ b/tests/test_corrupt_responses.py
@@ -156,7 +156,7 @@
 async def test_more_than_belongs_to_it_spoils_no_good_answer(
     good: bytes, behind: bytes, ahead: bytes, whole: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(http, "ANSWER_S", BOUND_S)  # however slow the machine writes it
+    monkeypatch.setattr(http, "RESPONSE_TIMEOUT_S", BOUND_S)  # however slow the machine writes it
     host = await serving()
     calls = Calls(host.port)
     host.script.append(written(ahead + good + behind, whole))
@@ -201,9 +201,9 @@
     calls = Calls(host.port)
     host.script.append(written(b"HTTP/1.1 503 X\r\nX-Pad: ", True))
     call = calls.send("m1", "m2")
-    while call.connection is None or not call.connection.answering:
+    while call.connection is None or not call.connection.response_started:
         await asyncio.sleep(0.01)
-    calls.hosts._stop(call, call.call.parts[0], Verdict.TIMEOUT)
+    calls.hosts._stop_part(call, call.call.parts[0], Verdict.TIMEOUT)
     assert calls.told["m1"].verdict is Verdict.ERROR
     assert (await calls.outcome("m2")).verdict is Verdict.ERROR
     host.stop()
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -8,7 +8,7 @@
 import pytest
 
 from mallowlug.core.model import Call, EndpointList, Part
-from mallowlug.fronts.resp2 import MOST_ERRORS, REQUEST_S
+from mallowlug.fronts.resp2 import MAX_ERRORS, REQUEST_TIMEOUT_S
 from mossfront import DecisionEngine
 from mossfront import interface as api
 from mossfront.interface import Verdict
@@ -103,7 +103,7 @@
     client.writer.write(packed(*enqueue("m1")) + 20_000 * packed(b"NONSENSE"))
     answers = (await soon(client.reader.read())).splitlines()  # raises where the connection is reset
     assert answers[0] in (b"+OK", b"-BUSY 2000")
-    assert len(answers) == 1 + MOST_ERRORS and all(answer.startswith(b"-ERR") for answer in answers[1:])
+    assert len(answers) == 1 + MAX_ERRORS and all(answer.startswith(b"-ERR") for answer in answers[1:])
 
 
 async def test_a_request_behind_the_shutdown_of_its_connection_is_not_taken_on(world: World) -> None:
@@ -131,7 +131,7 @@
     await world.run()
     client, ping = await world.client(), packed(b"PING")
     loop = asyncio.get_running_loop()
-    end_s, sent = loop.time() + 1.5 * REQUEST_S, 0
+    end_s, sent = loop.time() + 1.5 * REQUEST_TIMEOUT_S, 0
     client.writer.write(ping[:5])
     while loop.time() < end_s:
         client.writer.write(ping[5:] + ping[:5])
--- a/tests/test_deadlines.py
+++ b/tests/test_deadlines.py
@@ -51,8 +51,8 @@
     sent_s = asyncio.get_running_loop().time() - 5.0
     parts = [Part("m1", 0, "", b"x", 5_200_000), Part("m2", 0, "", b"x", 60_000_000)]
     exchange = calls.hosts.send(Call("h1", parts, sent_s))
-    assert exchange.until_s == sent_s + 60.0
-    assert exchange.timers[parts[0]].when() == sent_s + 5.2
+    assert exchange.end_s == sent_s + 60.0
+    assert exchange.part_timers[parts[0]].when() == sent_s + 5.2
     assert (await calls.outcome("m1")).verdict in (api.Verdict.TIMEOUT, api.Verdict.CONNECT_FAILED)
     calls.hosts.close()
     host.stop()
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -37,7 +37,7 @@
     """Each destination's connection is kept for the next call, until another needs its descriptor."""
     hosts = [await serving() for _ in range(3)]
     calls = Calls(hosts[0].port)
-    calls.hosts._most_open = 2
+    calls.hosts._max_open = 2
     rows = [
         ResolvedEndpoint(EndpointEntry(f"h{n}", n, "a", "banks", Listing.READY), ("127.0.0.1", host.port))
         for n, host in enumerate(hosts)
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from mallowlug.core.model import EndpointList, ResolvedEndpoint
-from mallowlug.partners.http_calls import Hosts
+from mallowlug.partners.http_calls import HttpPartners
 from mallowlug.system import POSIX
 from mossfront import interface as api
 from mossfront.engine import FORGET_US, DecisionEngine
@@ -85,7 +85,7 @@
 
 async def test_waits_that_are_over_are_forgotten_with_the_next_news() -> None:
     ends: Any = {"settled": lambda *_: None, "released": lambda _part: None}
-    hosts = Hosts([], 15_000_000, 1_000_000, 10, **ends, system=POSIX)
+    hosts = HttpPartners([], 15_000_000, 1_000_000, 10, **ends, system=POSIX)
     hosts._waits = {f"h{number}": 0.0 for number in range(100)}
     hosts._waits["h100"] = float("inf")
     hosts.apply(EndpointList(1, False, (ResolvedEndpoint(entry("h1"), ("127.0.0.1", 1)),)))
--- a/tests/test_hosts.py
+++ b/tests/test_hosts.py
@@ -9,9 +9,9 @@
 import pytest
 
 from mallowlug.core.model import PartOutcome
-from mallowlug.net.answers import Answer, Answers
 from mallowlug.net.http import Connection
-from mallowlug.partners.http_calls import report_of, verdict_of, wait_of
+from mallowlug.net.responses import ResponseHead, ResponseParser
+from mallowlug.partners.http_calls import parse_load_report, parse_retry_after_us, verdict_of
 from mossfront.interface import Listing, Verdict
 from tests.calls import Calls, serving
 from tests.world import delivered, silent, soon
@@ -76,7 +76,7 @@
         call = calls.send(*(f"m{n}" for n in range(64)), body=bytes(65536))
         loop = asyncio.get_running_loop()
         peer, _ = await soon(loop.sock_accept(sock))
-        while call.connection is None or not call.connection.begun:
+        while call.connection is None or not call.connection.write_started:
             await asyncio.sleep(0.01)
         assert not call.written
         peer.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
@@ -93,7 +93,7 @@
         call = calls.send("m1", limit_us=200_000, body=bytes(16 << 20))
         assert (await calls.outcome("m1")).verdict is Verdict.CONNECT_FAILED
         assert call.connection is not None
-        assert call.connection.begun
+        assert call.connection.write_started
 
 
 async def test_a_limit_after_the_last_byte_may_have_run_and_closes() -> None:
@@ -125,7 +125,7 @@
     calls = Calls(host.port)
     call = calls.send("m1", "m2")
     request = await host.call(0)
-    calls.hosts._stop(call, call.call.parts[0], Verdict.TIMEOUT)
+    calls.hosts._stop_part(call, call.call.parts[0], Verdict.TIMEOUT)
     assert calls.told["m1"] == PartOutcome(Verdict.TIMEOUT, call_continues=True)
     delivered(request)
     assert (await calls.outcome("m2")).verdict is Verdict.OK
@@ -142,7 +142,7 @@
     while host.writers:
         calls.hosts.close_idle("h1")
         await asyncio.sleep(0.01)
-    calls.hosts._idle_s = 0.05
+    calls.hosts._idle_timeout_s = 0.05
     calls.send("m2")
     await calls.outcome("m2")
     while host.writers:
@@ -156,7 +156,7 @@
     left.setblocking(False)
     connection = Connection(left)
     task = asyncio.create_task(connection.send(bytes(8 << 20)))
-    while not connection.begun:
+    while not connection.write_started:
         await asyncio.sleep(0)
     task.cancel()
     await asyncio.wait([task])
@@ -170,10 +170,10 @@
     right.close()
 
 
-def answer_of(status: int, *headers: tuple[str, str]) -> Answer:
+def answer_of(status: int, *headers: tuple[str, str]) -> ResponseHead:
     """An answer's head, read from its bytes."""
     lines = "".join(f"{name}: {value}\r\n" for name, value in headers)
-    answers = Answers()
+    answers = ResponseParser()
     answers.feed(f"HTTP/1.1 {status} X\r\n{lines}Content-Length: 0\r\n\r\n".encode())
     assert answers.head is not None
     return answers.head
@@ -212,9 +212,9 @@
 )
 def test_waits_and_reports(wait: str, pressure: str, wait_us: int, report: dict[str, float]) -> None:
     answer = answer_of(200, ("X-Retry-In-Ms", wait), ("X-Pressure", pressure))
-    assert (wait_of(answer), report_of(answer)) == (wait_us, report)
+    assert (parse_retry_after_us(answer), parse_load_report(answer)) == (wait_us, report)
 
 
 def test_of_many_waits_the_longest_counts() -> None:
     waits = [("X-Retry-In-Ms", str(number)) for number in (10, 300, "x", 20)]
-    assert wait_of(answer_of(429, *waits)) == 300_000
+    assert parse_retry_after_us(answer_of(429, *waits)) == 300_000
--- a/tests/test_listings.py
+++ b/tests/test_listings.py
@@ -19,7 +19,7 @@
 from mallowlug.core.model import EndpointList, ResolvedEndpoint
 from mallowlug.core.ports import Adapters
 from mallowlug.core.relay import RelayCore
-from mallowlug.directory.discovery import SLICE, slices
+from mallowlug.directory.discovery import SLICE_HOSTS, parse_in_slices
 from mallowlug.system import POSIX
 from mossfront import interface as api
 from mossfront.engine import DecisionEngine
@@ -226,9 +226,9 @@
 def test_a_long_list_is_read_in_slices_and_heard_at_once() -> None:
     hosts = [
         {"host": f"h{n}", "dial": "10.0.0.1:80", "class": "lots", "block": n, "health": "SERVING"}
-        for n in range(2 * SLICE + 1)
+        for n in range(2 * SLICE_HOSTS + 1)
     ]
-    *parts, whole = slices({"seq": 7, "whole": True, "hosts": [*hosts, {"host": "no address"}]})
+    *parts, whole = parse_in_slices({"seq": 7, "whole": True, "hosts": [*hosts, {"host": "no address"}]})
     assert [part.hosts for part in parts] == [(), ()]
     assert [one.entry.host for one in whole.hosts] == [host["host"] for host in hosts]
-    assert [len(news.hosts) for news in slices({"seq": 8, "whole": False, "hosts": []})] == [0]
+    assert [len(news.hosts) for news in parse_in_slices({"seq": 8, "whole": False, "hosts": []})] == [0]
--- a/tests/test_rude.py
+++ b/tests/test_malformed_requests.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from mallowlug.fronts.resp2 import Requests
+from mallowlug.fronts.resp2 import RequestParser
 from tests.world import World, enqueue, packed, silent, soon
 
 
@@ -136,10 +136,10 @@
 def test_requests_are_cut_alike_in_any_pieces(size: int) -> None:
     wanted = [list(enqueue("m1", body=b"\r\n*1\r\n$")), [b""], list(enqueue("m2", body=bytes(3000)))]
     data = b"".join(packed(*request) for request in wanted)
-    requests, found = Requests(), []
+    requests, found = RequestParser(), []
     for at in range(0, len(data), size):
         requests.feed(data[at : at + size])
-        while (request := requests.next()) is not None:
+        while (request := requests.next_request()) is not None:
             found.append(request)
     assert found == wanted
-    assert not requests.begun
+    assert not requests.in_progress
--- a/tests/test_pushed.py
+++ b/tests/test_pushed_lists.py
@@ -8,7 +8,7 @@
 
 from mallowlug.compose import LEAST_ANSWER_S, answer_s
 from mallowlug.config import config_of
-from mallowlug.directory.discovery import FIRST_S, Watch
+from mallowlug.directory.discovery import FIRST_LINE_TIMEOUT_S, DirectoryWatch
 from mallowlug.system import POSIX
 from mossfront import DecisionEngine
 from mossfront import interface as api
@@ -52,12 +52,18 @@
     agent = HttpServer(silent)
     await agent.start()
     failed = asyncio.Event()
-    watch = Watch(
-        ("127.0.0.1", agent.port), 0, lambda _news: None, failed.set, POSIX, most_line=1 << 20, answer_s=0.05
+    watch = DirectoryWatch(
+        ("127.0.0.1", agent.port),
+        0,
+        lambda _news: None,
+        failed.set,
+        POSIX,
+        max_line_bytes=1 << 20,
+        response_timeout_s=0.05,
     )
     watch.subscribe()
     await agent.call(0)
-    await asyncio.wait_for(failed.wait(), FIRST_S)
+    await asyncio.wait_for(failed.wait(), FIRST_LINE_TIMEOUT_S)
     watch.close()
     agent.stop()
     world.settings |= {"discovery": "push"}
@@ -65,7 +71,7 @@
     assert told_s(world, GRACE_US) == GRACE_US / 4e6
     assert told_s(world, 0) == LEAST_ANSWER_S
     world.settings |= {"discovery": "ask"}
-    assert told_s(world, GRACE_US) == FIRST_S
+    assert told_s(world, GRACE_US) == FIRST_LINE_TIMEOUT_S
 
 
 def told_s(world: World, grace_us: int) -> float:
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -391,5 +391,5 @@
 def test_silences_end_within_what_the_rules_allow() -> None:
     """A notice is overdue after 300 ms; a change counts as told after 6 s; a watch has a line every 2 s."""
     asked_again_s = 0.65 + 0.5  # the module's first gap at most, and a slow answer
-    assert notices.POST_S[0] + notices.AGAIN_S[0] < 0.3
-    assert 2 < discovery.QUIET_S < 6 - asked_again_s
+    assert notices.POST_TIMEOUT_S[0] + notices.RETRY_DELAY_S[0] < 0.3
+    assert 2 < discovery.SILENCE_TIMEOUT_S < 6 - asked_again_s
--- a/tests/test_shared_calls.py
+++ b/tests/test_shared_calls.py
@@ -99,7 +99,7 @@
     exchange = calls.send("m1", "m2", limit_us=400_000)
     request = await host.call(0)
     request.answer(200, "m1 delivered\r\nm2 refused\r\n")
-    while asyncio.get_running_loop().time() < exchange.until_s:
+    while asyncio.get_running_loop().time() < exchange.end_s:
         time.sleep(0.01)  # this one thread is host and relay: it stands still with the answer written
     for ref in ("m1", "m2"):
         told = await calls.outcome(ref)
@@ -121,7 +121,7 @@
     host = await serving(silent)
     calls = Calls(host.port)
     exchange = calls.send("m1", limit_us=5_000_000)
-    exchange.until_s -= 3.0  # as if the connection had come up three seconds late
+    exchange.end_s -= 3.0  # as if the connection had come up three seconds late
     left = re.fullmatch(r"(\d+)m", (await host.call(0)).headers["x-remaining"])
     assert left is not None
     assert 0 < int(left[1]) <= 2000
--- a/tests/test_told.py
+++ b/tests/test_subscription_timing.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from mallowlug.directory.discovery import FIRST_S, QUIET_S
+from mallowlug.directory.discovery import FIRST_LINE_TIMEOUT_S, SILENCE_TIMEOUT_S
 from mossfront import DecisionEngine
 from mossfront import interface as api
 from mossfront.engine import LISTED_US
@@ -19,7 +19,7 @@
 TICK_US = 20_000
 ANSWER_US = 2 * SECOND  # what a crowded directory may take for an answer, after which it fails the call
 # How long a call that fails takes: refused, or answered 503; reset; waited for in vain; given up by us.
-ENDS_US = (5_000, 400_000, ANSWER_US, int(FIRST_S * 1e6))
+ENDS_US = (5_000, 400_000, ANSWER_US, int(FIRST_LINE_TIMEOUT_S * 1e6))
 
 
 class Asking:
@@ -64,13 +64,13 @@
 
 @pytest.mark.parametrize("size", SIZES)
 def test_a_watch_that_falls_silent_is_opened_anew_in_time(size: int) -> None:
-    """Found after ``QUIET_S``; what it misses counts as told 6 s after it fell silent."""
+    """Found after ``SILENCE_TIMEOUT_S``; what it misses counts as told 6 s after it fell silent."""
     for seed in range(20):
         asking = Asking(size, seed)
         begun_us = asking.first_us()
         asking.step(begun_us + SECOND, roster(entry("h1")))
         silent_us = begun_us + 60 * SECOND
-        found_us = silent_us + int(QUIET_S * 1e6)
+        found_us = silent_us + int(SILENCE_TIMEOUT_S * 1e6)
         asking.step(found_us, api.EndpointUpdate(api.EndpointUpdateKind.FAILED))
         assert asking.next_us() + ANSWER_US // 2 <= silent_us + LISTED_US
 
