--- a/mallowlug/directory/__init__.py
+++ b/mallowlug/directory/__init__.py
@@ -1,1 +1,1 @@
-"""Who may be called: each module follows one source of endpoints and tells its news."""
+"""Directories: each module follows one source of endpoint lists and reports changes to the core."""
--- a/mallowlug/directory/discovery.py
+++ b/mallowlug/directory/discovery.py
@@ -1,4 +1,4 @@
-"""Discovery, the platform's list of hosts: one watch at a time."""
+"""Client of discovery, the platform's list of hosts, which it follows by a watch."""
 
 from __future__ import annotations
 
@@ -16,20 +16,17 @@
 
 LOG = logging.getLogger(__name__)
 HOSTS_PATH = "/discovery/hosts"
-FIRST_LINE_TIMEOUT_S = (
-    2.5  # s for the first line of a watch; a call that waits too long is ended by the other side
-)
-SILENCE_TIMEOUT_S = (
-    2.5  # s of silence that break a watch: a cut network is silent, and an empty line is due every 2 s
-)
-LIST_TIMEOUT_S = 3.0  # s from a list's first byte to its last: one without end tells nothing, as silence does
-SLICE_HOSTS = 500  # hosts of a line that are read before clients have their turn
-TRUNCATED = "truncated"  # in msgspec's word for what is no whole value yet
+FIRST_LINE_TIMEOUT_S = 2.5  # to the first line of a watch; the server ends a call that waits too long
+# Silence after which a watch counts as broken, as by a network partition: an empty line is due every 2 s.
+SILENCE_TIMEOUT_S = 2.5
+LIST_TIMEOUT_S = 3.0  # from a list's first byte to its last: an endless list says no more than silence
+SLICE_HOSTS = 500  # hosts of a list parsed before clients are served
+TRUNCATED = "truncated"  # in msgspec's error for an incomplete JSON value
 LISTINGS_BY_HEALTH = {"SERVING": Listing.READY, "DRAINING": Listing.DRAINING, "DELETED": Listing.GONE}
 
 
 def parse_host(raw: Any) -> ResolvedEndpoint | None:
-    """One host; one that cannot be read is left out, for the others' sake."""
+    """Parse a host entry; return None for an invalid one, so that the other hosts of the list still apply."""
     try:
         address, _, port = str(raw["dial"]).rpartition(":")
         entry = EndpointEntry(
@@ -41,19 +38,22 @@
             rate_hint=float(raw.get("share", 1.0)),
         )
         if not address or not 0 < int(port) < 65536:
-            raise ValueError(f"no address: {raw['dial']!r}")
+            raise ValueError(f"invalid address: {raw['dial']!r}")
         return ResolvedEndpoint(entry, (address, int(port)))
     except (KeyError, TypeError, ValueError, AttributeError) as error:
-        LOG.warning("discovery: a host that cannot be read was left out: %r", error)
+        LOG.warning("discovery: invalid host entry skipped: %r", error)
         return None
 
 
 def parse_in_slices(raw: Any) -> Iterator[EndpointList]:
-    """A list in discovery's form, as far as it is read, then whole; ``ValueError`` where it is none."""
+    """Parse a list from discovery in slices; raise ``ValueError`` if it is invalid.
+
+    Yields an empty placeholder after each slice but the last, and then the complete list.
+    """
     try:
         seq, whole, items = int(raw["seq"]), bool(raw["whole"]), list(raw["hosts"])
     except (KeyError, TypeError) as error:
-        raise ValueError(f"not a list of hosts: {error!r}") from None
+        raise ValueError(f"invalid host list: {error!r}") from None
     hosts: list[ResolvedEndpoint] = []
     for start in range(0, max(1, len(items)), SLICE_HOSTS):
         if start:
@@ -63,13 +63,16 @@
 
 
 def parse_list(raw: Any) -> EndpointList:
-    """A list in discovery's form; ``ValueError`` where it is none."""
+    """Parse a list from discovery; raise ``ValueError`` if it is invalid."""
     *_, whole = parse_in_slices(raw)
     return whole
 
 
 class DirectoryWatch:
-    """One watch on the list at a time; it tells its end once and comes back only when asked to."""
+    """Follows the host list by one watch at a time.
+
+    The end of a watch is reported once, by ``on_end``; a new one starts only on ``subscribe``.
+    """
 
     def __init__(
         self,
@@ -82,18 +85,17 @@
         max_line_bytes: int,
         response_timeout_s: float = FIRST_LINE_TIMEOUT_S,
     ) -> None:
-        self._max_line_bytes = max_line_bytes  # bytes: a whole list comes in one line
-        self._response_timeout_s = response_timeout_s  # s until the answer's head
+        self._max_line_bytes = max_line_bytes  # a complete list may be a single line
+        self._response_timeout_s = response_timeout_s  # for the head of the response
         self._address, self._seq, self._on_list, self._on_end = address, seq, on_list, on_end
         self._system = system
         self._task: asyncio.Task[None] | None = None
-        self._previous_task: asyncio.Task[None] | None = (
-            None  # at the address before, until the new one speaks
-        )
-        self._established = False  # whether the present watch has spoken and lasts
+        # The watch at the previous address, kept until the new one delivers.
+        self._previous_task: asyncio.Task[None] | None = None
+        self._established = False  # whether the current watch has delivered a list and is open
 
     def subscribe(self) -> None:
-        """Start a watch; one that never answered is given up for it, one that works is kept."""
+        """Start a watch; an established one is kept, and one that never delivered is replaced."""
         if self._task is not None and not self._task.done():
             if self._established:
                 return
@@ -101,15 +103,15 @@
         self._start()
 
     def change_address(self, address: Address) -> None:
-        """Watch at another address from the version that is held, so that no change is lost.
+        """Watch at another address from the current version on, so that no change is lost.
 
-        The old watch tells on until the new one has spoken: the new address may not be up yet.
+        The old watch continues until the new one has delivered, as the new address may not be up yet.
         """
         if address == self._address:
             return
         self._address = address
         self._cancel(self._previous_task)
-        if not self._established:  # it never spoke, and will not be waited for
+        if not self._established:  # a watch that never delivered is not kept
             self._cancel(self._task)
         self._previous_task = self._task
         self._start()
@@ -142,16 +144,16 @@
         except (*CONNECTION_ERRORS, TimeoutError, ValueError) as error:
             LOG.info("discovery: watch at %s:%d ended: %r", *address, error)
         except Exception:
-            LOG.exception("discovery: watch broke")
+            LOG.exception("discovery: unexpected error in a watch")
         finally:
             if connection is not None:
                 connection.close()
-        if asyncio.current_task() is self._task:  # the end of a watch that was left is no news
+        if asyncio.current_task() is self._task:  # the end of a replaced watch is not reported
             self._established = False
             self._on_end()
 
     async def _follow_lines(self, connection: Connection) -> None:
-        """Tell each line in order until the watch ends, falls silent or makes no sense."""
+        """Deliver each list in order until the watch ends, is silent for too long or sends invalid data."""
         line_bytes, list_bytes, silence_timeout_s, list_started_s = (
             bytearray(),
             bytearray(),
@@ -166,13 +168,13 @@
             except TimeoutError:
                 if connection.no_unsolicited_data():
                     raise
-                continue  # this process stood still, not the other side: what it said meanwhile is here
+                continue  # this process was paused, not the server, whose data is in the kernel
             *complete, rest = data.split(b"\n")
             for fragment in complete:
                 line_bytes += fragment
                 if line_bytes.strip():
                     list_bytes += line_bytes + b"\n"
-                    # Of an indented list not every line need be looked at: the last one ends an object.
+                    # An indented list is decoded only at a line that can end it: one that closes an object.
                     single_line, news = len(list_bytes) == len(line_bytes) + 1, None
                     if single_line or line_bytes.rstrip().endswith(b"}"):
                         news = await self._parse(bytes(list_bytes))
@@ -180,8 +182,8 @@
                         silence_timeout_s = SILENCE_TIMEOUT_S
                         self._deliver(news)
                         list_bytes.clear()
-                elif list_bytes:  # an empty line is due between lists, and never stands within one
-                    raise ValueError("a list cut short")
+                elif list_bytes:  # empty lines (heartbeats) come between lists, never within one
+                    raise ValueError("list truncated by an empty line")
                 line_bytes.clear()
             line_bytes += rest
             if not (line_bytes or list_bytes):
@@ -191,19 +193,20 @@
             if len(line_bytes) + len(list_bytes) > self._max_line_bytes or (
                 list_started_s >= 0 and now_s() > list_started_s + LIST_TIMEOUT_S
             ):
-                raise ValueError("a list without end")
+                raise ValueError("list too long, or not complete in time")
 
     @staticmethod
     async def _parse(text: bytes) -> EndpointList | None:
-        """A list's news, None where more of it has to come; a long one is read in slices, so that no client
-        waits for it.
+        """Parse a list; return None if it is incomplete, and raise ``ValueError`` if it is invalid.
+
+        A long list is parsed in slices, so that clients are served in between.
         """
         try:
             raw = msgspec.json.decode(text)
         except msgspec.MsgspecError as error:
             if TRUNCATED in str(error):
                 return None
-            raise ValueError(f"not JSON: {error}") from error
+            raise ValueError(f"invalid JSON: {error}") from error
         parsed_slices = parse_in_slices(raw)
         news = next(parsed_slices)
         for later in parsed_slices:
@@ -216,8 +219,8 @@
             self._established = True
             self._cancel(self._previous_task)
             self._previous_task = None
-        if news.seq < self._seq:  # older than what is held: applied, it would undo a drain
-            LOG.warning("discovery: version %d after %d left out", news.seq, self._seq)
+        if news.seq < self._seq:  # older than the current one: applying it could undo a drain
+            LOG.warning("discovery: list version %d ignored, version %d is current", news.seq, self._seq)
             news = EndpointList(self._seq, False, ())
         self._seq = news.seq
         self._on_list(news)
--- a/mallowlug/ends/__init__.py
+++ b/mallowlug/ends/__init__.py
@@ -1,1 +1,1 @@
-"""How messages end: each module brings ends to those who wait for them, until they are confirmed."""
+"""Notifiers: each module reports final results of messages until the receiver confirms them."""
--- a/mallowlug/ends/notices.py
+++ b/mallowlug/ends/notices.py
@@ -1,4 +1,4 @@
-"""Notices, the platform's way to hear of messages that were not delivered."""
+"""HTTP client that reports undelivered messages to the platform by notices."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 
 LOG = logging.getLogger(__name__)
 NOTICES_PATH = "/v1/notices"
-MAX_RESPONSE_BYTES = 1 << 20  # bytes of an answer, which means nothing
-POST_TIMEOUT_S = (0.25, 1.0)  # s for the answer to a notice, which is given at once: at first, and at most
-WORKERS, MAX_BATCH = 3, 64  # posts out at once, so that a hanging one delays no other; lines in a post
-RETRY_DELAY_S = (0.02, 0.5)  # s before a post is repeated: at first, and at most
+MAX_RESPONSE_BYTES = 1 << 20  # of a body, which is ignored
+POST_TIMEOUT_S = (0.25, 1.0)  # initial and maximum; the platform responds to a post at once
+WORKERS, MAX_BATCH = 3, 64  # concurrent posts, so that a hanging one delays no other; notices in a post
+RETRY_DELAY_S = (0.02, 0.5)  # initial and maximum delay before a post is repeated
 
 
 def encode_notice(notice: Notice) -> bytes:
-    """The notice as the platform reads it: one JSON object and a newline."""
+    """Encode a notice as the platform expects it: a JSON object and a newline."""
     fields: dict[str, str | int] = {"ref": notice.message_id, "result": notice.result}
     if notice.wait_ms > 0:
         fields["wait_ms"] = notice.wait_ms
@@ -29,7 +29,7 @@
 
 
 class HttpNotifier:
-    """Posts each notice until the platform confirms it; it is answered also while discovery is down."""
+    """Posts each notice until the platform confirms it, which it does also while discovery is down."""
 
     def __init__(self, address: Address, on_confirmed: Callable[[str], None], system: System) -> None:
         self._address, self._on_confirmed, self._system = address, on_confirmed, system
@@ -38,20 +38,20 @@
         self.unconfirmed = 0
 
     def start(self) -> None:
-        """Begin to post."""
+        """Start the workers that post notices."""
         self._tasks = [asyncio.create_task(self._work()) for _ in range(WORKERS)]
 
     def change_address(self, address: Address) -> None:
-        """Post to another address from now on, also what the old one has not confirmed."""
+        """Post to another address, also the notices that the old one has not confirmed."""
         self._address = address
 
     def send(self, notice: Notice) -> None:
-        """Post it as soon as may be."""
+        """Queue a notice for posting."""
         self.unconfirmed += 1
         self._queue.put_nowait(notice)
 
     def close(self) -> None:
-        """Stop; what is not confirmed stays in the journal."""
+        """Stop posting; unconfirmed notices stay in the journal."""
         for task in self._tasks:
             task.cancel()
 
@@ -68,14 +68,14 @@
                 if status == 204:
                     self._confirm(batch)
                     batch = []
-                elif status == 400 and len(batch) > 1:  # one bad line must not hold up the others
+                elif status == 400 and len(batch) > 1:  # one invalid notice must not delay the others
                     for notice in batch[1:]:
                         self._queue.put_nowait(notice)
                     batch = batch[:1]
                 else:
                     if status == 400:
                         ref = batch[0].message_id
-                        LOG.error("notice for %s was not understood", ref, extra={"message_id": ref})
+                        LOG.error("notices: notice for %s was rejected", ref, extra={"message_id": ref})
                     await asyncio.sleep(retry_delay_s)
                     retry_delay_s, timeout_s = (
                         min(2 * retry_delay_s, RETRY_DELAY_S[1]),
@@ -90,7 +90,7 @@
     async def _post(
         self, connection: Connection | None, batch: list[Notice], timeout_s: float
     ) -> tuple[Connection | None, int]:
-        """One post; the connection if it can serve again, and the status (0: none came)."""
+        """Post a batch; return the connection if it can be reused, and the status (0: no response)."""
         try:
             async with asyncio.timeout(timeout_s):
                 if (
@@ -108,10 +108,10 @@
             if connection.reusable():
                 return connection, status
         except (*CONNECTION_ERRORS, TimeoutError) as error:
-            LOG.info("notices: post of %d failed: %r", len(batch), error)
+            LOG.info("notices: posting %d notices failed: %r", len(batch), error)
             status = 0
-        except Exception:  # a worker that dies would hold back every later notice
-            LOG.exception("notices: post broke")
+        except Exception:  # a dead worker would not post any later notice
+            LOG.exception("notices: unexpected error in a post")
             status = 0
         if connection is not None:
             connection.close()
--- a/mallowlug/fronts/__init__.py
+++ b/mallowlug/fronts/__init__.py
@@ -1,1 +1,1 @@
-"""Where messages come in: each module serves one protocol and hands messages to the core."""
+"""Front ends: each module serves one client protocol and submits messages to the core."""
--- a/mallowlug/fronts/resp2.py
+++ b/mallowlug/fronts/resp2.py
@@ -1,4 +1,4 @@
-"""The clients' side: a RESP2 server that takes messages on or says why not; it never stays silent."""
+"""RESP2 server for clients: accepts messages or answers why it does not; every request gets an answer."""
 
 from __future__ import annotations
 
@@ -15,37 +15,36 @@
 
 LOG = logging.getLogger(__name__)
 MAX_BODY_BYTES = 64 * 1024
-MAX_REQUEST_BYTES = MAX_BODY_BYTES + 4096  # bytes of one request's strings
-MAX_ARGUMENTS = 16  # strings of one request
-MAX_LENGTH_LINE_BYTES = 16  # bytes of a count or a length with its sign
-READ_BUFFER_BYTES = 32 * 1024  # bytes taken from one connection before the others have their turn
-MAX_REQUESTS_PER_TURN = 32  # requests of one connection before the others have their turn
-MAX_ERRORS = 8  # requests of one connection that make no sense, before it is closed
-FIRST_REQUEST_TIMEOUT_S = 2.05  # s in which a new connection has to say something
-REQUEST_TIMEOUT_S = 0.8  # s from a request's first byte to its last: its client waits for 0.4 s
-LINGER_TIMEOUT_S = (
-    0.4  # s in which a lingering close waits for the client's end: so long it waits for an answer
-)
-SWEEP_INTERVAL_S = 0.1  # s between looks for connections past these bounds
+MAX_REQUEST_BYTES = MAX_BODY_BYTES + 4096  # sum of the lengths of a request's bulk strings
+MAX_ARGUMENTS = 16  # bulk strings in a request
+MAX_LENGTH_LINE_BYTES = 16  # an array count or a string length, with its type byte and CRLF
+READ_BUFFER_BYTES = 32 * 1024  # read from one connection before others are served
+MAX_REQUESTS_PER_TURN = 32  # answered on one connection before others are served
+MAX_ERRORS = 8  # invalid requests on a connection before it is closed
+FIRST_REQUEST_TIMEOUT_S = 2.05  # from connecting to the first byte
+REQUEST_TIMEOUT_S = 0.8  # from the first byte of a request to its last; the client waits 0.4 s
+# How long a lingering close waits for the client's end of stream: as long as a client waits for an answer.
+LINGER_TIMEOUT_S = 0.4
+SWEEP_INTERVAL_S = 0.1  # between checks for connections that exceed these timeouts
 LENGTH_LINE = re.compile(rb"[*$][0-9]{1,8}")
-TOKEN = re.compile(rb"[!-~]{1,128}")  # what can stand in a header and in a batch's line
+TOKEN = re.compile(rb"[!-~]{1,128}")  # valid both in an HTTP header and in a line of a batch
 NUMBER = re.compile(rb"[0-9]{1,12}")
 MAX_TIME_LEFT_MS = 24 * 3600 * 1000
 
 
 class BadRequestError(ValueError):
-    """A whole request that cannot be taken on."""
+    """A complete request that is invalid and cannot be accepted."""
 
 
 def parse_token(raw: bytes, name: str) -> str:
-    """A short printable word."""
+    """Decode a printable ASCII word; raise ``BadRequestError``, naming it as ``name``, if it is none."""
     if not TOKEN.fullmatch(raw):
         raise BadRequestError(f"{name} is unreadable")
     return raw.decode("ascii")
 
 
 def parse_number(fields: dict[bytes, bytes], name: bytes) -> int:
-    """A whole number that has to be there."""
+    """Read a required non-negative integer field; raise ``BadRequestError`` if it is missing or invalid."""
     text = fields.get(name, b"")
     if not NUMBER.fullmatch(text):
         raise BadRequestError(f"{name.decode()} is no whole number")
@@ -53,7 +52,10 @@
 
 
 def parse_submission(args: list[bytes], now_us: int) -> tuple[Submission, bytes]:
-    """The message in an ENQUEUE request; its time counts from ``now_us``."""
+    """Parse an ENQUEUE request into a submission and its body; the deadline counts from ``now_us``.
+
+    Raises ``BadRequestError`` if an argument or a field is missing or invalid.
+    """
     if len(args) != 5:
         raise BadRequestError("ENQUEUE takes a key, an id, a list and a body")
     _, order, message_id, field_list, body = args
@@ -79,36 +81,33 @@
 
 
 class FrameError(ValueError):
-    """The stream cannot be read on: where the next request begins is not known."""
+    """The stream violates RESP2 framing, so the start of the next request is unknown."""
 
 
 class RequestParser:
-    """Cuts requests out of a client's stream: arrays of bulk strings, strictly and within bounds.
+    """Incremental parser of a client's stream: arrays of bulk strings, checked strictly and bounded.
 
-    A parser made for a server's answers will not do: it makes room for whatever count it is told, nested ones
-    too, and does not look at what stands behind a string, so that a wrong length passes as a shorter body.
+    A parser for server responses is not suitable: it allocates whatever count is announced, nested arrays
+    included, and does not check the bytes after a string, so that a wrong length passes as a shorter body.
     """
 
     def __init__(self) -> None:
-        self._buffer, self._position = bytearray(), 0  # what has come, and how much of it is read
+        self._buffer, self._position = bytearray(), 0  # received data; how much of it is parsed
         self._arguments: list[bytes] = []
-        self._arguments_left, self._argument_length, self._total_length = (
-            0,
-            -1,
-            0,
-        )  # strings to come; length of the next; sum so far
+        # Strings still expected; length of the next (-1: unknown); sum of the lengths so far.
+        self._arguments_left, self._argument_length, self._total_length = 0, -1, 0
 
     def feed(self, data: bytes | memoryview) -> None:
-        """Add what has come."""
+        """Append received data."""
         self._buffer += data
 
     @property
     def in_progress(self) -> bool:
-        """Whether a part of a request has come."""
+        """Whether part of a request has been received."""
         return len(self._buffer) > self._position or self._arguments_left > 0
 
     def next_request(self) -> list[bytes] | None:
-        """The next whole request; None where more has to come."""
+        """Return the next complete request, or None if more data is needed; raise ``FrameError``."""
         buffer = self._buffer
         while True:
             if self._arguments_left and self._argument_length >= 0:
@@ -124,14 +123,14 @@
                     -1,
                 )
                 if not self._arguments_left:
-                    del buffer[: self._position]  # once for a request, not for each of its parts
+                    del buffer[: self._position]  # once per request, not once per argument
                     request, self._arguments, self._total_length, self._position = self._arguments, [], 0, 0
                     return request
             elif not self._read_length():
                 return None
 
     def _read_length(self) -> bool:
-        """Read how many strings come, or how long the next one is; False where that is not there yet."""
+        """Read the array count or the length of the next string; return False if the line is incomplete."""
         sign, buffer, start = b"$" if self._arguments_left else b"*", self._buffer, self._position
         if len(buffer) > start and not buffer.startswith(sign, start):
             raise FrameError(f"expected '{sign.decode()}'")
@@ -154,25 +153,25 @@
 
 
 class ClientConnection(asyncio.BufferedProtocol):
-    """One client's connection: requests in order, one answer each.
+    """A client's connection: requests are answered in order, one answer each.
 
-    It ends by a lingering close (RFC 9112, 9.6): the answers go out, then the sending ends, then what the
-    client still sends is read and thrown away until its own end. A plain close over unread bytes resets the
-    connection, and the reset takes back answers that the client has not read yet.
+    It ends by a lingering close (RFC 9112, 9.6): write the answers, shut down the sending side, then read and
+    discard what the client still sends until its end of stream. A plain close with unread bytes resets the
+    connection, and the reset discards answers that the client has not read yet.
     """
 
     def __init__(self, server: Resp2Server) -> None:
         self._server, self._parser = server, RequestParser()
         self._transport: asyncio.Transport | None = None
-        self._error_count, self._writing_paused = 0, False  # unread: the client does not take its answers
+        self._error_count, self._writing_paused = 0, False  # paused: the client does not read its answers
         self._scheduled_turn: asyncio.Handle | None = None
         self.closing = False
-        self._client_eof, self._lingering = False, False  # the client's sending has ended; ours has
-        self._close_reason: ClientClose | None = None  # as decided here
+        self._client_eof, self._lingering = False, False  # end of stream: received; sent
+        self._close_reason: ClientClose | None = None  # None: the client closed
 
     @property
     def request_in_progress(self) -> bool:
-        """Whether a request is under way."""
+        """Whether part of a request has been received."""
         return self._parser.in_progress
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -188,7 +187,7 @@
         self._server.reasons.count(Event.CLIENT_CLOSE, self._close_reason or by_client)
 
     def pause_writing(self) -> None:
-        """A client that does not read its answers is not read either: buffers stay bounded."""
+        """Stop reading from a client that does not read its answers, so that buffers stay bounded."""
         self._writing_paused = True
         if self._transport is not None and not self._transport.is_closing():
             self._transport.pause_reading()
@@ -198,22 +197,22 @@
         self._schedule_turn()
 
     def get_buffer(self, sizehint: int) -> memoryview:
-        """One buffer serves all connections, as each read is taken over at once."""
+        """Return the buffer shared by all connections: each read is copied out at once."""
         return self._server.read_buffer
 
     def buffer_updated(self, nbytes: int) -> None:
-        if self._lingering:  # it comes again on another connection: taken on here, it would have no answer
+        if self._lingering:  # could not be answered any more; the client sends it again on another connection
             return
         self._parser.feed(self._server.read_buffer[:nbytes])
         self._serve_requests()
 
     def eof_received(self) -> bool:
-        """Whether to stay open: whole requests that came before the end still get their answers."""
+        """Return whether to stay open: complete requests received before the end are still answered."""
         self.closing = self._client_eof = True
         return self._scheduled_turn is not None
 
     def _serve_requests(self) -> None:
-        """Answer whole requests, only so many a turn: hundreds at once must not hold up the others."""
+        """Answer complete requests, a bounded number per turn so that other connections are not delayed."""
         transport, self._scheduled_turn, answers, more_requests = self._transport, None, list[bytes](), True
         if transport is None or transport.is_closing() or self._lingering:
             return
@@ -226,7 +225,7 @@
             answers.append(b"-ERR Protocol error: %s\r\n" % str(error).encode())
             self._error_count = MAX_ERRORS
         except Exception:
-            LOG.exception("clients: a connection broke")
+            LOG.exception("clients: unexpected error while serving a connection")
             answers.append(b"-ERR internal error\r\n")
             self._error_count = MAX_ERRORS
         transport.write(b"".join(answers))
@@ -242,7 +241,7 @@
             transport.resume_reading()
 
     def _reason_to_close(self) -> ClientClose:
-        """Why nothing more is read behind the answers so far."""
+        """Return why the connection closes after the answers written so far."""
         if self._error_count >= MAX_ERRORS:
             return ClientClose.ERRORS
         if self._client_eof:
@@ -250,27 +249,25 @@
         return ClientClose.ENDING if self.closing else ClientClose.HANDED_OVER
 
     def _schedule_turn(self) -> None:
-        """Serve the rest in a later turn."""
+        """Serve the remaining requests in a later turn of the event loop."""
         if self._scheduled_turn is None and not self._writing_paused:
             self._scheduled_turn = asyncio.get_running_loop().call_soon(self._serve_requests)
 
     def close_after_request(self) -> None:
-        """Close between requests: now, or once the request that is coming in has its answer.
+        """Close between requests: now, or once the request being received is answered.
 
-        What stands in the kernel already is no crossing: the loop's next look at its sockets reads it.
+        Data that is already in the kernel is still served: the close waits for the loop's next poll.
         """
         self.closing = True
         loop = asyncio.get_running_loop()
-        loop.call_soon(
-            loop.call_soon, self._close_if_between_requests
-        )  # the second one runs behind that look
+        loop.call_soon(loop.call_soon, self._close_if_between_requests)  # the inner one runs after that poll
 
     def _close_if_between_requests(self) -> None:
         if not self.request_in_progress:
             self.close_lingering(ClientClose.ENDING)
 
     def close_lingering(self, reason: ClientClose, answer: bytes = b"") -> None:
-        """End the connection by a lingering close; one that lingers already is broken off."""
+        """Write ``answer`` and start a lingering close; abort a connection that is closing already."""
         self._close_reason = self._close_reason or reason
         transport = self._transport
         if transport is None:
@@ -292,7 +289,7 @@
         transport.resume_reading()
 
     def close_now(self) -> None:
-        """Close at once, as its descriptor is needed."""
+        """Close at once because the file descriptor is needed."""
         self._close_reason = self._close_reason or ClientClose.ROOM
         if self._transport is not None:
             (self._transport.abort if self._lingering else self._transport.close)()
@@ -301,8 +298,8 @@
 class Resp2Server:
     """Listens for clients and answers their requests.
 
-    Every connection stands in one of four tables, each in order of time: those that have said nothing, those
-    with a part of a request, those that wait between requests, and those in a lingering close.
+    Every connection is in one of four tables, each ordered by time: ``unused`` (nothing received yet),
+    ``receiving`` (part of a request received), ``idle`` (between requests) and ``lingering`` (closing).
     """
 
     def __init__(
@@ -323,22 +320,22 @@
             system,
         )
         self.reasons = reasons or Reasons()
-        self._accept_backlog = accept_backlog  # connections taken on before any of them is served
-        self._shared = shared  # whether another process of this relay may listen beside this one
+        self._accept_backlog = accept_backlog  # accepted in one turn of the loop
+        self._shared = shared  # another process of this relay may listen on the same address
         self._sock: socket.socket | None = None
         self.closing_after_answer = False
         self.read_buffer = memoryview(bytearray(READ_BUFFER_BYTES))
-        self.unused: OrderedDict[ClientConnection, float] = OrderedDict()  # by when they connected
-        self.receiving: OrderedDict[ClientConnection, float] = OrderedDict()  # by when their request began
-        self.idle: OrderedDict[ClientConnection, float] = OrderedDict()  # by when they were heard of last
-        self.lingering: OrderedDict[ClientConnection, float] = OrderedDict()  # by when their close began
+        self.unused: OrderedDict[ClientConnection, float] = OrderedDict()  # time of connecting
+        self.receiving: OrderedDict[ClientConnection, float] = OrderedDict()  # start of the request
+        self.idle: OrderedDict[ClientConnection, float] = OrderedDict()  # time of the last request
+        self.lingering: OrderedDict[ClientConnection, float] = OrderedDict()  # start of the close
         self._server: asyncio.Server | None = None
         self._sweep_timer: asyncio.TimerHandle | None = None
         self.draining = False
 
     @property
     def clients(self) -> int:
-        """How many connections there are."""
+        """Number of open connections."""
         return sum(map(len, self._tables))
 
     @property
@@ -346,10 +343,10 @@
         return self.unused, self.receiving, self.idle, self.lingering
 
     async def start(self) -> None:
-        """Begin to listen; the journal must have been replayed by then."""
+        """Start listening; the journal must have been replayed before."""
         loop = asyncio.get_running_loop()
-        # The loop takes on as many connections in one turn as its backlog has room for, before any is counted
-        # here: a burst would use up the descriptors. The kernel's own backlog stays long.
+        # The loop accepts up to ``backlog`` connections in one turn before any of them is counted here, so a
+        # burst could exhaust the descriptors. The kernel's own backlog stays long.
         sock = self._sock = self._system.listener(self._address, self._shared)
         self._server = await loop.create_server(
             lambda: ClientConnection(self), sock=sock, backlog=self._accept_backlog
@@ -358,30 +355,31 @@
         self._sweep()
 
     def steer_connections_here(self) -> bool:
-        """Beside a process that listens at this address too: every new connection comes here from now on."""
+        """Route all new connections here if another process listens on the same address; False on failure."""
         return self._sock is not None and self._system.steer(self._sock)
 
     def close_after_next_answer(self) -> None:
-        """Close each connection behind its next answer: its client has nothing on the way then."""
+        """Close each connection after its next answer, when its client has no request in transit."""
         self.closing_after_answer = True
 
     def stop_listening(self) -> None:
-        """Stop listening; open connections go on."""
+        """Stop listening; open connections continue."""
         if self._server is not None:
             self._server.close()
 
     def connection_opened(self, client: ClientConnection) -> None:
-        """A new connection; over the bound another one goes, for descriptors are bounded."""
+        """Register a new connection; at the limit another one is closed, as descriptors are bounded."""
         if self.clients >= self.max_connections:
             self._evict_connection()
         self.unused[client] = asyncio.get_running_loop().time()
         client.closing |= self.draining
 
     def _evict_connection(self) -> None:
-        """Close the one that was silent longest: a request that crosses the close has failed.
+        """Close the connection that has been silent longest: a request in transit would fail.
 
-        A lingering close ends first: nobody waits for it. A new connection that has said nothing yet must
-        not go before others: in a crowd its request is on its way. One with a request under way goes last.
+        A lingering connection goes first, as no client waits for it. A new connection without a request gets
+        no lower priority than idle ones: under load its request is in transit. One that is receiving a
+        request goes last.
         """
         tables = (self.lingering,) if self.lingering else (self.unused, self.idle)
         oldest = [next(iter(table.items())) for table in tables if table]
@@ -390,15 +388,15 @@
         victim.close_now()
 
     def lingering_started(self, client: ClientConnection) -> None:
-        """Its close has begun."""
+        """Record that the connection's lingering close has started."""
         self.forget(client)
         self.lingering[client] = asyncio.get_running_loop().time()
 
     def update_table(self, client: ClientConnection, answered: bool) -> None:
-        """A connection has brought something: put it where it belongs.
+        """Move a connection that has received data to the table of its state.
 
-        A request's time counts from its first byte, however it trickles, and anew behind one that was
-        answered: who sends without a pause has a part of the next request here at every look.
+        The time of a request counts from its first byte, however slowly the rest arrives, and restarts after
+        an answered one: a client that sends without pause always has part of the next request here.
         """
         now_s = asyncio.get_running_loop().time()
         if client.request_in_progress:
@@ -410,12 +408,12 @@
         self.idle[client] = now_s
 
     def forget(self, client: ClientConnection) -> None:
-        """A connection is gone, or counts as gone."""
+        """Remove a connection from its table."""
         for table in self._tables:
             table.pop(client, None)
 
     def _sweep(self) -> None:
-        """Close connections that say nothing and requests that do not end."""
+        """Close connections that exceed the timeout of their state."""
         loop = asyncio.get_running_loop()
         self._sweep_timer = loop.call_later(SWEEP_INTERVAL_S, self._sweep)
         for table, timeout_s, reason, answer in (
@@ -429,20 +427,20 @@
                 client.close_lingering(reason, answer)
 
     def drain_clients(self) -> None:
-        """Close every connection between requests; new ones get answers and are closed behind them."""
+        """Close every connection between requests; a new one is answered with a refusal and then closed."""
         self.draining = True
         for client in [*self.unused, *self.receiving, *self.idle]:
             client.close_after_request()
 
     def close(self) -> None:
-        """Stop listening."""
+        """Stop listening and stop checking timeouts."""
         if self._sweep_timer is not None:
             self._sweep_timer.cancel()
         if self._server is not None:
             self._server.close()
 
     def handle_request(self, request: list[bytes]) -> bytes:
-        """The answer to one whole request."""
+        """Return the answer to a complete request."""
         command = request[0].upper()
         if command == b"PING":
             return b"+PONG\r\n"
@@ -460,7 +458,7 @@
 
 
 def encode_answer(answer: Answer) -> bytes:
-    """The core's answer in a client's words."""
+    """Encode the core's answer as a RESP2 reply."""
     if isinstance(answer, Accepted):
         return b"+OK\r\n"
     if isinstance(answer, Refused):
--- a/mallowlug/net/__init__.py
+++ b/mallowlug/net/__init__.py
@@ -1,1 +1,1 @@
-"""Connections that several adapters share."""
+"""HTTP connections shared by several adapters."""
--- a/mallowlug/net/http.py
+++ b/mallowlug/net/http.py
@@ -1,4 +1,4 @@
-"""One HTTP/1.1 client connection on a plain socket: it counts its bytes and repeats nothing by itself."""
+"""HTTP/1.1 client connection on a plain socket that counts unsent bytes and never retries."""
 
 from __future__ import annotations
 
@@ -11,26 +11,25 @@
 from mallowlug.system import System, family_of
 
 Headers = list[tuple[str, str]]
-RESPONSE_TIMEOUT_S = (
-    0.5  # s from an answer's first byte to its last: it is written in one go, or it has no end
-)
+RESPONSE_TIMEOUT_S = 0.5  # from a response's first byte to its last: servers write it at once
 READ_BYTES = 64 * 1024
 
 
 class Connection:
-    """A connection whose owner knows exactly how many bytes of its request are still here."""
+    """A connection whose owner knows exactly how many bytes of its request are not sent yet."""
 
     def __init__(self, sock: socket.socket, address: Address = ("localhost", 0)) -> None:
         self.sock, self.address, self.unsent = sock, address, 0
-        # The loop gets the number: it names what it does not find, a socket by two system calls.
+        # Passed to the loop instead of the socket: looking up an unknown socket formats its name in an
+        # exception, which costs two system calls.
         self.fd = sock.fileno()
-        self.write_started = False  # whether a byte of the present request has gone out
-        self._response_deadline_s: float | None = None  # when the present answer has to be complete
+        self.write_started = False  # whether a byte of the current request was sent
+        self._response_deadline_s: float | None = None  # when the current response must be complete
         self._parser = ResponseParser()
 
     @classmethod
     async def open(cls, address: Address, system: System) -> Connection:
-        """Connect; ``OSError`` where the other side refuses."""
+        """Connect; raise ``OSError`` if that fails."""
         sock = system.stream(family_of(address))
         try:
             await asyncio.get_running_loop().sock_connect(sock, address)
@@ -40,21 +39,21 @@
         return cls(sock, address)
 
     def request(self, method: str, target: str, headers: Headers, body: bytes = b"") -> bytes:
-        """A request's bytes; ``ValueError`` where a header would break out of its line."""
+        """Encode a request; raise ``ValueError`` if a header contains a line break."""
         lines = [f"{name}: {value}\r\n" for name, value in headers]
         if method != "GET":
             lines.append(f"Content-Length: {len(body)}\r\n")
         host, port = self.address
         head = f"{method} {target} HTTP/1.1\r\nHost: {host}:{port}\r\n{''.join(lines)}\r\n".encode("ascii")
         if head.count(b"\n") != len(lines) + 3 or head.count(b"\r") != len(lines) + 3:
-            raise ValueError("a header holds a line's end")
+            raise ValueError("a header contains a line break")
         return head + body
 
     async def send(self, data: bytes) -> None:
-        """Hand every byte to the kernel; ``unsent`` is exact at every moment, also when this is cancelled.
+        """Pass all bytes to the kernel; ``unsent`` is exact at any time, also after a cancellation.
 
-        ``loop.sock_sendall`` will not do: cancelled after its last byte it looks as if it had not ended,
-        and a call that may have run would be taken for one that never did.
+        ``loop.sock_sendall`` is not suitable: if cancelled after its last byte it looks incomplete, and a
+        call that may have run would be taken for one that never ran.
         """
         loop, view = asyncio.get_running_loop(), memoryview(data)
         self.unsent, self.write_started = len(view), False
@@ -72,7 +71,7 @@
     async def _wait_ready(
         self, add_watcher: Callable[..., None], remove_watcher: Callable[..., object]
     ) -> None:
-        """Wait for one side of the socket, by the loop's pair of calls for it."""
+        """Wait until the socket is ready, using the loop's functions that add and remove a watcher."""
         ready = asyncio.Event()
         add_watcher(self.fd, ready.set)
         try:
@@ -81,16 +80,16 @@
             remove_watcher(self.fd)
 
     async def _read_more(self) -> None:
-        """Take in what comes next; a broken or ended connection raises."""
+        """Receive and parse more data; raises if the connection is broken or closed."""
         if data := await self._receive():
             self._parser.feed(data)
         else:
             self._parser.handle_eof()
 
     async def _receive(self) -> bytes:
-        """What has come; cancelled, it has taken nothing from the kernel, so nothing that came is lost.
+        """Receive data; a cancellation leaves it in the kernel, so that none is lost.
 
-        A process that stood still finds its time-outs due and the answers there: the answers go first.
+        After a pause of the process both timeouts and data may be due: data takes precedence.
         """
         loop = asyncio.get_running_loop()
         while True:
@@ -105,17 +104,15 @@
                 async with asyncio.timeout_at(self._response_deadline_s):
                     await self._wait_ready(loop.add_reader, loop.remove_reader)
             except TimeoutError:
-                if (
-                    self._receive_queue_empty()
-                ):  # what has come of an answer stays in the parser: it is not the question
-                    raise CorruptResponseError("an answer without end") from None
+                if self._receive_queue_empty():  # an incomplete response in the parser does not count
+                    raise CorruptResponseError("response not complete in time") from None
 
     async def read_head(self) -> ResponseHead:
-        """Status and headers of the final answer; from its first byte on it has to end soon.
+        """Read status and headers of the final response, which must be complete soon after its first byte.
 
-        The wait for that byte is the caller's to bound; 1xx answers may come long before the final one.
+        The caller limits the wait for that byte; 1xx responses may arrive long before the final one.
         """
-        parser, timed_interims = self._parser, -1  # begun: the 1xx answers ahead of the one that has begun
+        parser, timed_interims = self._parser, -1  # interim_count when the deadline was set
         while parser.head is None:
             await self._read_more()
             if not parser.head_bytes:
@@ -129,46 +126,49 @@
 
     @property
     def response_started(self) -> bool:
-        """Whether the other side has begun to answer."""
+        """Whether part of a response has been received."""
         return bool(self._parser.head_bytes)
 
     @property
     def status_is_200(self) -> bool:
-        """Whether the first line is whole and says 200, whatever became of the rest."""
+        """Whether the status line is complete and says 200, whatever follows it."""
         return self._parser.status_is_200
 
     async def read_body(self, max_bytes: int) -> bytes:
-        """The rest of the answer, of which ``most`` bytes are bearable."""
+        """Read the rest of the response; raise ``CorruptResponseError`` beyond ``max_bytes``."""
         data = self._parser.take_body()
         while not self._parser.done:
             await self._read_more()
             data += self._parser.take_body()
             if len(data) > max_bytes:
-                raise CorruptResponseError("the answer is too long")
+                raise CorruptResponseError("response body too long")
         return data
 
     async def read_body_part(self) -> bytes:
-        """The next part of an answer that takes its time: a watch. Its end is a ``ConnectionResetError``."""
+        """Read the next data of a long-lived response such as a watch; no deadline applies.
+
+        Raises ``ConnectionResetError`` at the end of the response.
+        """
         self._response_deadline_s = None
         while not (data := self._parser.take_body()):
             if self._parser.done:
-                raise ConnectionResetError("the answer has ended")
+                raise ConnectionResetError("the response has ended")
             await self._read_more()
         return data
 
     def reusable(self) -> bool:
-        """Whether both sides are done with the last call and keep the connection."""
+        """Whether the last call is complete and both sides keep the connection open."""
         if not (self._parser.done and self._parser.keep_alive and self.no_unsolicited_data()):
             return False
         self.write_started = False
         return True
 
     def no_unsolicited_data(self) -> bool:
-        """Whether nothing came unasked: neither bytes nor the other side's end."""
+        """Whether neither unrequested data nor the server's end of stream was received."""
         return not self._parser.has_extra_data and self._receive_queue_empty()
 
     def _receive_queue_empty(self) -> bool:
-        """Whether the kernel holds neither bytes nor the other side's end."""
+        """Whether the kernel holds neither data nor the server's end of stream."""
         try:
             self.sock.recv(1, socket.MSG_PEEK)
         except (BlockingIOError, InterruptedError):
@@ -178,7 +178,7 @@
         return False
 
     def close(self) -> None:
-        """Give the connection up, and with it a call that is out on it."""
+        """Close the connection and abandon any call on it."""
         self.sock.close()
 
 
--- a/mallowlug/partners/__init__.py
+++ b/mallowlug/partners/__init__.py
@@ -1,1 +1,1 @@
-"""How calls go out: each module carries calls over one protocol and proves what became of them."""
+"""Partner transports: each module carries calls over one protocol and proves the outcome of each."""
--- a/mallowlug/partners/http_calls.py
+++ b/mallowlug/partners/http_calls.py
@@ -1,7 +1,7 @@
-"""Calls to hosts: connections and their reuse, batches, time-outs, and what each answer proves.
+"""HTTP calls to hosts: connection reuse, batches, timeouts, and the verdict that each response proves.
 
-Every part of a call is settled exactly once. Whether the last byte of a request went to the kernel decides
-between "never ran" and "may have run", so nothing here writes a request twice.
+Every part of a call is settled exactly once. Whether the last byte of a request was handed to the kernel
+decides between "never ran" and "in doubt", so a request is never written twice.
 """
 
 from __future__ import annotations
@@ -23,12 +23,12 @@
 
 LOG = logging.getLogger(__name__)
 SINGLE_TARGET, BATCH_TARGET = "/hook", "/hook/batch"
-MAX_BODY_BYTES = 64 * 1024  # bytes of an answer's body
-MAX_RETRY_AFTER_MS = 3_600_000  # ms: a longer wait is no host's intention and would shut a route for good
+MAX_BODY_BYTES = 64 * 1024  # of a response
+MAX_RETRY_AFTER_MS = 3_600_000  # a longer wait can't be intended and would close a route for good
 RETRY_AFTER_VALUE = re.compile(rb"[0-9]{1,12}(?:\.[0-9]*)?")
-IDLE_TIMEOUT_FRACTION = (
-    0.9  # of the hosts' keep-alive: an older connection may be ended while a request is under way
-)
+# Fraction of the hosts' keep-alive time: a connection idle for longer may be closed by the host while a
+# request is being sent.
+IDLE_TIMEOUT_FRACTION = 0.9
 BATCH_VERDICTS = {
     "delivered": Verdict.OK,
     "failed": Verdict.ERROR,
@@ -36,39 +36,40 @@
     "over": Verdict.NOT_SENT,
     "spent": Verdict.NOT_SENT,
 }
-STATUS_OVER, STATUS_DELIVERED = 410, 200
+STATUS_OVER, STATUS_DELIVERED = 410, 200  # both are final; 410 means that no attempt is needed any more
 LOAD_REPORT_FIELDS = ("x0", "x1")
 
 
 @dataclass(slots=True, eq=False)
 class Exchange:
-    """One call on its way: what of it has gone out, and on which connection."""
+    """A call in progress: its connection, what was sent, and its timers."""
 
     call: Call
     connection: Connection | None = None
     task: asyncio.Task[None] | None = None
-    sent_parts: list[Part] = field(default_factory=list)  # what the request carries: parts may end before it
-    end_s: float = 0.0  # the loop's time at which it ends, for all of its parts
+    sent_parts: list[Part] = field(default_factory=list)  # in the request; some may be settled before its end
+    end_s: float = 0.0  # loop time at which the call ends for all of its parts
     timer: asyncio.TimerHandle | None = None
-    part_timers: dict[Part, asyncio.TimerHandle] = field(default_factory=dict)  # of parts that end before
-    timed_out: bool = False  # it was ended by its time
-    parts_to_release: list[Part] = field(
-        default_factory=list
-    )  # parts that ended while the call goes on for others
+    part_timers: dict[Part, asyncio.TimerHandle] = field(
+        default_factory=dict
+    )  # of parts with a shorter limit
+    timed_out: bool = False  # the call reached ``end_s``
+    # Parts that were settled while the call continued for others.
+    parts_to_release: list[Part] = field(default_factory=list)
 
     @property
     def written(self) -> bool:
-        """Whether the last byte is out, after which the host may have begun."""
+        """Whether the last byte was sent, after which the host may have processed the request."""
         return self.connection is not None and self.connection.write_started and self.connection.unsent == 0
 
     @property
     def response_started(self) -> bool:
-        """Whether the host has begun to answer."""
+        """Whether the host has started to respond."""
         return self.connection is not None and self.connection.response_started
 
 
 def build_request(connection: Connection, parts: list[Part], remaining_s: float) -> bytes:
-    """The request for one message, or for several that share a call, for which the relay waits so long."""
+    """Build the request for one message or a batch; ``remaining_s`` is how long the relay will wait."""
     remaining = ("X-Remaining", f"{max(1, int(remaining_s * 1000))}m")
     if len(parts) == 1:
         headers: Headers = [("X-Txn", parts[0].id), remaining]
@@ -82,19 +83,19 @@
 
 
 def parse_retry_after_us(response: ResponseHead) -> int:
-    """The longest wait that an answer tells, in microseconds; 0 for none."""
+    """Return the longest retry delay in a response's headers, in microseconds; 0 for none."""
     wait_us = 0
     for name, value in response.headers:
         if name == b"x-retry-in-ms":
             if RETRY_AFTER_VALUE.fullmatch(value):
                 wait_us = max(wait_us, int(min(float(value), MAX_RETRY_AFTER_MS) * 1000))
             else:
-                LOG.warning("hosts: unreadable wait %r", value[:40])
+                LOG.warning("hosts: invalid X-Retry-In-Ms value %r", value[:40])
     return wait_us
 
 
 def parse_load_report(response: ResponseHead) -> dict[str, float]:
-    """The load report that any answer may carry; values that are no figures are unknown."""
+    """Return the load report of a response; values that are not finite non-negative numbers are omitted."""
     report: dict[str, float] = {}
     for name, value in response.headers:
         if name == b"x-pressure":
@@ -110,7 +111,7 @@
 
 
 def verdict_of(response: ResponseHead) -> Verdict:
-    """What a status proves; one that the protocol does not know proves nothing."""
+    """Return the verdict that a status proves; a status outside the protocol proves nothing (``ERROR``)."""
     if response.status == 503 and any(n == b"x-no-slot" and v == b"1" for n, v in response.headers):
         return Verdict.NOT_SENT
     table = {STATUS_DELIVERED: Verdict.OK, 429: Verdict.FULL, 503: Verdict.FULL}
@@ -121,7 +122,7 @@
 def part_outcome(
     response: ResponseHead, batch_result: str | None, wait_us: int, report: dict[str, float]
 ) -> PartOutcome:
-    """What a whole answer says of a message: its own end in a batch, else the answer's."""
+    """Return a message's outcome by a complete response: by its result in a batch, else by the status."""
     if batch_result is not None:
         return PartOutcome(
             BATCH_VERDICTS[batch_result], batch_result in ("delivered", "over"), wait_us, report
@@ -132,19 +133,20 @@
 
 
 def parse_batch_results(body: bytes, parts: Sequence[Part]) -> dict[str, str]:
-    """The end of each message of a batch; an answer with a word too many or too few is spoilt as a whole.
+    """Parse the result of each message of a batch by id.
 
-    Cut or garbled, it may still hold lines that look whole, and each that says "refused" would be believed.
+    Raises ``CorruptResponseError`` unless every line is valid and every message has exactly one: a truncated
+    or garbled body may still contain intact lines, and each "refused" among them would be believed.
     """
     lines = [line.split() for line in body.decode("latin-1").splitlines() if line.strip()]
     results = {words[0]: words[1] for words in lines if len(words) == 2 and words[1] in BATCH_VERDICTS}
     if len(results) != len(lines) or results.keys() != {part.id for part in parts}:
-        raise CorruptResponseError("not the ends of this batch")
+        raise CorruptResponseError("the response does not hold one result for each message of the batch")
     return results
 
 
 class HttpPartners:
-    """The hosts that the list names, the calls out to them, and connections kept between calls."""
+    """Sends calls to the listed hosts and keeps connections open between calls."""
 
     def __init__(
         self,
@@ -159,7 +161,7 @@
         max_open: int = 1 << 16,
         reasons: Reasons | None = None,
     ) -> None:
-        """``most_idle``, ``most_open``: connections kept between calls; and with those that carry one."""
+        """``max_idle`` limits the connections kept between calls, ``max_open`` these and those in use."""
         self._now_s, self._system = asyncio.get_running_loop().time, system
         self._kinds = {kind.name: kind for kind in kinds}
         self._idle_timeout_s, self._connect_timeout_s = (
@@ -170,14 +172,14 @@
         self._max_idle, self._on_settled, self._on_released = max_idle, settled, released
         self._listed: dict[str, ResolvedEndpoint] = {}
         self._idle: dict[str, list[tuple[Connection, asyncio.TimerHandle]]] = {}
-        self._waits: dict[str, float] = {}  # by route: the loop's time until which it is to be left alone
+        self._waits: dict[str, float] = {}  # by route: loop time until which no call may be sent
         self.messages_written = 0
-        self._disabled: set[str] = set()  # by hand, listed or not
-        self.exchanges: dict[Exchange, None] = {}  # in order, so that what is given up goes in order too
+        self._disabled: set[str] = set()  # by an operator, whether listed or not
+        self.exchanges: dict[Exchange, None] = {}  # a dict keeps the order for close()
 
     def apply(self, news: EndpointList) -> None:
-        """Follow the list at once: what drains or goes gets no call that is still to be written."""
-        now_s = self._now_s()  # hosts come and go all day: a wait that is over is forgotten
+        """Apply a list at once: no request is written any more to hosts that drain or are gone."""
+        now_s = self._now_s()  # hosts are replaced all day: expired waits are removed
         self._waits = {route: until_s for route, until_s in self._waits.items() if until_s > now_s}
         if news.full:
             removed = self._listed.keys() - {listed.entry.host for listed in news.hosts}
@@ -195,25 +197,25 @@
                 self.close_idle(host, HostClose.UNWANTED)
 
     def set_kinds(self, kinds: Iterable[Kind]) -> None:
-        """Go by these kinds from now on."""
+        """Replace the endpoint kinds."""
         self._kinds = {kind.name: kind for kind in kinds}
 
     def set_disabled(self, host: str, disabled: bool) -> None:
-        """A host is out by hand, or back: then as a new process, which no old connection reaches."""
+        """Disable or enable a host for an operator; its idle connections would not reach a new process."""
         (self._disabled.add if disabled else self._disabled.discard)(host)
         self.close_idle(host, HostClose.UNWANTED)
 
     def _may_call(self, host: str) -> bool:
-        """Whether the list and the staff let calls go there."""
+        """Whether the host is listed as ready and not disabled by an operator."""
         listed = self._listed.get(host)
         return listed is not None and listed.entry.listing is Listing.READY and host not in self._disabled
 
     def zone_of(self, host: str) -> str:
-        """The zone of a host."""
+        """Return the zone of a host; empty if it is not listed."""
         return self._listed[host].entry.zone if host in self._listed else ""
 
     def _route(self, host: str) -> str:
-        """What shares waits with a host: its destination, unless its kind's endpoints are routes apart."""
+        """Return the key under which a host's waits apply: its destination, or itself for separate routes."""
         listed = self._listed.get(host)
         apart = listed is None or self._kind(listed).separate_routes
         return host if listed is None or apart else f"dest {listed.entry.dest}"
@@ -222,28 +224,31 @@
         return self._kinds.get(listed.entry.kind, Kind(listed.entry.kind))
 
     def batch_size(self, host: str) -> int:
-        """How many messages a call to the host may carry."""
+        """Return how many messages a call to the host may carry."""
         listed = self._listed.get(host)
         return 1 if listed is None else self._kind(listed).batch_size
 
     def remaining_waits(self) -> dict[str, int]:
-        """By route: how long (us) it is still to be left alone."""
+        """Return the remaining Retry-After wait in microseconds, by route."""
         left = {route: int((until_s - self._now_s()) * 1e6) for route, until_s in self._waits.items()}
         return {route: left_us for route, left_us in left.items() if left_us > 0}
 
     def restore_waits(self, waits: dict[str, int]) -> None:
-        """Heed waits that a process before this one was told."""
+        """Apply Retry-After waits that a previous process received."""
         now_s = self._now_s()
         for route, left_us in waits.items():
             until_s = now_s + min(left_us, MAX_RETRY_AFTER_MS * 1000) / 1e6
             self._waits[route] = max(self._waits.get(route, 0.0), until_s)
 
     def wait_left_us(self, host: str) -> int:
-        """How long the host is still to be left alone."""
+        """Return the remaining Retry-After wait for the host in microseconds."""
         return max(0, int((self._waits.get(self._route(host), 0.0) - self._now_s()) * 1e6))
 
     def blocking_outcome(self, host: str) -> PartOutcome | None:
-        """Why nothing may be written there now: decided before, a call must still obey newer news."""
+        """Return the outcome for a call that must not be written now, else None.
+
+        The list or a wait may have changed since the call was decided.
+        """
         wait_us = self.wait_left_us(host)
         if wait_us or not self._may_call(host):
             return PartOutcome(Verdict.NOT_SENT, retry_after_us=wait_us)
@@ -251,14 +256,14 @@
 
     @property
     def busy(self) -> bool:
-        """Whether a call is out."""
+        """Whether a call is in progress."""
         return bool(self.exchanges)
 
     def send(self, call: Call) -> Exchange:
-        """Start one call; it ends at the longest limit of its parts, and each part at its own at the latest.
+        """Start a call; it ends at the longest time limit of its parts, and each part at its own at latest.
 
-        Parts of the same limit end in one go, behind the call: one by one, by timers that were set some
-        microseconds apart, one might be tried again while the call that carries it is still out.
+        Parts with the longest limit are settled together, after the call has ended. With a timer each, set
+        microseconds apart, one part could be repeated while the call that carries it is still open.
         """
         loop, exchange = asyncio.get_running_loop(), Exchange(call)
         self.exchanges[exchange] = None
@@ -277,29 +282,29 @@
         return exchange
 
     def _end_at_time_limit(self, exchange: Exchange) -> None:
-        """The call's time is up: it is off the wire before any of its parts is told so.
+        """End a call at its time limit; its connection is closed before any of its parts is settled.
 
-        Also where an answer stands in the kernel, unread in this very turn of the loop: it may have come
-        behind the time of the call's messages, and then it delivers none of them.
+        A response that is in the kernel but not read yet is ignored, too: it may have arrived after the
+        time limit of the call's messages, and then it delivers none of them.
         """
         exchange.timed_out = True
         if exchange.task is not None:
             exchange.task.cancel()
 
     def cancel(self, message_id: str, attempt: int) -> None:
-        """Call one attempt off."""
+        """Cancel one attempt of a message."""
         for exchange in list(self.exchanges):
             for part in exchange.call.open:
                 if (part.id, part.attempt) == (message_id, attempt):
                     self._stop_part(exchange, part, Verdict.CANCELLED)
 
     def close_idle(self, host: str, reason: HostClose = HostClose.POLICY) -> None:
-        """Close the connections to a host that carry no call."""
+        """Close the idle connections to a host."""
         for connection, timer in self._idle.pop(host, []):
             self._close_kept(host, connection, timer, reason)
 
     def close(self) -> None:
-        """Give up everything, silently: what is out stays in the journal as it stands."""
+        """Abort all calls and settle nothing: attempts in progress stay in the journal as they are."""
         for exchange in list(self.exchanges):
             for part in exchange.call.open:
                 self._settle(exchange, part, None)
@@ -316,17 +321,16 @@
             self._on_settled(exchange.call, part, outcome)
 
     def _stop_part(self, exchange: Exchange, part: Part, verdict: Verdict) -> None:
-        """End one part before its answer; with the last one the connection is closed."""
+        """Settle one part before its response; the last one also ends the call and closes the connection."""
         if part.settled:
             return
         connection = exchange.connection
         if verdict is Verdict.TIMEOUT and exchange.response_started:
-            verdict = Verdict.ERROR  # it answers without an end: no silence of a lost host
+            verdict = Verdict.ERROR  # the host responds, if incompletely: it is not lost
         is_last = len(exchange.call.open) == 1
         write_started = connection is not None and connection.write_started
-        in_doubt = (
-            exchange.written if is_last else write_started
-        )  # others' bytes that follow may complete the call
+        # A call that continues for other parts may still send its remaining bytes.
+        in_doubt = exchange.written if is_last else write_started
         call_continues = write_started and not is_last
         outcome = PartOutcome(verdict if in_doubt else Verdict.CONNECT_FAILED, call_continues=call_continues)
         if call_continues:
@@ -336,23 +340,23 @@
             exchange.task.cancel()
 
     async def _run(self, exchange: Exchange) -> None:
-        """Connect, write, read: every way out settles what is open and leaves no connection behind."""
+        """Run a call; on every exit all open parts are settled, and the connection is kept or closed."""
         outcome, keep_connection, host = PartOutcome(Verdict.RESET), False, exchange.call.host
         reason = HostClose.FAILED
         try:
             keep_connection = await self._perform(exchange)
             reason = HostClose.NOT_KEPT
-        except CorruptResponseError as error:  # not a reset: the connection held, and the host has answered
-            LOG.debug("hosts: %s: a spoilt answer: %s", host, str(error)[:80], extra={"host": host})
+        except CorruptResponseError as error:  # no RESET verdict: the connection held, and the host responded
+            LOG.debug("hosts: %s: corrupt response: %s", host, str(error)[:80], extra={"host": host})
             outcome = PartOutcome(Verdict.ERROR)
         except (*CONNECTION_ERRORS, TimeoutError) as error:
             LOG.debug("hosts: %s: %r", host, error, extra={"host": host})
         except Exception:
-            LOG.exception("hosts: call to %s broke", host, extra={"host": host})
+            LOG.exception("hosts: unexpected error in a call to %s", host, extra={"host": host})
         finally:
             if not exchange.written:
                 outcome = PartOutcome(Verdict.CONNECT_FAILED)
-            elif exchange.timed_out:  # it answers without an end: no silence of a lost host
+            elif exchange.timed_out:  # a host that responds, if incompletely, is not lost
                 outcome = PartOutcome(Verdict.ERROR if exchange.response_started else Verdict.TIMEOUT)
             if exchange.timer is not None:
                 exchange.timer.cancel()
@@ -366,26 +370,31 @@
 
     @staticmethod
     def _delivered_by_status_line(exchange: Exchange) -> PartOutcome | None:
-        """A first line that says 200 is true for the one message of a call, however the answer went on."""
+        """Return the delivered outcome if the call carries one message and its status line says 200.
+
+        The status line holds even if the rest of the response is corrupt or missing.
+        """
         connection = exchange.connection
         if len(exchange.sent_parts) == 1 and exchange.written and connection and connection.status_is_200:
             return PartOutcome(Verdict.OK, complete=True)
         return None
 
     async def _perform(self, exchange: Exchange) -> bool:
-        """The call itself; whether its connection can serve again."""
+        """Connect, send the request, read the response; return whether the connection was kept for reuse."""
         host = exchange.call.host
         connection = self._take_idle(host) or await self._open(host)
         exchange.connection = connection
-        # Connecting takes time, in which a wait or a drain may have been told: it binds this write too.
+        # While connecting, a Retry-After wait or a drain may have been received; it applies to this write.
         blocked, parts = self.blocking_outcome(host), exchange.call.open
-        if len(parts) > 1:  # the one that lasts longest first: who reckons a call's time by one takes that
+        if (
+            len(parts) > 1
+        ):  # longest limit first: a reader that takes the call's time from one part takes that
             parts.sort(key=lambda part: -part.timeout_us)
         if blocked is not None:
             for part in parts:
                 self._settle(exchange, part, blocked)
             return self._keep_idle(host, connection)
-        for part in list(parts):  # its window may have passed as well
+        for part in list(parts):  # a part's deduplication window may have passed, too
             if part.start_within_us and self._now_s() > exchange.call.sent_s + part.start_within_us / 1e6:
                 self._settle(exchange, part, PartOutcome(Verdict.NOT_SENT))
                 parts.remove(part)
@@ -403,8 +412,8 @@
         if response.status == STATUS_DELIVERED and len(parts) == 1:
             self._settle_from_response(exchange, parts[0], PartOutcome(Verdict.OK, True, wait_us, report))
             parts = []
-        # Any other answer counts when it is whole: a head that says "never ran" proves nothing if the
-        # body shows that the answer is spoilt, for the request has run then.
+        # Any other response counts only when complete: a status that means "never ran" proves nothing if the
+        # body shows that the response is corrupt, since the request may have run.
         body = await connection.read_body(MAX_BODY_BYTES)
         batch_results = (
             parse_batch_results(body, parts) if response.status == STATUS_DELIVERED and parts else {}
@@ -416,7 +425,7 @@
         return self._keep_idle(host, connection)
 
     def _settle_from_response(self, exchange: Exchange, part: Part, outcome: PartOutcome) -> None:
-        """Settle a part; where its own time ran out within the call, only a final end is still news."""
+        """Settle a part; one that was settled by its own time limit is updated only by a final outcome."""
         if not part.settled or outcome.complete:
             self._settle(exchange, part, outcome)
 
@@ -429,7 +438,7 @@
             return await Connection.open(listed.address, self._system)
 
     def _take_idle(self, host: str) -> Connection | None:
-        """The idle connection that was used last, if the host has not ended it."""
+        """Take the most recently used idle connection that the host has not closed."""
         idle = self._idle.get(host, [])
         while idle:
             connection, timer = idle.pop()
@@ -441,7 +450,7 @@
         return None
 
     def _close_excess_idle(self) -> None:
-        """Close the idle connections that are due first, so that a new one finds a descriptor."""
+        """Close the idle connections that expire first, so that a new one gets a file descriptor."""
         while any(self._idle.values()) and sum(map(len, self._idle.values())) + len(self.exchanges) > (
             self._max_open
         ):
@@ -450,7 +459,7 @@
             self._close_kept(host, *connections.pop(0), HostClose.ROOM)
 
     def _keep_idle(self, host: str, connection: Connection) -> bool:
-        """Keep a connection for the next call, watched for the host's end, closed before its keep-alive."""
+        """Keep a connection for reuse until it times out or the host closes it; return whether it is kept."""
         if not self._may_call(host) or not connection.reusable():
             return False
         if sum(map(len, self._idle.values())) >= self._max_idle:
@@ -462,7 +471,7 @@
         return True
 
     def _discard_idle(self, host: str, connection: Connection) -> None:
-        """An idle connection has stood too long, or the host has ended it."""
+        """Close an idle connection that has timed out or that the host has closed."""
         for item in [item for item in self._idle.get(host, []) if item[0] is connection]:
             self._idle[host].remove(item)
             self._close_kept(host, *item, HostClose.IDLE)
@@ -470,7 +479,7 @@
     def _close_kept(
         self, host: str, connection: Connection, timer: asyncio.TimerHandle, reason: HostClose
     ) -> None:
-        """Close a connection that was kept."""
+        """Close an idle connection and remove its reader and timer."""
         asyncio.get_running_loop().remove_reader(connection.fd)
         timer.cancel()
         self._close(host, connection, reason)
