--- a/tests/contracts/directory.py
+++ b/tests/contracts/directory.py
@@ -38,7 +38,7 @@
         """Be gone."""
 
 
-class News:
+class ListLog:
     """What a directory told."""
 
     def __init__(self) -> None:
@@ -46,12 +46,12 @@
         self.failures = 0
         self.changed = asyncio.Event()
 
-    def told(self, news: EndpointList) -> None:
+    def on_list(self, news: EndpointList) -> None:
         """The core's callback for news."""
         self.lists.append(news)
         self.changed.set()
 
-    def failed(self) -> None:
+    def on_end(self) -> None:
         """The core's callback for the end of what was subscribed to."""
         self.failures += 1
         self.changed.set()
@@ -75,7 +75,7 @@
 class DirectoryContract:
     """Subclass, name it ``Test...`` and supply ``directory`` and ``peer``."""
 
-    def directory(self, address: Address, news: News) -> Directory:
+    def directory(self, address: Address, news: ListLog) -> Directory:
         """The directory, which holds nothing yet."""
         raise NotImplementedError
 
@@ -86,7 +86,7 @@
     @pytest.fixture
     async def rig(self):  # type: ignore[no-untyped-def]
         """A directory that has told the first list, its news and its peer."""
-        news, peer = News(), await self.peer()
+        news, peer = ListLog(), await self.peer()
         directory = self.directory(peer.address, news)
         directory.subscribe()
         await news.until(lambda: news.view == {"h1": Listing.READY})
@@ -95,7 +95,7 @@
         peer.stop()
 
     async def test_changes_are_told_in_the_order_of_versions(
-        self, rig: tuple[Directory, News, DirectoryPeer]
+        self, rig: tuple[Directory, ListLog, DirectoryPeer]
     ) -> None:
         _, news, peer = rig
         for number in range(2, 12):
@@ -105,7 +105,9 @@
         assert [told.seq for told in news.lists] == sorted(told.seq for told in news.lists)
         assert len(news.view) == 11
 
-    async def test_an_old_version_undoes_no_drain(self, rig: tuple[Directory, News, DirectoryPeer]) -> None:
+    async def test_an_old_version_undoes_no_drain(
+        self, rig: tuple[Directory, ListLog, DirectoryPeer]
+    ) -> None:
         _, news, peer = rig
         peer.change("h1", Listing.DRAINING)
         await news.until(lambda: news.view["h1"] is Listing.DRAINING)
@@ -116,7 +118,7 @@
 
     @pytest.mark.parametrize("how", ["lose", "garble"])
     async def test_its_end_is_told_once_and_it_begins_anew_only_when_asked_to(
-        self, rig: tuple[Directory, News, DirectoryPeer], how: str
+        self, rig: tuple[Directory, ListLog, DirectoryPeer], how: str
     ) -> None:
         directory, news, peer = rig
         before = news.view
@@ -132,7 +134,7 @@
         await news.until(lambda: "h2" in news.view)
         assert news.failures == 1
 
-    async def test_one_that_works_is_kept(self, rig: tuple[Directory, News, DirectoryPeer]) -> None:
+    async def test_one_that_works_is_kept(self, rig: tuple[Directory, ListLog, DirectoryPeer]) -> None:
         directory, news, peer = rig
         told = len(news.lists)
         directory.subscribe()
@@ -141,7 +143,7 @@
         assert len(news.lists) == told + 1
         assert news.failures == 0
 
-    async def test_a_move_loses_no_change(self, rig: tuple[Directory, News, DirectoryPeer]) -> None:
+    async def test_a_move_loses_no_change(self, rig: tuple[Directory, ListLog, DirectoryPeer]) -> None:
         directory, news, peer = rig
         other = await self.peer()
         for _ in range(3):
@@ -155,7 +157,7 @@
         assert news.failures == 0
         other.stop()
 
-    async def test_after_close_nothing_is_told(self, rig: tuple[Directory, News, DirectoryPeer]) -> None:
+    async def test_after_close_nothing_is_told(self, rig: tuple[Directory, ListLog, DirectoryPeer]) -> None:
         directory, news, peer = rig
         directory.close()
         told = len(news.lists)
--- a/tests/contracts/partners.py
+++ b/tests/contracts/partners.py
@@ -22,7 +22,7 @@
 
     address: Address
 
-    def then(self, *replies: str) -> None:
+    def script_replies(self, *replies: str) -> None:
         """How the next calls fare: ``delivered``, ``refused``, ``wait`` (refused for 60 s), ``error``,
         ``silent``, ``reset`` or ``partly`` (delivered, refused in turn); after them ``delivered``."""
 
@@ -30,35 +30,35 @@
     def calls(self) -> list[list[str]]:
         """The ids of every call whose last byte came."""
 
-    async def came(self, number: int) -> None:
+    async def wait_for_calls(self, number: int) -> None:
         """Wait until so many calls have come."""
 
     def stop(self) -> None:
         """Refuse connections from now on and break those that are open."""
 
 
-class Books:
+class OutcomeLog:
     """What a transport settled."""
 
     def __init__(self) -> None:
-        self.told: list[tuple[str, PartOutcome]] = []
+        self.outcomes: list[tuple[str, PartOutcome]] = []
         self.changed = asyncio.Event()
 
-    def settled(self, _call: Call, part: Part, told: PartOutcome) -> None:
+    def settled(self, _call: Call, part: Part, outcome: PartOutcome) -> None:
         """The core's callback."""
-        self.told.append((part.id, told))
+        self.outcomes.append((part.id, outcome))
         self.changed.set()
 
-    def of(self, ref: str) -> list[PartOutcome]:
+    def of_message(self, ref: str) -> list[PartOutcome]:
         """All that was settled for a message."""
-        return [told for known, told in self.told if known == ref]
+        return [told for known, told in self.outcomes if known == ref]
 
-    async def first(self, ref: str) -> PartOutcome:
+    async def first_of_message(self, ref: str) -> PartOutcome:
         """How a message fared."""
-        while not self.of(ref):
+        while not self.of_message(ref):
             self.changed.clear()
             await soon(self.changed.wait())
-        return self.of(ref)[0]
+        return self.of_message(ref)[0]
 
 
 class PartnersContract:
@@ -75,7 +75,7 @@
     @pytest.fixture
     async def rig(self):  # type: ignore[no-untyped-def]
         """Transport, books and one listed endpoint ``h1``."""
-        books, peer = Books(), await self.peer()
+        books, peer = OutcomeLog(), await self.peer()
         partners = self.partners(books.settled)
         listed(partners, peer.address)
         yield partners, books, peer
@@ -92,97 +92,101 @@
         ],
     )
     async def test_what_an_answer_proves(
-        self, rig: tuple[Partners, Books, PartnerPeer], reply: str, verdict: Verdict, complete: bool
+        self, rig: tuple[Partners, OutcomeLog, PartnerPeer], reply: str, verdict: Verdict, complete: bool
     ) -> None:
         partners, books, peer = rig
-        peer.then(reply)
+        peer.script_replies(reply)
         partners.send(call("m1"))
-        told = await books.first("m1")
+        told = await books.first_of_message("m1")
         assert (told.verdict, told.complete) == (verdict, complete)
         assert peer.calls == [["m1"]]
 
     async def test_each_part_of_a_call_has_its_own_end(
-        self, rig: tuple[Partners, Books, PartnerPeer]
+        self, rig: tuple[Partners, OutcomeLog, PartnerPeer]
     ) -> None:
         partners, books, peer = rig
-        peer.then("partly")
+        peer.script_replies("partly")
         partners.send(call("m1", "m2", "m3"))
-        told = [(await books.first(ref)).verdict for ref in ("m1", "m2", "m3")]
+        told = [(await books.first_of_message(ref)).verdict for ref in ("m1", "m2", "m3")]
         assert told == [Verdict.OK, Verdict.FULL, Verdict.OK]
         assert partners.batch_size("h1") == 4
 
-    async def test_a_refused_connection_never_ran(self, rig: tuple[Partners, Books, PartnerPeer]) -> None:
+    async def test_a_refused_connection_never_ran(
+        self, rig: tuple[Partners, OutcomeLog, PartnerPeer]
+    ) -> None:
         partners, books, peer = rig
         peer.stop()
         partners.send(call("m1"))
-        assert (await books.first("m1")).verdict is Verdict.CONNECT_FAILED
+        assert (await books.first_of_message("m1")).verdict is Verdict.CONNECT_FAILED
 
     async def test_silence_ends_with_the_parts_own_limit_and_may_have_run(
-        self, rig: tuple[Partners, Books, PartnerPeer]
+        self, rig: tuple[Partners, OutcomeLog, PartnerPeer]
     ) -> None:
         partners, books, peer = rig
-        peer.then("silent")
+        peer.script_replies("silent")
         sent = call("m1")
         sent.parts[0].timeout_us = 300_000
         partners.send(sent)
-        assert (await books.first("m1")).verdict is Verdict.TIMEOUT
-        assert not (await books.first("m1")).verdict.never_ran
+        assert (await books.first_of_message("m1")).verdict is Verdict.TIMEOUT
+        assert not (await books.first_of_message("m1")).verdict.never_ran
 
     async def test_a_cancel_settles_once_and_another_settles_nothing(
-        self, rig: tuple[Partners, Books, PartnerPeer]
+        self, rig: tuple[Partners, OutcomeLog, PartnerPeer]
     ) -> None:
         partners, books, peer = rig
-        peer.then("silent")
+        peer.script_replies("silent")
         partners.send(call("m1"))
-        await peer.came(1)
+        await peer.wait_for_calls(1)
         for _ in range(3):
             partners.cancel("m1", 0)
         partners.cancel("nobody", 0)
-        assert [told.verdict for told in books.of("m1")] == [Verdict.CANCELLED]
+        assert [told.verdict for told in books.of_message("m1")] == [Verdict.CANCELLED]
         partners.send(call("m2"))
-        await books.first("m2")
-        assert len(books.of("m1")) == 1
-        assert len(books.told) == 2
+        await books.first_of_message("m2")
+        assert len(books.of_message("m1")) == 1
+        assert len(books.outcomes) == 2
 
-    async def test_a_wait_binds_from_its_answer_on(self, rig: tuple[Partners, Books, PartnerPeer]) -> None:
+    async def test_a_wait_binds_from_its_answer_on(
+        self, rig: tuple[Partners, OutcomeLog, PartnerPeer]
+    ) -> None:
         partners, books, peer = rig
-        peer.then("wait")
+        peer.script_replies("wait")
         partners.send(call("m1"))
-        first = await books.first("m1")
+        first = await books.first_of_message("m1")
         assert first.verdict is Verdict.FULL
         assert first.retry_after_us == 60_000_000
         partners.send(call("m2"))
-        later = await books.first("m2")
+        later = await books.first_of_message("m2")
         assert later.verdict is Verdict.NOT_SENT
         assert 0 < later.retry_after_us <= 60_000_000
         assert peer.calls == [["m1"]]
 
     @pytest.mark.parametrize("listing", [Listing.DRAINING, Listing.GONE])
     async def test_news_binds_a_call_that_was_decided_before(
-        self, rig: tuple[Partners, Books, PartnerPeer], listing: Listing
+        self, rig: tuple[Partners, OutcomeLog, PartnerPeer], listing: Listing
     ) -> None:
         partners, books, peer = rig
         partners.send(call("m1"))
         listed(partners, peer.address, listing)
-        assert (await books.first("m1")).verdict.never_ran
+        assert (await books.first_of_message("m1")).verdict.never_ran
         assert peer.calls == []
 
-    async def test_a_call_to_nobody_never_ran(self, rig: tuple[Partners, Books, PartnerPeer]) -> None:
+    async def test_a_call_to_nobody_never_ran(self, rig: tuple[Partners, OutcomeLog, PartnerPeer]) -> None:
         partners, books, _ = rig
         partners.send(Call("h9", [Part("m1", 0, "", b"x", LIMIT_US)], time.monotonic()))
-        assert (await books.first("m1")).verdict.never_ran
+        assert (await books.first_of_message("m1")).verdict.never_ran
         assert partners.zone_of("h9") == ""
 
-    async def test_close_settles_nothing(self, rig: tuple[Partners, Books, PartnerPeer]) -> None:
+    async def test_close_settles_nothing(self, rig: tuple[Partners, OutcomeLog, PartnerPeer]) -> None:
         partners, books, peer = rig
-        peer.then("silent")
+        peer.script_replies("silent")
         partners.send(call("m1"))
-        await peer.came(1)
+        await peer.wait_for_calls(1)
         assert partners.busy
         partners.close()
         while partners.busy:
             await asyncio.sleep(0.01)
-        assert books.told == []
+        assert books.outcomes == []
 
 
 def call(*refs: str) -> Call:
--- a/tests/members/ground.py
+++ b/tests/members/ground.py
@@ -14,7 +14,7 @@
 
 from mallowlug.rig.judge import record as rec
 from mallowlug.rig.world.fronts import Fronts
-from tests.world import ROOT, called, free_port, settings_json, soon
+from tests.world import ROOT, free_port, http_request, settings_json, soon
 
 PERIOD_S = 0.1  # between two probes: a tenth of what the operator file has
 SETTLE_S = 0.5
@@ -57,7 +57,7 @@
     async def table(self) -> dict[str, Any]:
         """Its view, as the console tells it; empty where nobody answers."""
         try:
-            status, text = await asyncio.wait_for(called(self.console, "GET", "/fleet"), 2.0)
+            status, text = await asyncio.wait_for(http_request(self.console, "GET", "/fleet"), 2.0)
         except (OSError, IndexError, TimeoutError):
             return {}
         return json.loads(text) if status == 200 else {}
--- a/tests/members/test_processes.py
+++ b/tests/members/test_processes.py
@@ -19,7 +19,7 @@
 from mallowlug.rig.judge.members import judged
 from mallowlug.rig.world.fronts import Way
 from tests.members.ground import Ground, agreed, alive
-from tests.world import ROOT, called, soon
+from tests.world import ROOT, http_request, soon
 
 NAMES = ("n0", "n1", "n2", "n3", "n4")
 
@@ -195,7 +195,7 @@
 
     async def counted() -> str:
         while True:
-            text = (await called(ground.nodes["n0"].console, "GET", "/metrics"))[1]
+            text = (await http_request(ground.nodes["n0"].console, "GET", "/metrics"))[1]
             if "relay_fleet_foreign_total 3\n" in text:
                 return text
             await asyncio.sleep(0.02)
--- a/tests/test_by_hand.py
+++ b/tests/test_by_hand.py
@@ -14,21 +14,21 @@
 from mossfront.engine import DecisionEngine
 from tests.calls import Calls, serving
 from tests.support import SAFE, SECOND, arrival, ended, entry, roster, sends, settings
-from tests.world import World, called, silent, soon
+from tests.world import World, http_request, silent, soon
 
 OUT, BACK = "/hosts/disable?name=", "/hosts/enable?name="
 
 
 async def by_hand(console: int, target: str) -> int:
     """The status of one call."""
-    return (await called(console, "POST", target))[0]
+    return (await http_request(console, "POST", target))[0]
 
 
 async def staffed(world: World, *hosts: str) -> int:
     """Hosts of one destination that the relay knows from its start; the console's port."""
     for host in hosts:
         await world.add(host)
-    world.known = list(world.directory.hosts.values())
+    world.known_hosts = list(world.directory.hosts.values())
     return world.open_console()
 
 
@@ -42,12 +42,12 @@
     client = await world.run()
     assert await by_hand(console, OUT + "h1") == 200
     for number in range(12):
-        await client.hand_in(f"m{number}")
+        await client.submit(f"m{number}")
         await world.hosts["h2"].call(number)
     assert seen(world, "h1") == []
     assert await by_hand(console, OUT + "h2") == 200
     assert await by_hand(console, BACK + "h1") == 200
-    await client.hand_in("last")
+    await client.submit("last")
     assert (await world.hosts["h1"].call(0)).ids == ["last"]
     assert len(seen(world, "h2")) == 12
 
@@ -56,12 +56,12 @@
     console = await staffed(world, "h1")
     await world.run()
     assert [await by_hand(console, OUT + "h1") for _ in range(2)] == [200, 200]
-    client = await world.again()
+    client = await world.kill_and_restart()
     world.directory.change("h1", health="DELETED")
     world.directory.change("h1", health="SERVING")
-    await client.insist("m1")
+    await client.submit_until_accepted("m1")
     world.directory.change("h2", dial="127.0.0.1:1", block=2)
-    await client.insist("m2", dest=2)  # a later line of the watch has been read
+    await client.submit_until_accepted("m2", dest=2)  # a later line of the watch has been read
     assert seen(world, "h1") == []
     assert await by_hand(console, BACK + "h1") == 200
     assert (await world.hosts["h1"].call(0)).ids == ["m1"]
@@ -71,7 +71,7 @@
     console = await staffed(world, "h1")
     client = await world.run()
     await by_hand(console, OUT + "h1")
-    assert await client.hand_in("m1", d=300) == b"+OK"
+    assert await client.submit("m1", d=300) == b"+OK"
     assert (await world.directory.notice("m1"))["result"] == "bounced"
     assert seen(world, "h1") == []
 
@@ -82,20 +82,20 @@
     await by_hand(console, OUT + "h1")
 
     async def told(line: str) -> None:
-        while line not in (await called(console, "GET", "/metrics"))[1]:
+        while line not in (await http_request(console, "GET", "/metrics"))[1]:
             await asyncio.sleep(0.01)
 
     await soon(told("relay_cluster_unhealthy 1\n"))
     world.directory.change("h1", health="DELETED")
     await soon(told("relay_cluster_unhealthy 0\n"))
-    assert "relay_cluster_size 1\n" in (await called(console, "GET", "/metrics"))[1]
+    assert "relay_cluster_size 1\n" in (await http_request(console, "GET", "/metrics"))[1]
 
 
 async def test_a_call_that_is_out_ends_as_it_would(world: World) -> None:
     console = await staffed(world, "h1")
     world.hosts["h1"].default = silent
     client = await world.run()
-    await client.hand_in("m1", "unsafe")
+    await client.submit("m1", "unsafe")
     call = await world.hosts["h1"].call(0)
     assert await by_hand(console, OUT + "h1") == 200
     call.answer(500)
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -11,7 +11,7 @@
 from mallowlug.console.calls import Said, answer
 from mallowlug.console.server import Console
 from mallowlug.system import POSIX
-from tests.world import ROOT, World, called, free_port, soon
+from tests.world import ROOT, World, free_port, http_request, soon
 
 
 @dataclass
@@ -135,15 +135,15 @@
 
 async def test_the_relay_is_ready_until_it_is_told_to_end(world: World) -> None:
     await world.add("h1")
-    world.known = list(world.directory.hosts.values())
+    world.known_hosts = list(world.directory.hosts.values())
     console = world.open_console()
     await world.run()
-    assert (await called(console, "GET", "/ready"))[0] == 200
+    assert (await http_request(console, "GET", "/ready"))[0] == 200
     assert world.process is not None
     world.process.terminate()
 
     async def refused() -> None:
-        while (await called(console, "GET", "/ready"))[0] == 200:
+        while (await http_request(console, "GET", "/ready"))[0] == 200:
             await asyncio.sleep(0.01)
 
     await soon(refused())
--- a/tests/test_contracts.py
+++ b/tests/test_contracts.py
@@ -15,11 +15,11 @@
 from mallowlug.system import POSIX
 from mossfront.interface import Listing
 from tests import world
-from tests.contracts.directory import DirectoryContract, News
-from tests.contracts.front import Core, FrontContract
-from tests.contracts.notifier import Confirmed, EndsContract
+from tests.contracts.directory import DirectoryContract, ListLog
+from tests.contracts.front import FrontContract, StubCore
+from tests.contracts.notifier import Confirmed, NotifierContract
 from tests.contracts.partners import KIND, PartnersContract
-from tests.world import HttpServer, Reply, Request, delivered, enqueue, packed, silent, soon
+from tests.world import HttpServer, Reply, Request, delivered, encode_command, enqueue, silent, soon
 
 
 class Resp2Peer:
@@ -28,7 +28,7 @@
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader, self.writer = reader, writer
 
-    async def _answer(self) -> str | None:
+    async def _read_answer(self) -> str | None:
         try:
             line = (await soon(self.reader.readline())).rstrip()
         except ConnectionError:
@@ -37,25 +37,25 @@
             return "refused " + line[6:].decode()
         return {b"+": "taken", b"-": "failed"}.get(line[:1])
 
-    async def hand_in(self, *refs: str) -> list[str | None]:
-        self.writer.write(b"".join(packed(*enqueue(ref)) for ref in refs))
-        return [await self._answer() for _ in refs]
+    async def submit(self, *refs: str) -> list[str | None]:
+        self.writer.write(b"".join(encode_command(*enqueue(ref)) for ref in refs))
+        return [await self._read_answer() for _ in refs]
 
-    async def garbage(self) -> str | None:
+    async def send_garbage(self) -> str | None:
         self.writer.write(b"GET / HTTP/1.1\r\n\r\n")
-        return await self._answer()
+        return await self._read_answer()
 
-    async def half(self) -> None:
-        self.writer.write(packed(*enqueue("m1"))[:-1])
+    async def send_partial_request(self) -> None:
+        self.writer.write(encode_command(*enqueue("m1"))[:-1])
 
-    async def ended(self) -> None:
+    async def wait_closed(self) -> None:
         while await self.reader.read(1024):
             pass
 
 
 class TestResp2(FrontContract):
-    def front(self, core: Core, port: int, most: int) -> Front:
-        return Resp2Server(core, ("127.0.0.1", port), most, POSIX)
+    def front(self, core: StubCore, port: int, max_connections: int) -> Front:
+        return Resp2Server(core, ("127.0.0.1", port), max_connections, POSIX)
 
     async def peer(self, port: int) -> Resp2Peer:
         return Resp2Peer(*await asyncio.open_connection("127.0.0.1", port))
@@ -74,7 +74,7 @@
         self.server, self._replies = server, replies
         self.address = ("127.0.0.1", server.port)
 
-    def then(self, *replies: str) -> None:
+    def script_replies(self, *replies: str) -> None:
         self.server.script.extend(self._replies[reply] for reply in replies)
 
     @property
@@ -82,11 +82,11 @@
         return [request.ids for request in self.server.seen]
 
     @property
-    def heard(self) -> list[tuple[str, str, int]]:
+    def received(self) -> list[tuple[str, str, int]]:
         lines = [json.loads(line) for request in self.server.seen for line in request.body.splitlines()]
         return [(line["ref"], line["result"], line.get("wait_ms", 0)) for line in lines]
 
-    async def came(self, number: int) -> None:
+    async def wait_for_calls(self, number: int) -> None:
         await self.server.until(lambda: len(self.server.seen) >= number)
 
     def stop(self) -> None:
@@ -132,7 +132,7 @@
         old = [entry | {"health": "SERVING"} for entry in self._server.hosts.values()]
         line = json.dumps({"seq": self._server.seq - 1, "whole": True, "hosts": old}).encode() + b"\n"
         for request in self._server._watches:
-            self._server.raw(request, line)
+            self._server.send_chunk(request, line)
 
     def garble(self) -> None:
         self._server.garble()
@@ -148,8 +148,8 @@
 
 
 class TestDiscovery(DirectoryContract):
-    def directory(self, address: Address, news: News) -> Directory:
-        return DirectoryWatch(address, 0, news.told, news.failed, POSIX, max_line_bytes=1 << 20)
+    def directory(self, address: Address, news: ListLog) -> Directory:
+        return DirectoryWatch(address, 0, news.on_list, news.on_end, POSIX, max_line_bytes=1 << 20)
 
     async def peer(self) -> DiscoveryPeer:
         server = world.Directory()
@@ -158,8 +158,8 @@
         return DiscoveryPeer(server)
 
 
-class TestNotices(EndsContract):
-    def ends(self, address: Address, confirmed: Confirmed) -> Notifier:
+class TestHttpNotifier(NotifierContract):
+    def notifier(self, address: Address, confirmed: Confirmed) -> Notifier:
         return HttpNotifier(address, confirmed, POSIX)
 
     async def peer(self) -> HttpPeer:
--- a/tests/test_corrupt_responses.py
+++ b/tests/test_corrupt_responses.py
@@ -10,16 +10,16 @@
 from mallowlug.net import http
 from mossfront.interface import Verdict
 from tests.calls import Calls, serving
-from tests.world import BOUND_S, Reply, Request, delivered
+from tests.world import WAIT_LIMIT_S, Reply, Request, delivered
 
 OK = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nfine"
 FULL = b"HTTP/1.1 503 X\r\nX-Retry-In-Ms: 100\r\nContent-Length: 4\r\n\r\nfull"
-ENDS = b"m1 delivered\r\nm2 refused\r\n"
-BATCH = b"HTTP/1.1 200 OK\r\nContent-Length: 26\r\n\r\n" + ENDS
+BATCH_BODY = b"m1 delivered\r\nm2 refused\r\n"
+BATCH = b"HTTP/1.1 200 OK\r\nContent-Length: 26\r\n\r\n" + BATCH_BODY
 NOISE = bytes(range(128, 256)) + b"\r\n\r\n"
 
 
-def written(data: bytes, whole: bool, endless: bytes = b"") -> Reply:
+def write_response(data: bytes, whole: bool, endless: bytes = b"") -> Reply:
     """Write an answer in one piece or byte by byte, then more and more of it; the connection stays open."""
 
     async def pieces(writer: asyncio.StreamWriter) -> AsyncIterator[bytes]:
@@ -44,7 +44,7 @@
 
 
 TASKS: list[asyncio.Task[None]] = []
-SPOILT = {
+CORRUPT = {
     "noise": NOISE,
     "no status": b"HTTP/1.1 2x0 OK\r\nContent-Length: 0\r\n\r\n",
     "turned round": b"HTTP/1.1 OK 200\r\nContent-Length: 0\r\n\r\n",
@@ -61,12 +61,12 @@
 
 
 @pytest.mark.parametrize("whole", [True, False], ids=["one piece", "byte by byte"])
-@pytest.mark.parametrize("name", SPOILT)
+@pytest.mark.parametrize("name", CORRUPT)
 async def test_a_spoilt_answer_may_have_run(name: str, whole: bool) -> None:
     """Whatever its head says: the request has run, and taken for "never ran" it would run twice."""
     host = await serving()
     calls = Calls(host.port)
-    host.script.append(written(SPOILT[name], whole or len(SPOILT[name]) > 1000))
+    host.script.append(write_response(CORRUPT[name], whole or len(CORRUPT[name]) > 1000))
     calls.send("m1")
     assert (await calls.outcome("m1")).verdict is Verdict.ERROR
     assert calls.hosts.exchanges == {}
@@ -92,7 +92,7 @@
 async def test_a_first_line_that_says_200_is_true_for_one_message(rest: bytes, whole: bool) -> None:
     host = await serving()
     calls = Calls(host.port)
-    host.script.append(written(b"HTTP/1.1 200 OK\r\n" + rest, whole or len(rest) > 1000))
+    host.script.append(write_response(b"HTTP/1.1 200 OK\r\n" + rest, whole or len(rest) > 1000))
     calls.send("m1")
     told = await calls.outcome("m1")
     assert (told.verdict, told.complete) == (Verdict.OK, True)
@@ -109,7 +109,7 @@
 async def test_an_answer_that_keeps_coming_frees_slot_and_connection(head: bytes, endless: bytes) -> None:
     host = await serving()
     calls = Calls(host.port)
-    host.script.append(written(head, True, endless))
+    host.script.append(write_response(head, True, endless))
     calls.send("m1")
     assert (await calls.outcome("m1")).verdict is (Verdict.OK if b"200" in head else Verdict.ERROR)
     while calls.hosts.exchanges or host.writers:
@@ -136,7 +136,7 @@
     """Not even its first line, nor the lines that look whole: another's may have been cut out before."""
     host = await serving()
     calls = Calls(host.port)
-    host.script.append(written(data, whole))
+    host.script.append(write_response(data, whole))
     calls.send("m1", "m2")
     for ref in ("m1", "m2"):
         told = await calls.outcome(ref)
@@ -156,10 +156,10 @@
 async def test_more_than_belongs_to_it_spoils_no_good_answer(
     good: bytes, behind: bytes, ahead: bytes, whole: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(http, "RESPONSE_TIMEOUT_S", BOUND_S)  # however slow the machine writes it
+    monkeypatch.setattr(http, "RESPONSE_TIMEOUT_S", WAIT_LIMIT_S)  # however slow the machine writes it
     host = await serving()
     calls = Calls(host.port)
-    host.script.append(written(ahead + good + behind, whole))
+    host.script.append(write_response(ahead + good + behind, whole))
     calls.send("m1")
     told = await calls.outcome("m1")
     assert told.verdict is (Verdict.OK if good == OK else Verdict.FULL)
@@ -171,7 +171,7 @@
 async def test_what_came_behind_is_never_the_next_answer(behind: bytes) -> None:
     host = await serving(lambda request: request.answer(500))
     calls = Calls(host.port)
-    host.script.append(written(OK + behind, True))
+    host.script.append(write_response(OK + behind, True))
     calls.send("m1")
     await calls.outcome("m1")
     while calls.hosts.exchanges:
@@ -199,7 +199,7 @@
     """Taken for a time-out it would be laid to the connection, and idle ones would be closed ever sooner."""
     host = await serving()
     calls = Calls(host.port)
-    host.script.append(written(b"HTTP/1.1 503 X\r\nX-Pad: ", True))
+    host.script.append(write_response(b"HTTP/1.1 503 X\r\nX-Pad: ", True))
     call = calls.send("m1", "m2")
     while call.connection is None or not call.connection.response_started:
         await asyncio.sleep(0.01)
@@ -212,7 +212,7 @@
 async def test_1xx_answers_without_end_are_no_answer() -> None:
     host = await serving()
     calls = Calls(host.port)
-    host.script.append(written(100 * b"HTTP/1.1 100 Continue\r\n\r\n", True))
+    host.script.append(write_response(100 * b"HTTP/1.1 100 Continue\r\n\r\n", True))
     calls.send("m1")
     assert (await calls.outcome("m1")).verdict is Verdict.ERROR
     host.stop()
--- a/tests/test_deadlines.py
+++ b/tests/test_deadlines.py
@@ -58,7 +58,7 @@
     host.stop()
 
 
-class Slow:
+class SlowClock:
     """A monotonic clock that goes on at every look, as on a core where all that is done takes long."""
 
     def __init__(self, lag_us: int) -> None:
@@ -69,13 +69,13 @@
         return self.now_us / 1e6
 
 
-class Core:
+class CoreUnderTest:
     """A driver between ports that only listen."""
 
     def __init__(self, folder: Path, lag_us: int = 0) -> None:
         self.calls: list[Call] = []
         self.notices: list[Notice] = []
-        self.slow = Slow(lag_us)
+        self.slow = SlowClock(lag_us)
         self.settled: Callable[[Call, Part, PartOutcome], None]
         self.confirmed: Callable[[str], None]
         partners = Mock(batch_size=lambda _host: 1, zone_of=lambda _host: "a", send=self.calls.append)
@@ -122,7 +122,7 @@
         self.journal.close()
 
 
-def handed(left_us: int) -> Submission:
+def submission(left_us: int) -> Submission:
     return Submission("m1", 1, UNSAFE.name, NOW_US + left_us)
 
 
@@ -131,12 +131,12 @@
     tmp_path: Path, restarted: bool
 ) -> None:
     """An answer came 6 ms behind the message's time, within a call that had 13 ms too many: lost."""
-    core = Core(tmp_path, LAG_US)
+    core = CoreUnderTest(tmp_path, LAG_US)
     core.start()
-    core.driver.submit(handed(2 * SECOND), b"x")
+    core.driver.submit(submission(2 * SECOND), b"x")
     if restarted:  # before its step
         core.close()
-        core = Core(tmp_path, LAG_US)
+        core = CoreUnderTest(tmp_path, LAG_US)
         core.start()
     call = await core.called()
     assert core.steps[-1] + call.parts[0].timeout_us == NOW_US + 2 * SECOND
@@ -151,22 +151,22 @@
     tmp_path: Path, left_us: int, told: bool
 ) -> None:
     """Whether it was written in time nobody here can know; a notice for what is over does no harm."""
-    core = Core(tmp_path)
+    core = CoreUnderTest(tmp_path)
     core.start()
-    core.driver.submit(handed(2 * SECOND), b"x")
+    core.driver.submit(submission(2 * SECOND), b"x")
     call = await core.called()
     core.slow.now_us = NOW_US + 2 * SECOND - left_us
     core.settled(call, call.parts[0], PartOutcome(api.Verdict.OK, complete=True))
     assert core.notices == [Notice("m1", "dead")] * told
     core.close()
-    again = Core(tmp_path)
+    again = CoreUnderTest(tmp_path)
     assert set(again.journal.recovered) == ({"m1"} if told else set())
     again.start()
     assert again.notices == [Notice("m1", "dead")] * told  # until it is confirmed
     if told:
         again.confirmed("m1")
     again.close()
-    last = Core(tmp_path)
+    last = CoreUnderTest(tmp_path)
     assert last.journal.recovered == {}
     last.close()
 
@@ -177,13 +177,13 @@
     """The more a restart found, the later it took each message's time to be up."""
     world.disk_mb = 30.0
     world.settings = settings_json(open_cap=10_000)
-    world.name(2)  # nobody serves it: what is held for it stays held
+    world.list_unserved_destination(2)  # nobody serves it: what is held for it stays held
     host = await world.add("h1", silent)
     client = await world.run()
-    await client.insist("m0", dest=2)
+    await client.submit_until_accepted("m0", dest=2)
     loop, most_s = asyncio.get_running_loop(), 4.0
     end_s = loop.time() + most_s
-    assert await client.hand_in("m1", d=int(most_s * 1000)) == b"+OK"
+    assert await client.submit("m1", d=int(most_s * 1000)) == b"+OK"
     await host.until(lambda: any("m1" in request.ids for request in host.seen))
     await world.kill()
     journal = Journal(world.state, 30_000_000, POSIX.disk)
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -61,13 +61,13 @@
     world.sockets = 64
     world.settings["domain"]["calls_out"] = 100
     host = await world.add("h1", silent)
-    world.known = list(world.directory.hosts.values())  # one that is known may have many calls at once
+    world.known_hosts = list(world.directory.hosts.values())  # one that is known may have many calls at once
     client = await world.run()
     assert world.process is not None
     resource.prlimit(world.process.pid, resource.RLIMIT_NOFILE, (64, 64))
-    await client.insist("m0")
+    await client.submit_until_accepted("m0")
     for number in range(40):
-        assert await client.hand_in(f"n{number}") == b"+OK"
+        assert await client.submit(f"n{number}") == b"+OK"
     calls = shares_of(64, 1, False).calls
     await host.until(lambda: len(host.seen) >= calls - 3)  # a quarter of the slots is for others
     assert await (await world.client()).command(b"PING") == b"+PONG"
@@ -83,8 +83,8 @@
     host = await world.add("h1")
     hangs = await world.add("h2", silent, block=2)
     first = await world.run()
-    await first.insist("m0")
-    await first.insist("m1", dest=2)
+    await first.submit_until_accepted("m0")
+    await first.submit_until_accepted("m1", dest=2)
     await hangs.call(0)
     assert world.process is not None
     world.directory.lose()
@@ -97,8 +97,8 @@
     world.directory.change("h3", dial=f"127.0.0.1:{host.port}", block=3, **{"class": "lots"})
     await world.directory.until(lambda: len(world.directory.seen) > asked)
     newest = await world.client()
-    assert await newest.hand_in("m2", d=400, dest=2) == b"+OK"
-    await newest.insist("m3", dest=3)
+    assert await newest.submit("m2", d=400, dest=2) == b"+OK"
+    await newest.submit_until_accepted("m3", dest=3)
     await host.until(lambda: any("m3" in request.ids for request in host.seen))
     await world.directory.notice("m2")
     assert len(os.listdir(f"/proc/{world.process.pid}/fd")) <= 64
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -46,7 +46,7 @@
     return log
 
 
-def steady(gap_us: int, cls: api.MessageClass = SAFE, dests: tuple[int, ...] = (1,)) -> Feed:
+def steady_load(gap_us: int, cls: api.MessageClass = SAFE, dests: tuple[int, ...] = (1,)) -> Feed:
     """A message for each destination every so often."""
     return lambda now_us: [
         arrival(f"{cls.name}{dest}-{now_us}", cls, dest) for dest in dests if now_us % gap_us == 0
@@ -65,7 +65,7 @@
             return OK, 100_000
         return api.Verdict.FULL, 40_000
 
-    log = drive(checker, 20 * SECOND, steady(60_000, KEYED), three_a_second)
+    log = drive(checker, 20 * SECOND, steady_load(60_000, KEYED), three_a_second)
     calls = sum(at_us > 10 * SECOND for at_us, _ in log)
     taken = sum(at_us > 10 * SECOND for at_us in served)
     assert calls <= 1.5 * taken, "few calls for each one that is served"
@@ -80,7 +80,7 @@
     def answer(_now_us: int, send: api.Send, _attempt: int) -> tuple[api.Verdict, int]:
         return OK, 900_000 if send.host == "slow" else 60_000
 
-    log = drive(checker, 12 * SECOND, steady(40_000, dests=(1, 2)), answer)
+    log = drive(checker, 12 * SECOND, steady_load(40_000, dests=(1, 2)), answer)
     quick = sum(send.host == "quick" and at_us > 4 * SECOND for at_us, send in log)
     assert quick >= 0.8 * 8 * 25, "nearly all of the quick destination's messages go out"
 
@@ -89,7 +89,7 @@
     """A connection that fails holds its slot for as long as connecting may take (incident ib87010)."""
     checker = Checker(settings(max_held_messages=500))
     checker.step(0, [roster(*(entry(f"h{n}", kind="split") for n in range(4)))])
-    log = drive(checker, 12 * SECOND, steady(50_000), lambda *_: (api.Verdict.CONNECT_FAILED, SECOND))
+    log = drive(checker, 12 * SECOND, steady_load(50_000), lambda *_: (api.Verdict.CONNECT_FAILED, SECOND))
     sent = sorted({at_us for at_us, _ in log if at_us > 6 * SECOND})  # messages of one call share a time
     assert sent, "trials go on"
     assert all(later - at_us >= SECOND for at_us, later in itertools.pairwise(sent))
@@ -104,7 +104,7 @@
         pause = 5 * SECOND <= now_us % (6 * SECOND) < 5_400_000
         return OK, 400_000 if pause else 80_000
 
-    log = drive(checker, 20 * SECOND, steady(100_000), answer)
+    log = drive(checker, 20 * SECOND, steady_load(100_000), answer)
     assert len(log) == len(checker.cases), "no repeats"
     assert len([1 for at_us, _ in log if at_us > 18 * SECOND]) >= 17
     assert not [a for a in checker.trace if isinstance(a, api.Log | api.Fail | api.Refuse)]
@@ -118,7 +118,7 @@
         hung = send.host == "h1" and now_us > 4 * SECOND
         return OK, 60 * SECOND if hung else 80_000
 
-    log = drive(checker, 4_800_000, steady(50_000, UNSAFE, (1, 2)), answer)
+    log = drive(checker, 4_800_000, steady_load(50_000, UNSAFE, (1, 2)), answer)
     after = [at_us for at_us, send in log if send.host == "h1" and at_us > 4_600_000]
     assert not after, "unsafe calls run long, but no more of them go there"
 
@@ -135,7 +135,7 @@
         out.append(now_us + 300_000)
         return OK, 300_000
 
-    log = drive(checker, 20 * SECOND, steady(160_000), two_at_once)
+    log = drive(checker, 20 * SECOND, steady_load(160_000), two_at_once)
     assert len({send.id for at_us, send in log if at_us > 10 * SECOND}) >= 55, "the rate goes on"
     assert checker.relay.endpoints["h1"].own.slow.cold_since_us < 0
 
@@ -169,7 +169,7 @@
         resets.extend([now_us] if stale else [])
         return verdict, took_us
 
-    log = drive(checker, 40 * SECOND, steady(800_000, UNSAFE), answer)
+    log = drive(checker, 40 * SECOND, steady_load(800_000, UNSAFE), answer)
     assert 1 <= len(resets) <= 12
     assert len([at_us for at_us in resets if at_us > 20 * SECOND]) <= 4, "most are spared once it is learned"
     assert len(log) >= 45
@@ -181,7 +181,7 @@
     """One in flight is no limit on rate: refusals back in 20 ms would allow fifty calls a second."""
     checker = Checker(settings(max_held_messages=500))
     checker.step(0, [roster(entry("h1"))])
-    log = drive(checker, 20 * SECOND, steady(100_000, KEYED), lambda *_: (api.Verdict.FULL, 20_000))
+    log = drive(checker, 20 * SECOND, steady_load(100_000, KEYED), lambda *_: (api.Verdict.FULL, 20_000))
     assert 2 <= len([1 for at_us, _ in log if at_us > 10 * SECOND]) <= 10
 
 
@@ -193,13 +193,13 @@
         down = 2 * SECOND < now_us < 8 * SECOND
         return (api.Verdict.CONNECT_FAILED, 50_000) if down else (OK, 50_000)
 
-    log = drive(checker, 24 * SECOND, steady(500_000, UNSAFE, (1, 2, 3)), answer)
+    log = drive(checker, 24 * SECOND, steady_load(500_000, UNSAFE, (1, 2, 3)), answer)
     during = [at_us for at_us, _ in log if 4 * SECOND < at_us < 8 * SECOND]
     assert 3 <= len(during) <= 30, "each gets a trial now and then"
     assert not [a for a in checker.trace if isinstance(a, api.Fail | api.Refuse)], "nothing is given up"
 
 
-def leaking(share: float, from_us: int, until_us: int) -> Answer:
+def failing_share(share: float, from_us: int, until_us: int) -> Answer:
     """Meanwhile so many of all calls, drawn by a fixed seed, are answered with an error at once."""
     rng = random.Random(7)
 
@@ -214,7 +214,7 @@
     """Four of five calls fail at once (second deployment, day rough-1): each further try may be served."""
     checker = Checker(settings(max_held_messages=500, max_attempts=8))
     checker.step(0, [roster(entry("h1"), entry("h2"))])
-    drive(checker, 30 * SECOND, steady(100_000), leaking(0.8, 10 * SECOND, 30 * SECOND))
+    drive(checker, 30 * SECOND, steady_load(100_000), failing_share(0.8, 10 * SECOND, 30 * SECOND))
     asked = [case for case in checker.cases.values() if 16 * SECOND < case.deadline_us < 30 * SECOND]
     assert sum(case.over and not case.answers for case in asked) >= 0.35 * len(asked), "many are delivered"
 
@@ -225,7 +225,7 @@
     end_us, window_us, capacity = 18 * SECOND, SETTINGS.fall_us, 12.0
     checker = Checker(settings(max_held_messages=500, max_attempts=8, group_size=1))
     checker.step(0, [roster(entry("h1"))])
-    log = drive(checker, 26 * SECOND, steady(100_000, KEYED), leaking(0.9, 6 * SECOND, end_us))
+    log = drive(checker, 26 * SECOND, steady_load(100_000, KEYED), failing_share(0.9, 6 * SECOND, end_us))
     back = [at_us for at_us, _ in log if at_us >= end_us]
     assert len(back) > 10, "it is served again"
     for start_us in back:
@@ -247,7 +247,7 @@
                 return api.Verdict.RESET, 10_000
             return (OK if now_us < 12 * SECOND or next(served) % every else api.Verdict.ERROR), 60_000
 
-        log = drive(checker, 20 * SECOND, steady(100_000, KEYED), answer)
+        log = drive(checker, 20 * SECOND, steady_load(100_000, KEYED), answer)
         back = [at_us for at_us, _ in log if at_us >= 12 * SECOND]
         return sum(at_us < back[0] + 4 * SECOND for at_us in back)
 
--- a/tests/test_figures.py
+++ b/tests/test_figures.py
@@ -8,7 +8,7 @@
 from prometheus_client.parser import text_string_to_metric_families
 
 from mallowlug.core.metrics import Gauges, Metrics
-from tests.world import Reply, Request, World, called, delivered, enqueue, packed, silent, soon
+from tests.world import Reply, Request, World, delivered, encode_command, enqueue, http_request, silent, soon
 
 Samples = dict[tuple[str, str, str], float]
 KINDS = ("state", "reason", "phase")  # labels, of which a sample has one at most
@@ -51,7 +51,7 @@
 
 async def scraped(port: int) -> Samples:
     """The relay's figures now."""
-    status, text = await called(port, "GET", "/metrics")
+    status, text = await http_request(port, "GET", "/metrics")
     assert status == 200
     return parsed(text)
 
@@ -84,22 +84,22 @@
     world.settings["allowed"]["open_cap"] = 12
     first = await world.add("h1")
     bank = await world.add("b1", silent, kind="banks", block=2)
-    world.known = list(world.directory.hosts.values())
-    world.name(3)
+    world.known_hosts = list(world.directory.hosts.values())
+    world.list_unserved_destination(3)
     port = world.open_console()
     client = await world.run()
     first.script.extend(map(failing, (503, 500)))
     for number in range(3):  # the first of them is repeated twice
-        assert await client.hand_in(f"s{number}") == b"+OK"
+        assert await client.submit(f"s{number}") == b"+OK"
         await first.call(2 + number)
     first.script.append(failing(500))
-    assert await client.hand_in("u1", "unsafe") == b"+OK"  # may have run: failed
+    assert await client.submit("u1", "unsafe") == b"+OK"  # may have run: failed
     assert (await world.directory.notice("u1"))["result"] == "dead"
-    assert await client.hand_in("w1", dest=3, d=60) in (b"+OK", b"-BUSY 2000")
+    assert await client.submit("w1", dest=3, d=60) in (b"+OK", b"-BUSY 2000")
     assert await client.command(b"ENQUEUE", b"0", b"k1", b"c=keyed,d=900,dest=1", b"") == b"-ERR k is missing"
     gone = await world.client()
     gone.writer.close()
-    assert await client.hand_in("x1", "nobody") == b"-ERR unknown class"
+    assert await client.submit("x1", "nobody") == b"-ERR unknown class"
 
     def partly(request: Request) -> None:
         bank.default = delivered
@@ -107,7 +107,7 @@
         request.answer(200, "".join(f"{ref} {end}\r\n" for ref, end in zip(request.ids, ends, strict=True)))
 
     bank.default = partly
-    client.writer.write(b"".join(packed(*enqueue(f"b{n}", "keyed", dest=2)) for n in range(4)))
+    client.writer.write(b"".join(encode_command(*enqueue(f"b{n}", "keyed", dest=2)) for n in range(4)))
     for _ in range(4):
         assert (await soon(client.reader.readline())) == b"+OK\r\n"
     await bank.until(lambda: sum(len(request.ids) for request in bank.seen) == 7)
@@ -141,11 +141,11 @@
 
 
 async def test_messages_of_a_former_life_are_counted_where_they_end(world: World) -> None:
-    world.name(1)
+    world.list_unserved_destination(1)
     port = world.open_console()
     client = await world.run()
     for number in range(3):
-        assert await client.hand_in(f"m{number}") == b"+OK"
+        assert await client.submit(f"m{number}") == b"+OK"
     assert (await scraped(port))["relay_current", "", ""] == 3
     await world.kill()
     host = await world.add("h1")
--- a/tests/test_found.py
+++ b/tests/test_found.py
@@ -87,17 +87,17 @@
 
     host = await world.add("h1", silent)
     if listed == "known":
-        world.known = list(world.directory.hosts.values())
+        world.known_hosts = list(world.directory.hosts.values())
     client = await world.run()
-    await client.insist("hangs", "unsafe")
+    await client.submit_until_accepted("hangs", "unsafe")
     await host.call(0)
     for ref in ("f1", "f2", "f3"):
-        assert await client.hand_in(ref, "unsafe") == b"+OK"
+        assert await client.submit(ref, "unsafe") == b"+OK"
     await world.kill()
     host.default = noted
     again = await world.run()
     for ref in ("n1", "n2"):
-        assert await again.hand_in(ref, "safe") == b"+OK"
+        assert await again.submit(ref, "safe") == b"+OK"
     await host.until(lambda: len(order) >= 5)
     assert sorted(order[:3]) == ["f1", "f2", "f3"]
     assert (await world.directory.notice("hangs"))["result"] == "dead"  # it may have run
--- a/tests/test_group.py
+++ b/tests/test_group.py
@@ -12,7 +12,7 @@
 from tests.checker import Checker
 from tests.fleet import Fleet, Host, Tallies
 from tests.support import KEYED, SAFE, SECOND, arrival, ended, entry, roster, sends, settings
-from tests.test_failures import Feed, drive, steady
+from tests.test_failures import Feed, drive, steady_load
 
 DOWN = api.Verdict.CONNECT_FAILED
 
@@ -65,7 +65,7 @@
         failing = send.host == "h1" and checker.cases[send.id].cls is KEYED
         return (api.Verdict.ERROR if failing else api.Verdict.OK), 80_000
 
-    both = (steady(100_000, KEYED), steady(100_000, SAFE))
+    both = (steady_load(100_000, KEYED), steady_load(100_000, SAFE))
     log = drive(checker, 12 * SECOND, lambda now_us: both[0](now_us) + both[1](now_us), answer)
     late = [send for at_us, send in log if at_us > 4 * SECOND]
     keyed = [send.host for send in late if checker.cases[send.id].cls is KEYED]
@@ -76,7 +76,7 @@
 def test_a_busy_relay_in_a_large_group_is_not_held_to_an_equal_part() -> None:
     checker = Checker(settings(group_size=300, rate_hints_given=True, max_held_messages=500))
     checker.step(0, [roster(entry("h1", rate=20.0))])
-    log = drive(checker, 10 * SECOND, steady(200_000), lambda *_: (api.Verdict.OK, 80_000))
+    log = drive(checker, 10 * SECOND, steady_load(200_000), lambda *_: (api.Verdict.OK, 80_000))
     assert len(log) >= 45, "five a second, where an equal part were one in fifteen seconds"
 
 
@@ -176,6 +176,6 @@
     def answer(_now_us: int, send: api.Send, _attempt: int) -> tuple[api.Verdict, int]:
         return (api.Verdict.OK if send.host == "h0" else DOWN), 40_000
 
-    log = drive(checker, 8 * SECOND, steady(200_000, dests=tuple(range(8))), answer)
+    log = drive(checker, 8 * SECOND, steady_load(200_000, dests=tuple(range(8))), answer)
     assert sum(send.host != "h0" for _, send in log) >= 12, "trials go on"
     assert checker.closed.count("h0") <= 4, "only until it shows that the others are down"
--- a/tests/test_hosts.py
+++ b/tests/test_hosts.py
@@ -170,7 +170,7 @@
     right.close()
 
 
-def answer_of(status: int, *headers: tuple[str, str]) -> ResponseHead:
+def response_head(status: int, *headers: tuple[str, str]) -> ResponseHead:
     """An answer's head, read from its bytes."""
     lines = "".join(f"{name}: {value}\r\n" for name, value in headers)
     answers = ResponseParser()
@@ -195,7 +195,7 @@
     ],
 )
 def test_what_each_status_proves(status: int, headers: list[tuple[str, str]], verdict: Verdict) -> None:
-    assert verdict_of(answer_of(status, *headers)) is verdict
+    assert verdict_of(response_head(status, *headers)) is verdict
 
 
 @pytest.mark.parametrize(
@@ -211,10 +211,10 @@
     ],
 )
 def test_waits_and_reports(wait: str, pressure: str, wait_us: int, report: dict[str, float]) -> None:
-    answer = answer_of(200, ("X-Retry-In-Ms", wait), ("X-Pressure", pressure))
+    answer = response_head(200, ("X-Retry-In-Ms", wait), ("X-Pressure", pressure))
     assert (parse_retry_after_us(answer), parse_load_report(answer)) == (wait_us, report)
 
 
 def test_of_many_waits_the_longest_counts() -> None:
     waits = [("X-Retry-In-Ms", str(number)) for number in (10, 300, "x", 20)]
-    assert parse_retry_after_us(answer_of(429, *waits)) == 300_000
+    assert parse_retry_after_us(response_head(429, *waits)) == 300_000
--- a/tests/test_malformed_requests.py
+++ b/tests/test_malformed_requests.py
@@ -9,7 +9,7 @@
 import pytest
 
 from mallowlug.fronts.resp2 import RequestParser
-from tests.world import World, enqueue, packed, silent, soon
+from tests.world import World, encode_command, enqueue, silent, soon
 
 
 async def test_a_connection_that_says_nothing_is_closed(world: World) -> None:
@@ -20,8 +20,8 @@
     assert await usual.command(b"PING") == b"+PONG"
 
 
-@pytest.mark.parametrize("before", [b"", packed(b"PING")])
-@pytest.mark.parametrize("half", [b"*", b"*5\r\n$7\r\nENQ", packed(*enqueue("m1"))[:-1]])
+@pytest.mark.parametrize("before", [b"", encode_command(b"PING")])
+@pytest.mark.parametrize("half", [b"*", b"*5\r\n$7\r\nENQ", encode_command(*enqueue("m1"))[:-1]])
 async def test_a_request_that_does_not_end_is_turned_away(world: World, before: bytes, half: bytes) -> None:
     usual = await world.run()
     client = await world.client()
@@ -48,7 +48,7 @@
 async def test_hundreds_of_bad_commands_hold_nobody_up_and_end_the_connection(world: World) -> None:
     usual = await world.run()
     client = await world.client()
-    client.writer.write(500 * packed(b"NONSENSE"))
+    client.writer.write(500 * encode_command(b"NONSENSE"))
     assert await usual.command(b"PING") == b"+PONG"
     answers = [line async for line in lines(client.reader)]
     assert 0 < len(answers) < 20
@@ -65,7 +65,7 @@
     """They are served in turns, and a client that closes its side behind them still gets every answer."""
     await world.run()
     client = await world.client()
-    client.writer.write(300 * packed(b"PING"))
+    client.writer.write(300 * encode_command(b"PING"))
     client.writer.write_eof()
     assert await soon(client.reader.read()) == 300 * b"+PONG\r\n"
 
@@ -74,21 +74,21 @@
     """Taken on, it would be held in vain, and every number ever named would be kept."""
     host = await world.add("h1")
     client = await world.run()
-    await client.insist("m1")
+    await client.submit_until_accepted("m1")
     await host.call(0)
-    assert await client.hand_in("m2", dest=4711) == b"-BUSY 2000"
-    assert await client.hand_in("m3") == b"+OK"
+    assert await client.submit("m2", dest=4711) == b"-BUSY 2000"
+    assert await client.submit("m3") == b"+OK"
 
 
 async def test_a_body_with_a_wrong_length_is_not_taken_on(world: World) -> None:
     """A shorter one would be sent on cut: the relay answers for what it took."""
     host = await world.add("h1")
     usual = await world.run()
-    for wrong in (b"$3\r\nhello\r\n", b"$8\r\nhello\r\n" + packed(b"PING")):
+    for wrong in (b"$3\r\nhello\r\n", b"$8\r\nhello\r\n" + encode_command(b"PING")):
         client = await world.client()
-        client.writer.write(packed(*enqueue("m1")).replace(b"$5\r\nhello\r\n", wrong))
+        client.writer.write(encode_command(*enqueue("m1")).replace(b"$5\r\nhello\r\n", wrong))
         assert (await soon(client.reader.readline())).startswith(b"-ERR")
-    await usual.insist("m2")
+    await usual.submit_until_accepted("m2")
     assert (await host.call(0)).ids == ["m2"]
     assert len(host.seen) == 1
 
@@ -96,10 +96,10 @@
 async def test_the_id_of_an_open_request_is_no_second_message(world: World) -> None:
     host = await world.add("h1", silent)
     client = await world.run()
-    await client.insist("m1")
+    await client.submit_until_accepted("m1")
     await host.call(0)
-    assert await (await world.client()).hand_in("m1", d=5) == b"+OK"
-    await client.hand_in("m2", d=60)
+    assert await (await world.client()).submit("m1", d=5) == b"+OK"
+    await client.submit("m2", d=60)
     await world.directory.notice("m2")
     assert [notice["ref"] for notice in world.directory.notices] == ["m2"]
 
@@ -135,7 +135,7 @@
 @pytest.mark.parametrize("size", [1, 2, 3, 7, 1000])
 def test_requests_are_cut_alike_in_any_pieces(size: int) -> None:
     wanted = [list(enqueue("m1", body=b"\r\n*1\r\n$")), [b""], list(enqueue("m2", body=bytes(3000)))]
-    data = b"".join(packed(*request) for request in wanted)
+    data = b"".join(encode_command(*request) for request in wanted)
     requests, found = RequestParser(), []
     for at in range(0, len(data), size):
         requests.feed(data[at : at + size])
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -159,12 +159,12 @@
 async def test_a_second_front_serves_on_the_same_core(world: World) -> None:
     address, port = await second_front(world, 4)
     host = await world.add("h1")
-    world.words = ("run", "--operator", str(world.folder / "operator.toml"))
+    world.arguments = ("run", "--operator", str(world.folder / "operator.toml"))
     first = await world.run()
     second = Client(*await soon(asyncio.open_connection(address, port)))
-    assert await second.hand_in("m1") == b"+OK"
-    assert await first.hand_in("m1") == b"+OK"  # known already: one message, whichever front it came by
-    assert await first.hand_in("m2") == b"+OK"
+    assert await second.submit("m1") == b"+OK"
+    assert await first.submit("m1") == b"+OK"  # known already: one message, whichever front it came by
+    assert await first.submit("m2") == b"+OK"
     await host.call(1)
     assert sorted(ref for request in host.seen for ref in request.ids) == ["m1", "m2"]
     assert world.process is not None
--- a/tests/test_pushed_lists.py
+++ b/tests/test_pushed_lists.py
@@ -19,12 +19,12 @@
 LARGE = 200
 
 
-def asks(relay: DecisionEngine, now_us: int, *events: api.Event) -> bool:
+def subscribes(relay: DecisionEngine, now_us: int, *events: api.Event) -> bool:
     """Whether a step asks for the list."""
     return any(isinstance(action, api.Subscribe) for action in relay.step(now_us, events))
 
 
-def large(pushed: bool) -> DecisionEngine:
+def engine_in_large_group(pushed: bool) -> DecisionEngine:
     """One of 200 relays."""
     group = settings(group_size=LARGE, drain_grace_us=GRACE_US, ask_within_us=SECOND)
     return DecisionEngine(replace(group, must_subscribe=True, list_is_pushed=pushed), 3)
@@ -33,18 +33,20 @@
 def test_an_agent_is_asked_at_once_however_large_the_group() -> None:
     """From the first moment of a new process what the agent has counts as told."""
     cached = roster(entry("h1"), kind=api.EndpointUpdateKind.CACHED)
-    assert asks(large(True), 0, cached)
-    assert not asks(large(False), 0, cached)  # one directory for all: their asks are spread
+    assert subscribes(engine_in_large_group(True), 0, cached)
+    assert not subscribes(
+        engine_in_large_group(False), 0, cached
+    )  # one directory for all: their asks are spread
 
 
 def test_a_watch_that_ended_is_opened_anew_well_within_a_drains_grace_each_time() -> None:
-    relay, now_us = large(True), 0
-    asks(relay, 0, roster(entry("h1"), kind=api.EndpointUpdateKind.CACHED))
+    relay, now_us = engine_in_large_group(True), 0
+    subscribes(relay, 0, roster(entry("h1"), kind=api.EndpointUpdateKind.CACHED))
     for _ in range(6):  # also while discovery stays down: its return is told at once
-        asks(relay, now_us, api.EndpointUpdate(api.EndpointUpdateKind.FAILED))
+        subscribes(relay, now_us, api.EndpointUpdate(api.EndpointUpdateKind.FAILED))
         assert relay.ask_us - now_us <= GRACE_US // 2
         now_us = relay.ask_us
-        assert asks(relay, now_us, api.TimerDue())
+        assert subscribes(relay, now_us, api.TimerDue())
 
 
 async def test_an_ask_that_an_agent_leaves_unanswered_is_given_up_for_the_next(world: World) -> None:
@@ -68,13 +70,13 @@
     agent.stop()
     world.settings |= {"discovery": "push"}
     world.environment()
-    assert told_s(world, GRACE_US) == GRACE_US / 4e6
-    assert told_s(world, 0) == LEAST_ANSWER_S
+    assert configured_timeout_s(world, GRACE_US) == GRACE_US / 4e6
+    assert configured_timeout_s(world, 0) == LEAST_ANSWER_S
     world.settings |= {"discovery": "ask"}
-    assert told_s(world, GRACE_US) == FIRST_LINE_TIMEOUT_S
+    assert configured_timeout_s(world, GRACE_US) == FIRST_LINE_TIMEOUT_S
 
 
-def told_s(world: World, grace_us: int) -> float:
+def configured_timeout_s(world: World, grace_us: int) -> float:
     """How long the relay of such settings waits for an answer."""
     rules = world.settings["rules"] | {"drain_grace_us": grace_us}
     raw = {
@@ -86,11 +88,11 @@
     return answer_s(config_of(machine, raw))
 
 
-async def indented(world: World, *pieces: bytes) -> None:
+async def send_in_pieces(world: World, *pieces: bytes) -> None:
     """Tell the relay a list in pieces."""
     for request in world.directory._watches:
         for piece in pieces:
-            world.directory.raw(request, piece)
+            world.directory.send_chunk(request, piece)
             await soon(request.writer.drain())
 
 
@@ -111,8 +113,8 @@
 }}
 """
     await world.directory.until(lambda: world.directory._watches)
-    await indented(world, *(line.encode() + b"\n" for line in row.splitlines()))
-    await client.insist("m1")
+    await send_in_pieces(world, *(line.encode() + b"\n" for line in row.splitlines()))
+    await client.submit_until_accepted("m1")
     await host.call(0)
     assert world.directory.connections == 1
     host.stop()
@@ -123,7 +125,7 @@
     await world.run()
     await world.directory.until(lambda: world.directory._watches)
     watches = len(world.directory.seen)
-    await indented(world, b'{"seq": 9, "whole": false, "hosts": [\n', b"\n")
+    await send_in_pieces(world, b'{"seq": 9, "whole": false, "hosts": [\n', b"\n")
     await world.directory.until(lambda: len(world.directory.seen) > watches)
 
 
@@ -132,15 +134,15 @@
     await world.directory.until(lambda: world.directory._watches)
     watches = len(world.directory.seen)
     world.directory.heartbeat = False
-    trickle = asyncio.create_task(endless(world))
+    trickle = asyncio.create_task(send_endless_list(world))
     await world.directory.until(lambda: len(world.directory.seen) > watches)
     trickle.cancel()
 
 
-async def endless(world: World) -> None:
+async def send_endless_list(world: World) -> None:
     """A list whose bytes come one by one and have no end."""
     request: Request = world.directory._watches[0]
-    world.directory.raw(request, b'{"seq": 9, "hosts": [')
+    world.directory.send_chunk(request, b'{"seq": 9, "hosts": [')
     while not request.writer.transport.is_closing():
-        world.directory.raw(request, b" ")
+        world.directory.send_chunk(request, b" ")
         await asyncio.sleep(0.1)
--- a/tests/test_reasons.py
+++ b/tests/test_reasons.py
@@ -12,7 +12,7 @@
 from mossfront import interface as api
 from tests.support import KEYED, SAFE, SECOND, UNSAFE, arrival, ended, entry, roster, sends, settings
 from tests.test_figures import scraped
-from tests.world import World, packed, silent, soon
+from tests.world import World, encode_command, silent, soon
 
 
 def test_each_event_is_counted_by_reason_and_told_once(caplog: pytest.LogCaptureFixture) -> None:
@@ -76,13 +76,13 @@
 
 async def test_closes_of_clients_and_hosts_have_the_reasons_that_the_peers_gave(world: World) -> None:
     host = await world.add("h1", silent)
-    world.name(1)
+    world.list_unserved_destination(1)
     port = world.open_console()
     client = await world.run()
-    assert await client.hand_in("m1", d=3_000) == b"+OK"  # its call times out
+    assert await client.submit("m1", d=3_000) == b"+OK"  # its call times out
     await host.call(0)
     rude = await world.client()
-    rude.writer.write(packed(b"NOTHING") * 100)
+    rude.writer.write(encode_command(b"NOTHING") * 100)
     gone = await world.client()
     gone.writer.close()
 
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -9,7 +9,7 @@
 
 from mallowlug.directory import discovery
 from mallowlug.ends import notices
-from tests.world import Request, World, delivered, enqueue, packed, silent, soon
+from tests.world import Request, World, delivered, encode_command, enqueue, silent, soon
 
 
 async def test_a_message_goes_on_unchanged(world: World) -> None:
@@ -29,7 +29,7 @@
     host = await world.add("h1")
     client = await world.run()
     for number in range(5):
-        assert await client.hand_in(f"m{number}") == b"+OK"
+        assert await client.submit(f"m{number}") == b"+OK"
         await host.call(number)
     assert host.connections == 1
 
@@ -38,36 +38,36 @@
     """A client repeats a request on a new connection if the old one's end crossed it."""
     host = await world.add("h1")
     client = await world.run()
-    assert await client.hand_in("m1") == b"+OK"
+    assert await client.submit("m1") == b"+OK"
     await host.call(0)
-    assert await (await world.client()).hand_in("m1") == b"+OK"
-    assert await client.hand_in("m2") == b"+OK"
+    assert await (await world.client()).submit("m1") == b"+OK"
+    assert await client.submit("m2") == b"+OK"
     assert [(await host.call(at)).ids for at in (0, 1)] == [["m1"], ["m2"]]
 
 
 @pytest.mark.parametrize(
     "request_bytes",
     [
-        packed(b"HELLO"),
-        packed(b"ENQUEUE", b"0", b"m1"),
-        packed(b"ENQUEUE", b"0", b"m 1", b"c=safe,d=100,dest=1", b""),
-        packed(b"ENQUEUE", b"0", b"m1", b"c=nothing,d=100,dest=1", b""),
-        packed(b"ENQUEUE", b"0", b"m1", b"c=safe,d=-5,dest=1", b""),
-        packed(b"ENQUEUE", b"0", b"m1", b"c=safe,d=100", b""),
-        packed(b"ENQUEUE", b"0", b"m1", b"c=safe,d=100,dest=x\r\ny", b""),
-        packed(b"ENQUEUE", b"0", b"m1", b"nonsense", b""),
-        packed(b"ENQUEUE", b"0", b"", b"c=safe,d=100,dest=1", b""),
-        packed(b"ENQUEUE", b"0", b"m1", b"c=safe,d=soon,dest=1", b""),
-        packed(b"ENQUEUE", b"0", b"m1", b"c=keyed,d=100,dest=1", b""),
-        packed(b"ENQUEUE", b"0", b"m1", b"c=safe,d=100,dest=1", bytes(65537)),
-        packed(b""),
+        encode_command(b"HELLO"),
+        encode_command(b"ENQUEUE", b"0", b"m1"),
+        encode_command(b"ENQUEUE", b"0", b"m 1", b"c=safe,d=100,dest=1", b""),
+        encode_command(b"ENQUEUE", b"0", b"m1", b"c=nothing,d=100,dest=1", b""),
+        encode_command(b"ENQUEUE", b"0", b"m1", b"c=safe,d=-5,dest=1", b""),
+        encode_command(b"ENQUEUE", b"0", b"m1", b"c=safe,d=100", b""),
+        encode_command(b"ENQUEUE", b"0", b"m1", b"c=safe,d=100,dest=x\r\ny", b""),
+        encode_command(b"ENQUEUE", b"0", b"m1", b"nonsense", b""),
+        encode_command(b"ENQUEUE", b"0", b"", b"c=safe,d=100,dest=1", b""),
+        encode_command(b"ENQUEUE", b"0", b"m1", b"c=safe,d=soon,dest=1", b""),
+        encode_command(b"ENQUEUE", b"0", b"m1", b"c=keyed,d=100,dest=1", b""),
+        encode_command(b"ENQUEUE", b"0", b"m1", b"c=safe,d=100,dest=1", bytes(65537)),
+        encode_command(b""),
     ],
 )
 async def test_what_cannot_be_read_is_answered_and_the_connection_goes_on(
     world: World, request_bytes: bytes
 ) -> None:
     client = await world.run()
-    assert (await client.raw(request_bytes)).startswith(b"-ERR")
+    assert (await client.send_raw(request_bytes)).startswith(b"-ERR")
     assert await client.command(b"PING") == b"+PONG"
 
 
@@ -89,8 +89,8 @@
         b"*2\r\n$9\r\nshort\r\n$1\r\na\r\n",
         b"*2\r\n*1\r\n$1\r\na\r\n$1\r\nb\r\n",
         b"*2\r\n*1000000000\r\n",
-        packed(*(bytes(9000) for _ in range(9))),
-        packed(b"PING") + b"*1000000000\r\n",
+        encode_command(*(bytes(9000) for _ in range(9))),
+        encode_command(b"PING") + b"*1000000000\r\n",
     ],
 )
 @pytest.mark.parametrize("whole", [True, False], ids=["one piece", "byte by byte"])
@@ -121,7 +121,7 @@
 async def test_a_request_may_come_in_pieces(world: World) -> None:
     host = await world.add("h1")
     client = await world.run()
-    data = packed(*enqueue("m1")) + packed(b"PING")
+    data = encode_command(*enqueue("m1")) + encode_command(b"PING")
     for at in range(0, len(data), 7):
         client.writer.write(data[at : at + 7])
         await client.writer.drain()
@@ -134,9 +134,9 @@
     world.settings["allowed"]["open_cap"] = 1
     host = await world.add("h1", silent)
     client = await world.run()
-    assert await client.hand_in("m1") == b"+OK"
+    assert await client.submit("m1") == b"+OK"
     await host.call(0)
-    assert await client.hand_in("m2") == b"-BUSY 2000"
+    assert await client.submit("m2") == b"-BUSY 2000"
 
 
 async def test_a_full_disk_budget_refuses_and_goes_on(world: World) -> None:
@@ -165,7 +165,7 @@
     host.script.append(mixed)
     refs = [f"m{number}" for number in range(1, 6)]
     kinds = {"m4": "unsafe"}
-    client.writer.write(b"".join(packed(*enqueue(ref, kinds.get(ref, "safe"))) for ref in refs))
+    client.writer.write(b"".join(encode_command(*enqueue(ref, kinds.get(ref, "safe"))) for ref in refs))
     assert [await soon(client.reader.readline()) for _ in refs] == [b"+OK\r\n"] * 5
     call = await host.call(0)
     assert call.target == "/hook/batch"
@@ -186,7 +186,7 @@
     host = await world.add("h1", kind="banks")
     client = await world.run()
     host.script.append(cut)
-    client.writer.write(packed(*enqueue("m1", "unsafe")) + packed(*enqueue("m2", "safe")))
+    client.writer.write(encode_command(*enqueue("m1", "unsafe")) + encode_command(*enqueue("m2", "safe")))
     assert (await world.directory.notice("m1"))["result"] == "dead"
     assert (await host.call(1)).ids == ["m2"]
 
@@ -196,7 +196,7 @@
     host = await world.add("h1")
     client = await world.run()
     host.script.append(lambda request: request.answer(status))
-    assert await client.hand_in("m1", "unsafe") == b"+OK"
+    assert await client.submit("m1", "unsafe") == b"+OK"
     assert (await host.call(1)).ids == ["m1"]
 
 
@@ -204,10 +204,10 @@
     host = await world.add("h1")
     client = await world.run()
     host.script.append(lambda request: request.answer(410))
-    assert await client.hand_in("m1") == b"+OK"
-    await world.journaled(b'"over"')
-    client = await world.again()
-    assert await client.hand_in("m2") == b"+OK"
+    assert await client.submit("m1") == b"+OK"
+    await world.wait_for_journal(b'"over"')
+    client = await world.kill_and_restart()
+    assert await client.submit("m2") == b"+OK"
     await host.until(lambda: host.seen[-1].ids == ["m2"])
     assert [request.ids for request in host.seen] == [["m1"], ["m2"]]
     assert world.directory.notices == []
@@ -218,7 +218,7 @@
     host = await world.add("h1")
     client = await world.run()
     host.script.append(reply)  # type: ignore[arg-type]
-    assert await client.hand_in("m1", "unsafe") == b"+OK"
+    assert await client.submit("m1", "unsafe") == b"+OK"
     assert await world.directory.notice("m1") == {"ref": "m1", "result": "dead"}
     assert len(host.seen) == 1
 
@@ -227,10 +227,10 @@
     """Idle or not before: once the last byte is out, the host may have begun."""
     host = await world.add("h1")
     client = await world.run()
-    await client.hand_in("m1", "unsafe")
+    await client.submit("m1", "unsafe")
     await host.call(0)
     host.script.append(Request.reset)
-    await client.hand_in("m2", "unsafe")
+    await client.submit("m2", "unsafe")
     assert (await world.directory.notice("m2"))["result"] == "dead"
     assert [request.connection for request in host.seen] == [1, 1]
 
@@ -238,19 +238,19 @@
 async def test_a_connection_that_the_host_ended_is_not_written_to(world: World) -> None:
     host = await world.add("h1")
     client = await world.run()
-    await client.hand_in("m1", "unsafe")
+    await client.submit("m1", "unsafe")
     (await host.call(0)).writer.close()
     await host.until(lambda: True)
     while host.writers:
         await asyncio.sleep(0.01)
-    await client.hand_in("m2", "unsafe")
+    await client.submit("m2", "unsafe")
     assert (await host.call(1)).connection == 2
 
 
 async def test_a_refused_connection_never_ran(world: World) -> None:
     host = await world.add("h1", listens=False)
     client = await world.run()
-    assert await client.hand_in("m1", "unsafe") == b"+OK"
+    assert await client.submit("m1", "unsafe") == b"+OK"
     await asyncio.sleep(0.05)  # a first try may be refused; without one the test proves less, not wrongly
     await host.start()
     assert (await host.call(0)).ids == ["m1"]
@@ -260,8 +260,8 @@
     """A keyed message that may have run is failed, a safe one handed back with a time to come again."""
     await world.add("h1", silent)
     client = await world.run()
-    await client.hand_in("m1", "keyed", d=1500)
-    await client.hand_in("m2", "safe", d=1500)
+    await client.submit("m1", "keyed", d=1500)
+    await client.submit("m2", "safe", d=1500)
     assert await world.directory.notice("m1") == {"ref": "m1", "result": "dead"}
     told = await world.directory.notice("m2")
     assert (told["ref"], told["result"]) == ("m2", "bounced")
@@ -274,46 +274,46 @@
     client = await world.run()
     host.script.append(lambda request: request.answer(429, X_Retry_In_Ms="600"))
     host.script.append(lambda request: request.answer(200, X_Retry_In_Ms="600"))
-    await client.hand_in("m1")
+    await client.submit("m1")
     first, second = await host.call(0), await host.call(1)
     assert second.at_s - first.at_s >= 0.6
-    await client.hand_in("m2")
+    await client.submit("m2")
     assert (await host.call(2)).at_s - second.at_s >= 0.6
 
 
 async def test_nothing_new_goes_to_a_host_that_drains(world: World) -> None:
     draining, other = await world.add("h1"), await world.add("h2", site="b")
     client = await world.run()
-    await client.hand_in("m1")
+    await client.submit("m1")
     await draining.call(0)
     world.directory.change("h1", health="DRAINING")
     while draining.writers:  # the relay has heard of it once it closes its idle connection
         await asyncio.sleep(0.01)
-    await client.hand_in("m2")
+    await client.submit("m2")
     assert (await other.call(0)).ids == ["m2"]
     world.directory.change("h2", health="DELETED")
     while other.writers:
         await asyncio.sleep(0.01)
-    await client.hand_in("m3", d=300)
+    await client.submit("m3", d=300)
     assert (await world.directory.notice("m3"))["result"] == "bounced"
     assert (len(draining.seen), len(other.seen)) == (1, 1)
 
 
 @pytest.mark.parametrize("how", ["lose", "garble"])
 async def test_a_watch_that_breaks_is_asked_for_again(world: World, how: str) -> None:
-    world.name(2)
+    world.list_unserved_destination(2)
     host = await world.add("h1")
     client = await world.run()
-    await client.insist("m1")
+    await client.submit_until_accepted("m1")
     await host.call(0)
     getattr(world.directory, how)()
-    await client.hand_in("m2", dest=2, d=400)  # notices go through also while discovery is down
+    await client.submit("m2", dest=2, d=400)  # notices go through also while discovery is down
     assert (await world.directory.notice("m2"))["result"] == "bounced"
-    await client.hand_in("m3")
+    await client.submit("m3")
     await host.call(1)  # the list that was held still serves
     world.directory.down = False
     late = await world.add("h2", block=2)
-    await client.hand_in("m4", dest=2)
+    await client.submit("m4", dest=2)
     assert (await late.call(0)).ids == ["m4"]
     asked = [request.target for request in world.directory.seen if request.method == "GET"]
     assert asked[0].endswith("from=0")
@@ -324,7 +324,7 @@
     client = await world.run()
     await world.directory.call(0)
     world.directory.script += [Request.reset, lambda request: request.answer(503)]
-    await client.hand_in("m1", d=100)
+    await client.submit("m1", d=100)
     await world.directory.until(lambda: len(world.directory.seen) == 4)  # a watch and three posts
     assert (await world.directory.notice("m1"))["result"] == "bounced"
     posts = [request.body for request in world.directory.seen if request.method == "POST"]
@@ -338,7 +338,7 @@
     world.directory.change("bad3", dial="127.0.0.1:1", block="x")
     host = await world.add("h1")
     client = await world.run()
-    await client.hand_in("m1")
+    await client.submit("m1")
     assert (await host.call(0)).ids == ["m1"]
 
 
@@ -347,9 +347,9 @@
     host = await world.add("h1")
     client = await world.run()
     host.script.append(lambda request: request.writer.write(answer))
-    await client.hand_in("m1", "unsafe")
+    await client.submit("m1", "unsafe")
     assert (await world.directory.notice("m1"))["result"] == "dead"
-    await client.hand_in("m2")
+    await client.submit("m2")
     await host.until(lambda: host.seen[-1].ids == ["m2"])
 
 
@@ -361,7 +361,7 @@
     for client in (*others, first):
         assert await client.command(b"PING") == b"+PONG"
     newest = await world.client()
-    assert await newest.hand_in("m1") == b"+OK"
+    assert await newest.submit("m1") == b"+OK"
     assert await soon(others[0].reader.read()) == b""
     for client in (*others[1:], first, newest):
         assert await client.command(b"PING") == b"+PONG"
@@ -372,9 +372,9 @@
     client = await world.run()
     await world.directory.call(0)
     world.directory.script.append(silent)
-    await client.hand_in("m1", d=100)
+    await client.submit("m1", d=100)
     assert (await world.directory.notice("m1"))["result"] == "bounced"
-    await client.hand_in("m2", d=100)
+    await client.submit("m2", d=100)
     await world.directory.notice("m2")
     assert [notice["ref"] for notice in world.directory.notices] == ["m1", "m2"]
 
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -17,15 +17,15 @@
     host = await world.add("h1")
     client = await world.run()
     await world.directory.until(lambda: watches(world.directory))
-    await client.hand_in("m1")
+    await client.submit("m1")
     await host.call(0)  # the list was read
-    old = await world.move()
+    old = await world.move_directory()
     seq = world.directory.seq
     await world.reload()
     await world.directory.until(lambda: watches(world.directory))
     assert watches(world.directory) == [f"/discovery/hosts?watch=1&from={seq}"]
     late = await world.add("h2", block=2)
-    await client.insist("m2", dest=2)
+    await client.submit_until_accepted("m2", dest=2)
     assert (await late.call(0)).ids == ["m2"]
     left = next(request for request in old.seen if request.method == "GET")
     await soon(left.writer.wait_closed())  # the relay ends the old watch
@@ -37,15 +37,15 @@
     client = await world.run()
     await world.directory.until(lambda: watches(world.directory))
     host = await world.add("h1")
-    await client.hand_in("m1")
+    await client.submit("m1")
     await host.call(0)
-    old = await world.move()
+    old = await world.move_directory()
     world.directory.default = silent
     await world.reload()
     await world.directory.until(lambda: watches(world.directory))
-    world.directory, world.formers = old, [world.directory]
+    world.directory, world.former_directories = old, [world.directory]
     late = await world.add("h2", block=2)
-    await client.insist("m2", dest=2)
+    await client.submit_until_accepted("m2", dest=2)
     assert (await late.call(0)).ids == ["m2"]
 
 
@@ -53,12 +53,12 @@
     client = await world.run()
     await world.directory.until(lambda: watches(world.directory))
     world.directory.default = silent
-    await client.hand_in("m1", d=60)
+    await client.submit("m1", d=60)
     await world.directory.until(lambda: any(b"m1" in request.body for request in world.directory.seen))
-    await world.move()
+    await world.move_directory()
     await world.reload()
     assert (await world.directory.notice("m1"))["result"] == "bounced"
-    await client.hand_in("m2", d=60)
+    await client.submit("m2", d=60)
     assert (await world.directory.notice("m2"))["result"] == "bounced"
 
 
@@ -66,15 +66,15 @@
     "text", ["", "{", "[]", "{}", '{"settings": 5}', '{"settings": {}, "discovery": "x"}', "[" * 100_000]
 )
 async def test_a_file_that_cannot_be_used_changes_nothing(world: World, text: str) -> None:
-    world.name(2)
+    world.list_unserved_destination(2)
     client = await world.run()
     await world.directory.until(lambda: watches(world.directory))
     await world.reload(text)
     assert await client.command(b"PING") == b"+PONG"
     host = await world.add("h1")
-    await client.insist("m1")
+    await client.submit_until_accepted("m1")
     assert (await host.call(0)).ids == ["m1"]
-    await client.hand_in("m2", dest=2, d=60)
+    await client.submit("m2", dest=2, d=60)
     assert (await world.directory.notice("m2"))["result"] == "bounced"
     assert len(watches(world.directory)) == 1
 
@@ -82,7 +82,7 @@
 async def test_sighup_twice_and_back_again(world: World) -> None:
     client = await world.run()
     await world.directory.until(lambda: watches(world.directory))
-    first = await world.move()
+    first = await world.move_directory()
     await world.reload()
     await world.reload()
     await world.directory.until(lambda: watches(world.directory))
@@ -91,7 +91,7 @@
     await first.until(lambda: len(watches(first)) == 2)
     assert len(watches(second)) == 1
     host = await world.add("h1")
-    await client.hand_in("m1")
+    await client.submit("m1")
     assert (await host.call(0)).ids == ["m1"]
 
 
@@ -99,11 +99,11 @@
     """It must neither end the process early nor be lost: notices are still owed."""
     host = await world.add("h1", silent)
     client = await world.run()
-    await client.hand_in("m1", "unsafe")
+    await client.submit("m1", "unsafe")
     call = await host.call(0)
     assert world.process is not None
     world.process.terminate()
-    await world.move()
+    await world.move_directory()
     await world.reload()
     await world.directory.until(lambda: watches(world.directory))
     call.answer(500)
@@ -115,8 +115,8 @@
 async def test_the_variable_counts_until_a_reload_and_then_the_file(world: World, moved_again: bool) -> None:
     """A supervisor starts the next life with the variable of the first; a new variable counts again."""
     variable = f"127.0.0.1:{world.directory.port}"
-    world.variables["ROUTER_DISCOVERY"] = variable
-    first = await world.move()
+    world.environment_variables["ROUTER_DISCOVERY"] = variable
+    first = await world.move_directory()
     await world.run()
     await first.until(lambda: watches(first))
     assert watches(world.directory) == []
@@ -125,8 +125,8 @@
     await world.kill()
     first.seen.clear()
     if moved_again:
-        second = await world.move()
-        world.variables["ROUTER_DISCOVERY"] = f"127.0.0.1:{world.directory.port}"
+        second = await world.move_directory()
+        world.environment_variables["ROUTER_DISCOVERY"] = f"127.0.0.1:{world.directory.port}"
         world.directory, third = second, world.directory
         await world.run()
         await third.until(lambda: watches(third))
--- a/tests/test_restart.py
+++ b/tests/test_restart.py
@@ -18,7 +18,7 @@
 
 async def test_a_held_message_is_delivered_by_the_next_life(world: World) -> None:
     client = await world.run()
-    assert await client.hand_in("m1", "unsafe") == b"+OK"
+    assert await client.submit("m1", "unsafe") == b"+OK"
     await world.kill()
     host = await world.add("h1")
     await world.run()
@@ -30,11 +30,11 @@
     """A keyed one goes only to the zone of its first try, whatever else would be cheaper."""
     first = await world.add("h1", silent, site="b")
     client = await world.run()
-    await client.hand_in("m1", cls)
+    await client.submit("m1", cls)
     await first.call(0)
     other = await world.add("h2", site="a")
     first.default = delivered
-    await world.again()
+    await world.kill_and_restart()
     if cls == "keyed":
         call = await first.call(1)
         assert call.headers["idempotency-key"] == "key-m1"
@@ -46,9 +46,9 @@
 async def test_an_unsafe_call_out_at_the_end_is_failed(world: World) -> None:
     host = await world.add("h1", silent)
     client = await world.run()
-    await client.hand_in("m1", "unsafe")
+    await client.submit("m1", "unsafe")
     await host.call(0)
-    await world.again()
+    await world.kill_and_restart()
     assert await world.directory.notice("m1") == {"ref": "m1", "result": "dead"}
     assert len(host.seen) == 1
 
@@ -56,23 +56,23 @@
 async def test_an_attempt_that_never_ran_leaves_the_next_life_free(world: World) -> None:
     host = await world.add("h1", lambda request: request.answer(429, X_Retry_In_Ms="20000"))
     client = await world.run()
-    await client.hand_in("m1", "unsafe")
+    await client.submit("m1", "unsafe")
     await host.call(0)
     await client.command(b"PING")
-    await world.journaled(b'"not"')
+    await world.wait_for_journal(b'"not"')
     host.default = delivered
-    await world.again()
+    await world.kill_and_restart()
     assert (await host.call(1)).ids == ["m1"]
 
 
 async def test_what_is_over_is_never_sent_again(world: World) -> None:
     host = await world.add("h1")
     client = await world.run()
-    await client.hand_in("m1")
+    await client.submit("m1")
     await host.call(0)
-    await world.journaled(b'"over"')
-    client = await world.again()
-    await client.hand_in("m2")
+    await world.wait_for_journal(b'"over"')
+    client = await world.kill_and_restart()
+    await client.submit("m2")
     await host.call(1)
     assert [request.ids for request in host.seen] == [["m1"], ["m2"]]
 
@@ -80,19 +80,19 @@
 async def test_an_unconfirmed_notice_is_sent_again(world: World) -> None:
     client = await world.run()
     world.directory.script += [silent] * 2  # the watch, then the notice
-    await world.again()
+    await world.kill_and_restart()
     client = await world.client()
     world.directory.default, kept = silent, world.directory.default
-    await client.hand_in("m1", d=60)
+    await client.submit("m1", d=60)
     await world.directory.until(lambda: any(b"m1" in request.body for request in world.directory.seen))
     world.directory.default = kept
-    await world.again()
+    await world.kill_and_restart()
     assert (await world.directory.notice("m1"))["result"] == "bounced"
 
 
 async def test_a_message_past_its_time_gets_its_notice_after_the_restart(world: World) -> None:
     client = await world.run()
-    await client.hand_in("m1", d=1500)
+    await client.submit("m1", d=1500)
     await world.kill()
     assert world.directory.notices == []
     await asyncio.sleep(1.5)
@@ -102,21 +102,21 @@
 
 async def test_known_serves_until_discovery_answers(world: World) -> None:
     host = await world.add("h1")
-    world.known = list(world.directory.hosts.values())
+    world.known_hosts = list(world.directory.hosts.values())
     world.directory.down = True
     client = await world.run()
-    await client.hand_in("m1")
+    await client.submit("m1")
     assert (await host.call(0)).ids == ["m1"]
 
 
 async def test_a_torn_tail_loses_nothing_before_or_behind_it(world: World) -> None:
     client = await world.run()
-    await client.hand_in("m1")
+    await client.submit("m1")
     await world.kill()
     path = world.state / "journal"
     path.write_bytes(path.read_bytes() + path.read_bytes()[:40])
     client = await world.run()
-    await client.hand_in("m2")
+    await client.submit("m2")
     await world.kill()
     host = await world.add("h1")
     await world.run()
@@ -124,18 +124,18 @@
 
 
 async def test_sigterm_lets_calls_end_and_leaves_the_rest(world: World) -> None:
-    world.name(2)
+    world.list_unserved_destination(2)
     host = await world.add("h1", silent)
     client = await world.run()
-    await client.hand_in("m1", "unsafe")
+    await client.submit("m1", "unsafe")
     call = await host.call(0)
-    await client.hand_in("m2", dest=2)
+    await client.submit("m2", dest=2)
     assert world.process is not None
     world.process.terminate()
     call.answer()
     assert await client.command(b"PING") == b"+PONG"
-    assert await client.hand_in("m3", dest=2) == b"+OK"  # taken on, for this life or the next
-    assert await (await world.client()).hand_in("m4", dest=2) == b"+OK"
+    assert await client.submit("m3", dest=2) == b"+OK"  # taken on, for this life or the next
+    assert await (await world.client()).submit("m4", dest=2) == b"+OK"
     assert await soon(client.reader.read()) == b""  # ended between two requests, by the relay
     assert await soon(world.process.wait()) == 0
     late = await world.add("h2", block=2)
@@ -148,7 +148,7 @@
 async def test_a_recovered_message_that_the_settings_no_longer_name_gets_its_end(world: World) -> None:
     """It lives by the rules that it came under; without any the module would drop it unseen, and lose it."""
     client = await world.run()
-    await client.hand_in("m1", "unsafe")
+    await client.submit("m1", "unsafe")
     await world.kill()
     world.settings["request_classes"] = world.settings["request_classes"][:2]
     journal = Journal(world.state, 3_000_000, POSIX.disk)
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -16,16 +16,22 @@
 from mossfront import interface as api
 from mossfront.engine import DecisionEngine
 from tests.support import KEYED, SAFE, SECOND, arrival, ended, entry, roster, sends, settings
-from tests.world import CLASSES, TIMES, World, called, silent, soon
+from tests.world import CLASS_DEFAULTS, CLASSES, World, http_request, silent, soon
 
-NEW: dict[str, Any] = {"name": "new", "effect": "unsafe", "key_scope": "all", "dedup_window_us": 0, **TIMES}
+NEW: dict[str, Any] = {
+    "name": "new",
+    "effect": "unsafe",
+    "key_scope": "all",
+    "dedup_window_us": 0,
+    **CLASS_DEFAULTS,
+}
 
 
 async def counted(console: int, name: str, number: int) -> None:
     """Wait until a figure has a value."""
 
     async def reached() -> None:
-        while f"relay_{name} {number}\n" not in (await called(console, "GET", "/metrics"))[1]:
+        while f"relay_{name} {number}\n" not in (await http_request(console, "GET", "/metrics"))[1]:
             await asyncio.sleep(0.01)
 
     await soon(reached())
@@ -35,14 +41,14 @@
     host = await world.add("h1")
     console = world.open_console()
     client = await world.run()
-    assert await client.hand_in("m0", "new") == b"-ERR unknown class"
+    assert await client.submit("m0", "new") == b"-ERR unknown class"
     world.settings["request_classes"] = [*CLASSES, NEW]
     await world.reload()
     await counted(console, "conf_loaded_total", 1)
     host.script.append(lambda request: request.answer(500))
-    assert await client.hand_in("m1", "new") == b"+OK"  # unsafe: it may have run, and is not repeated
+    assert await client.submit("m1", "new") == b"+OK"  # unsafe: it may have run, and is not repeated
     assert (await world.directory.notice("m1"))["result"] == "dead"
-    _, text = await called(console, "GET", "/metrics")
+    _, text = await http_request(console, "GET", "/metrics")
     assert 'relay_transactions_total{group="new",state="errored"} 1\n' in text
 
 
@@ -51,17 +57,17 @@
     host = await world.add("h1", silent)
     console = world.open_console()
     client = await world.run()
-    assert await client.hand_in("m1", "safe") == b"+OK"
+    assert await client.submit("m1", "safe") == b"+OK"
     call = await host.call(0)
     world.settings["request_classes"] = [{**NEW, "name": "safe"}, *CLASSES[:1]]
     await world.reload()
     await counted(console, "conf_loaded_total", 1)
     call.reset()
     await host.call(1)  # again, though the class of its name is unsafe now
-    assert await client.hand_in("m2", "safe") == b"+OK"
+    assert await client.submit("m2", "safe") == b"+OK"
     await host.until(lambda: any("m2" in request.ids for request in host.seen))
     world.settings["request_classes"] = CLASSES[:1]
-    await world.again()  # the last file dropped the class; both were out
+    await world.kill_and_restart()  # the last file dropped the class; both were out
     assert (await world.directory.notice("m2"))["result"] == "dead"
     await host.until(lambda: sum("m1" in request.ids for request in host.seen) == 3)
     assert sum("m2" in request.ids for request in host.seen) == 1
@@ -75,12 +81,12 @@
 
     async def dropped() -> None:
         number = 0
-        while await client.hand_in(f"m{number}", "safe") != b"-ERR unknown class":
+        while await client.submit(f"m{number}", "safe") != b"-ERR unknown class":
             number += 1
             await asyncio.sleep(0.05)
 
     await soon(dropped())
-    assert await client.hand_in("k1", "keyed") == b"+OK"
+    assert await client.submit("k1", "keyed") == b"+OK"
 
 
 def spoil(path: str, value: Any) -> Any:
@@ -128,7 +134,7 @@
     await world.directory.until(lambda: world.directory.seen)
     before = json.loads((world.folder / "config.json").read_text(encoding="utf-8"))
     trap = world.directory
-    elsewhere = await world.move()
+    elsewhere = await world.move_directory()
     for number, change in enumerate(BROKEN):
         told = copy.deepcopy(before)
         told["discovery"] = f"127.0.0.1:{world.directory.port}"
@@ -136,8 +142,8 @@
         change(told)
         await world.reload(json.dumps(told))
         await counted(console, "conf_invalid_total", number + 1)
-    assert await client.hand_in("m1", "new") == b"-ERR unknown class"
-    assert await client.hand_in("m2") == b"+OK"
+    assert await client.submit("m1", "new") == b"-ERR unknown class"
+    assert await client.submit("m2") == b"+OK"
     await host.call(0)
     assert not any(request.method == "GET" for request in world.directory.seen)
     assert elsewhere is trap
--- a/tests/test_shared_calls.py
+++ b/tests/test_shared_calls.py
@@ -12,7 +12,7 @@
 from mossfront.interface import Verdict
 from tests.calls import Calls, serving
 from tests.support import KEYED, SECOND, UNSAFE, arrival, ended, entry, roster, sends, settings
-from tests.world import Request, World, enqueue, packed, settings_json, silent
+from tests.world import Request, World, encode_command, enqueue, settings_json, silent
 
 
 def together(*ours: api.Arrival, cls: tuple[api.MessageClass, ...] = (KEYED, UNSAFE)) -> list[api.Send]:
@@ -144,7 +144,7 @@
 
     host = await world.add("h1", hang, kind="banks")
     client = await world.run()
-    both = (packed(*enqueue("k1", "keyed")), packed(*enqueue("u1", "unsafe", 1500)))
+    both = (encode_command(*enqueue("k1", "keyed")), encode_command(*enqueue("u1", "unsafe", 1500)))
     client.writer.write(b"".join(both))  # in one piece: they come to one step
     await host.until(lambda: sum("k1" in request.ids for request in host.seen) > 1)
     first, again = open_then[0], next(told for told in open_then[1:] if "k1" in told[0])
--- a/tests/test_subscription_timing.py
+++ b/tests/test_subscription_timing.py
@@ -17,12 +17,12 @@
 
 SIZES = [1, 6, 30, 230, 1024]
 TICK_US = 20_000
-ANSWER_US = 2 * SECOND  # what a crowded directory may take for an answer, after which it fails the call
+MAX_RESPONSE_US = 2 * SECOND  # what a crowded directory may take for an answer, after which it fails the call
 # How long a call that fails takes: refused, or answered 503; reset; waited for in vain; given up by us.
-ENDS_US = (5_000, 400_000, ANSWER_US, int(FIRST_LINE_TIMEOUT_S * 1e6))
+FAILURE_DURATIONS_US = (5_000, 400_000, MAX_RESPONSE_US, int(FIRST_LINE_TIMEOUT_S * 1e6))
 
 
-class Asking:
+class Subscriber:
     """One relay of a group that must ask: feed it ends, and it says when it asks."""
 
     def __init__(self, size: int, seed: int) -> None:
@@ -36,11 +36,15 @@
         self.now_us = now_us
         return any(isinstance(action, api.Subscribe) for action in self.relay.step(now_us, events))
 
-    def first_us(self) -> int:
+    def first_subscription_us(self) -> int:
         """When it asks first, with a list that it knew."""
-        return 0 if self.step(0, roster(entry("h1"), kind=api.EndpointUpdateKind.CACHED)) else self.next_us()
+        return (
+            0
+            if self.step(0, roster(entry("h1"), kind=api.EndpointUpdateKind.CACHED))
+            else self.next_subscription_us()
+        )
 
-    def next_us(self) -> int:
+    def next_subscription_us(self) -> int:
         """Go on until it asks; when that is."""
         while not self.step(self.now_us + TICK_US, api.TimerDue()):
             assert self.now_us < 10**9, "it never asks again"
@@ -52,13 +56,13 @@
     """Failed, refused, reset, waited for in vain: alone and in every order, in a group of any size."""
     rng = random.Random(size)
     for seed in range(20):
-        asking = Asking(size, seed)
-        begun_us = asking.first_us()
-        assert begun_us <= LISTED_US - ANSWER_US
-        for took_us in rng.choices(ENDS_US, k=12):
+        asking = Subscriber(size, seed)
+        begun_us = asking.first_subscription_us()
+        assert begun_us <= LISTED_US - MAX_RESPONSE_US
+        for took_us in rng.choices(FAILURE_DURATIONS_US, k=12):
             asking.step(begun_us + took_us, api.EndpointUpdate(api.EndpointUpdateKind.FAILED))
-            again_us = asking.next_us()
-            assert again_us - begun_us <= LISTED_US - ANSWER_US + TICK_US
+            again_us = asking.next_subscription_us()
+            assert again_us - begun_us <= LISTED_US - MAX_RESPONSE_US + TICK_US
             begun_us = again_us
 
 
@@ -66,21 +70,21 @@
 def test_a_watch_that_falls_silent_is_opened_anew_in_time(size: int) -> None:
     """Found after ``SILENCE_TIMEOUT_S``; what it misses counts as told 6 s after it fell silent."""
     for seed in range(20):
-        asking = Asking(size, seed)
-        begun_us = asking.first_us()
+        asking = Subscriber(size, seed)
+        begun_us = asking.first_subscription_us()
         asking.step(begun_us + SECOND, roster(entry("h1")))
         silent_us = begun_us + 60 * SECOND
         found_us = silent_us + int(SILENCE_TIMEOUT_S * 1e6)
         asking.step(found_us, api.EndpointUpdate(api.EndpointUpdateKind.FAILED))
-        assert asking.next_us() + ANSWER_US // 2 <= silent_us + LISTED_US
+        assert asking.next_subscription_us() + MAX_RESPONSE_US // 2 <= silent_us + LISTED_US
 
 
-def returned(relays: int, capacity: int, seed: int) -> tuple[list[float], int]:
+def simulate_directory_return(relays: int, capacity: int, seed: int) -> tuple[list[float], int]:
     """A directory back from 20 s of 503: when (s) each relay has heard of it, and the calls that it got.
 
     It works through calls in turn, and turns away at once what would wait for longer than a second.
     """
-    rng, group = random.Random(seed), [Asking(relays, n) for n in range(relays)]
+    rng, group = random.Random(seed), [Subscriber(relays, n) for n in range(relays)]
     inbox: dict[int, api.Event] = {
         n: roster(entry("h1"), kind=api.EndpointUpdateKind.CACHED) for n in range(relays)
     }
@@ -106,7 +110,7 @@
 @pytest.mark.parametrize("relays", [30, 230])
 def test_at_its_return_a_group_has_heard_in_time_and_is_no_crowd(relays: int) -> None:
     """It can take a call of each in 4 s: all have heard within 6 s, by little more than one call each."""
-    heard, calls = returned(relays, relays // 4, 1)
+    heard, calls = simulate_directory_return(relays, relays // 4, 1)
     assert len(heard) == relays
     assert heard[-1] <= LISTED_US / 1e6
     assert calls <= 1.5 * relays
@@ -114,7 +118,7 @@
 
 def test_a_directory_that_cannot_take_all_in_time_is_kept_at_work_and_not_jammed() -> None:
     """One that needs 8 s for a call of each: not all can hear in time, but nearly all of its time is used."""
-    heard, _ = returned(230, 230 // 8, 1)
+    heard, _ = simulate_directory_return(230, 230 // 8, 1)
     in_time = sum(at_s <= LISTED_US / 1e6 for at_s in heard)
     assert in_time >= 0.9 * (LISTED_US / 1e6) * (230 // 8)
     assert len(heard) == 230
@@ -126,7 +130,7 @@
     directory = world.directory
     host = await world.add("h1")
     first = await world.run()
-    await first.insist("m0")
+    await first.submit_until_accepted("m0")
     await host.call(0)
     loop = asyncio.get_running_loop()
     usual, asked = directory.default, list[float]()
@@ -160,6 +164,6 @@
     assert all(later - sooner <= 4.5 for sooner, later in itertools.pairwise(asked))
     seen = len(host.seen)
     other = await world.add("h2", delivered)
-    await first.insist("m1")
+    await first.submit_until_accepted("m1")
     await other.call(0)
     assert len(host.seen) == seen
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -20,9 +20,15 @@
 from mallowlug.system import POSIX
 from mallowlug.upgrade import handover_file
 from tests.test_upgrade import Process, beside, served, until_ready
-from tests.world import CLASSES, TIMES, Client, World, called, silent, soon
+from tests.world import CLASS_DEFAULTS, CLASSES, Client, World, http_request, silent, soon
 
-NEW: dict[str, Any] = {"name": "new", "effect": "unsafe", "key_scope": "all", "dedup_window_us": 0, **TIMES}
+NEW: dict[str, Any] = {
+    "name": "new",
+    "effect": "unsafe",
+    "key_scope": "all",
+    "dedup_window_us": 0,
+    **CLASS_DEFAULTS,
+}
 
 
 def deaf(world: World) -> None:
@@ -49,7 +55,7 @@
     """Wait until a process has taken a file, or turned it down."""
 
     async def counted() -> None:
-        while f"relay_{name} 1\n" not in (await called(console, "GET", "/metrics"))[1]:
+        while f"relay_{name} 1\n" not in (await http_request(console, "GET", "/metrics"))[1]:
             pass
 
     await soon(counted())
@@ -58,7 +64,7 @@
 async def ends_at_the_new_address(world: World, client: Client, ref: str, cls: str = "unsafe") -> None:
     """An unsafe message whose call breaks has its end told at the address that is in force."""
     world.hosts["h1"].default = lambda request: request.reset()
-    assert await client.hand_in(ref, cls) == b"+OK"
+    assert await client.submit(ref, cls) == b"+OK"
     assert await world.directory.notice(ref) == {"ref": ref, "result": "dead"}
 
 
@@ -74,11 +80,11 @@
     client, console = await served(world, "h1")
     host, old = world.hosts["h1"], world.directory
     host.default = silent
-    await client.hand_in("m0", "unsafe")
+    await client.submit("m0", "unsafe")
     await host.call(0)  # it is out, so the first process does not hand over at once
     deaf(world)
     process, second = await in_line(world)
-    await world.move()
+    await world.move_directory()
     world.settings["request_classes"] = [*CLASSES, NEW]
     await world.reload()
     go_on(world)
@@ -86,10 +92,10 @@
         await loaded(console)
         break_file(world)
     await until_ready(second)
-    world.former, world.process = world.process, process  # type: ignore[assignment]
-    world.others.append(world.former)
-    world.former.kill()
-    await world.former.wait()
+    world.former_process, world.process = world.process, process  # type: ignore[assignment]
+    world.other_processes.append(world.former_process)
+    world.former_process.kill()
+    await world.former_process.wait()
     await ends_at_the_new_address(world, await world.client(), "m1", "new")
     assert all(notice["ref"] != "m1" for notice in old.notices)
 
@@ -99,7 +105,7 @@
     await served(world, "h1")
     deaf(world)
     process, second = await in_line(world)
-    await world.move()
+    await world.move_directory()
     world.settings["request_classes"] = [*CLASSES, NEW]
     world.environment()
     assert world.process is not None
@@ -128,11 +134,11 @@
     _, console = await served(world, "h1")
     world.hosts["h1"].default = silent
     client = await world.client()
-    await client.hand_in("m0", "unsafe")
+    await client.submit("m0", "unsafe")
     await world.hosts["h1"].call(0)
     process, second = await beside(world)  # it waits for that call, 1.2 s at most
     await until_ready(second, False)
-    await world.move()
+    await world.move_directory()
     world.settings["request_classes"] = [*CLASSES, NEW]
     await world.reload()
     await loaded(console)
@@ -157,7 +163,7 @@
     deaf(world)
     process, second = await beside(world)
     await until_ready(second)
-    await world.move()
+    await world.move_directory()
     world.settings["request_classes"] = [*CLASSES, NEW]
     world.environment()
     process.send_signal(signal.SIGHUP)
@@ -169,7 +175,7 @@
         while True:
             try:
                 client = await world.client()
-                if await client.hand_in("m0", "new") == b"+OK":
+                if await client.submit("m0", "new") == b"+OK":
                     return client
             except OSError:  # a connection that the process that is gone had not taken yet
                 pass
@@ -182,9 +188,9 @@
 async def test_what_a_reload_put_aside_passes_on_though_the_disk_did_not_take_it(world: World) -> None:
     """Both were started with the address that was left, in their environment."""
     (world.state / config.OVERRULED).mkdir()
-    world.variables["ROUTER_DISCOVERY"] = f"127.0.0.1:{world.directory.port}"
+    world.environment_variables["ROUTER_DISCOVERY"] = f"127.0.0.1:{world.directory.port}"
     _, console = await served(world, "h1")
-    await world.move()
+    await world.move_directory()
     await world.reload()
     await loaded(console)
     process, second = await beside(world)
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -20,7 +20,7 @@
 from mallowlug.upgrade import handover_file
 from mallowlug.upgrade.locks import Lock, Succession
 from mallowlug.upgrade.spool import Adoption
-from tests.world import ROOT, Client, World, called, delivered, free_port, silent, soon
+from tests.world import ROOT, Client, World, delivered, free_port, http_request, silent, soon
 
 Process = asyncio.subprocess.Process
 
@@ -32,7 +32,7 @@
     process = await asyncio.create_subprocess_exec(
         sys.executable, "-m", "mallowlug", cwd=ROOT, env=environment
     )
-    world.others.append(process)
+    world.other_processes.append(process)
     return process, console
 
 
@@ -42,7 +42,7 @@
     async def reached() -> None:
         while True:
             try:
-                if ((await called(console, "GET", "/ready"))[0] == 200) is yes:
+                if ((await http_request(console, "GET", "/ready"))[0] == 200) is yes:
                     return
             except (OSError, IndexError):
                 pass
@@ -55,7 +55,7 @@
     """A relay with a console and hosts that it knows from its start."""
     for host in hosts:
         await world.add(host)
-    world.known = list(world.directory.hosts.values())
+    world.known_hosts = list(world.directory.hosts.values())
     console = world.open_console()
     client = await world.run()
     await until_ready(console)
@@ -69,15 +69,15 @@
     await until_ready(console)
     world.process = process
     assert former is not None
-    world.former = former
-    world.others.append(former)
+    world.former_process = former
+    world.other_processes.append(former)
     return console
 
 
 async def part(world: World) -> None:
     """The former process is told to end, and does."""
-    world.former.terminate()
-    assert await soon(world.former.wait()) == 0
+    world.former_process.terminate()
+    assert await soon(world.former_process.wait()) == 0
 
 
 def ids(world: World) -> Counter[str]:
@@ -96,13 +96,13 @@
             ref = f"{name}-{number}"
             number += 1
             try:
-                answer = await client.hand_in(ref, "unsafe")
+                answer = await client.submit(ref, "unsafe")
             except OSError:
                 answer = b""
             if not answer:  # the connection was closed between two requests: once more, on a new one
                 met.append(ref)
                 client = await world.client()
-                answer = await client.hand_in(ref, "unsafe")
+                answer = await client.submit(ref, "unsafe")
             assert answer == b"+OK"
             sent.append(ref)
             await asyncio.sleep(0.01)
@@ -135,13 +135,13 @@
     client, _ = await served(world, "h1")
     host = world.hosts["h1"]
     host.default = silent
-    await client.hand_in("u1", "unsafe")
+    await client.submit("u1", "unsafe")
     call = await host.call(0)
     process, console = await beside(world)
     await asyncio.sleep(0)
     call.answer()
     await until_ready(console)
-    await client.hand_in("u2", "unsafe")  # the old process passes it on
+    await client.submit("u2", "unsafe")  # the old process passes it on
     await host.call(1)
     assert ids(world) == {"u1": 1, "u2": 1}
     assert world.directory.notices == []
@@ -153,9 +153,9 @@
     client, _ = await served(world, "h1")
     host = world.hosts["h1"]
     host.default = silent
-    await client.hand_in("u1", "unsafe")
+    await client.submit("u1", "unsafe")
     await host.call(0)
-    await client.hand_in("s1", "safe")
+    await client.submit("s1", "safe")
     await host.call(1)
     host.default = delivered
     await follow(world)
@@ -168,9 +168,9 @@
     client, _ = await served(world, "h1")
     await follow(world)
     for number in range(5):
-        assert await client.hand_in(f"m{number}", "unsafe") == b"+OK"
-    assert await client.hand_in("m0", "unsafe") == b"+OK"  # the same once more
-    assert await client.hand_in("x1", "nobody") == b"-ERR unknown class"
+        assert await client.submit(f"m{number}", "unsafe") == b"+OK"
+    assert await client.submit("m0", "unsafe") == b"+OK"  # the same once more
+    assert await client.submit("x1", "nobody") == b"-ERR unknown class"
     await world.hosts["h1"].until(lambda: len(ids(world)) == 5)
     assert set(ids(world).values()) == {1}
     await part(world)
@@ -184,22 +184,22 @@
         os.kill(process.pid, signal.SIGSTOP)  # before it can take over
         process.kill()
         await process.wait()
-        await client.hand_in(f"m{number}", "unsafe")
+        await client.submit(f"m{number}", "unsafe")
         await host.call(number)
     await until_ready(console)
     assert set(ids(world).values()) == {1}
 
 
 async def test_the_old_process_takes_the_messages_back_when_the_new_one_dies(world: World) -> None:
-    world.name(2)
+    world.list_unserved_destination(2)
     client, console = await served(world, "h1")
-    assert await client.hand_in("held", "unsafe", dest=2) == b"+OK"
+    assert await client.submit("held", "unsafe", dest=2) == b"+OK"
     await follow(world)
-    assert await client.hand_in("spooled", "unsafe", dest=2) == b"+OK"
+    assert await client.submit("spooled", "unsafe", dest=2) == b"+OK"
     assert world.process is not None
     world.process.kill()
     await world.process.wait()
-    await client.hand_in("after", "unsafe")
+    await client.submit("after", "unsafe")
     await world.hosts["h1"].until(lambda: ids(world)["after"] == 1)
     await until_ready(console)
     late = await world.add("h2", block=2)
@@ -207,7 +207,7 @@
     assert set(ids(world).values()) == {1}
     again, third = await beside(world)  # and the next upgrade goes as any
     await until_ready(third)
-    assert await (await world.client()).hand_in("last") == b"+OK"
+    assert await (await world.client()).submit("last") == b"+OK"
     await world.hosts["h1"].until(lambda: ids(world)["last"] == 1)
     assert again.returncode is None
 
@@ -215,9 +215,9 @@
 @pytest.mark.parametrize("before", [True, False])
 async def test_the_old_process_may_be_killed_at_any_time(world: World, before: bool) -> None:
     """Before the handover, or as a door whose messages are in its file."""
-    world.name(2)
+    world.list_unserved_destination(2)
     client, _ = await served(world, "h1")
-    assert await client.hand_in("m1", "unsafe", dest=2) == b"+OK"
+    assert await client.submit("m1", "unsafe", dest=2) == b"+OK"
     process, console = await beside(world)
     assert world.process is not None
     if before:
@@ -226,28 +226,28 @@
     else:
         await until_ready(console)
         os.kill(process.pid, signal.SIGSTOP)  # the owner does not read now
-        assert await client.hand_in("m2", "unsafe", dest=2) == b"+OK"
+        assert await client.submit("m2", "unsafe", dest=2) == b"+OK"
         world.process.kill()
         await world.process.wait()
         os.kill(process.pid, signal.SIGCONT)
     late = await world.add("h2", block=2)
     await late.until(lambda: len(ids(world)) == (1 if before else 2))
-    await called(console, "GET", "/ready")
+    await http_request(console, "GET", "/ready")
     assert set(ids(world).values()) == {1}
 
 
 async def test_a_door_and_the_owner_killed_together_lose_and_repeat_nothing(world: World) -> None:
     """The next life reads journal and spool; what was adopted is not adopted again."""
-    world.name(2)
+    world.list_unserved_destination(2)
     client, _ = await served(world, "h1")
     await follow(world)
-    assert await client.hand_in("adopted", "unsafe") == b"+OK"
+    assert await client.submit("adopted", "unsafe") == b"+OK"
     await world.hosts["h1"].call(0)
-    await world.journaled(b'"over"')
+    await world.wait_for_journal(b'"over"')
     assert world.process is not None
     os.kill(world.process.pid, signal.SIGSTOP)
-    assert await client.hand_in("not-yet", "unsafe") == b"+OK"
-    for process in (world.process, world.former):
+    assert await client.submit("not-yet", "unsafe") == b"+OK"
+    for process in (world.process, world.former_process):
         process.kill()
         await process.wait()
     await world.run()
@@ -258,20 +258,20 @@
 async def test_told_waits_and_drains_bind_the_new_process(world: World) -> None:
     """Its configuration knows an old list; what the old process heard last counts."""
     client, _ = await served(world, "h1", "h2")
-    known = list(world.known)
+    known = list(world.known_hosts)
     for name in ("h1", "h2"):
         world.hosts[name].default = lambda request: request.answer(429, X_Retry_In_Ms="60000")
     world.directory.change("h3", dial="127.0.0.1:1", health="DRAINING")
     for number in range(2):
-        await client.hand_in(f"m{number}")
+        await client.submit(f"m{number}")
     await world.hosts["h1"].call(0)
     await world.hosts["h2"].call(0)
-    await world.journaled(b'"not"')
-    world.known = known
+    await world.wait_for_journal(b'"not"')
+    world.known_hosts = known
     world.directory.down = True
     await follow(world)
     await part(world)
-    assert await (await world.client()).hand_in("m9", d=500) == b"+OK"
+    assert await (await world.client()).submit("m9", d=500) == b"+OK"
     assert (await world.directory.notice("m9"))["result"] == "bounced"
     for host in (world.hosts["h1"], world.hosts["h2"]):  # but for what crossed the first answer
         assert all(request.at_s - host.seen[0].at_s < 0.1 for request in host.seen)
@@ -281,10 +281,10 @@
     client, console = await served(world, "h1", "h2")
     process, second = await beside(world)
     os.kill(process.pid, signal.SIGCONT)
-    assert (await called(console, "POST", "/hosts/disable?name=h1"))[0] == 200
+    assert (await http_request(console, "POST", "/hosts/disable?name=h1"))[0] == 200
     await until_ready(second)
-    assert (await called(console, "POST", "/hosts/disable?name=h2"))[0] == 200  # told to the door
-    assert (await called(second, "POST", "/hosts/enable?name=h1"))[0] == 200
+    assert (await http_request(console, "POST", "/hosts/disable?name=h2"))[0] == 200  # told to the door
+    assert (await http_request(second, "POST", "/hosts/enable?name=h1"))[0] == 200
 
     async def heard() -> None:
         while (world.state / "out").read_bytes() != b'"h2"\n':
@@ -293,7 +293,7 @@
     await soon(heard())
     await asyncio.sleep(0.1)  # the door's word has 1 s, and takes 20 ms
     for number in range(4):
-        await client.hand_in(f"m{number}")
+        await client.submit(f"m{number}")
         await world.hosts["h1"].call(number)
     assert world.hosts["h2"].seen == []
 
@@ -304,18 +304,18 @@
     new = {**world.settings["request_classes"][1], "name": "new"}
     world.settings["request_classes"] = [*world.settings["request_classes"], new]
     world.environment()
-    world.former.send_signal(signal.SIGHUP)
+    world.former_process.send_signal(signal.SIGHUP)
     direct = await world.client()
 
     async def known(client: Client, name: str) -> None:
         number = 0
-        while await client.hand_in(f"{name}{number}", "new") != b"+OK":
+        while await client.submit(f"{name}{number}", "new") != b"+OK":
             number += 1
             await asyncio.sleep(0.02)
 
     await soon(known(client, "door"))
     await soon(known(direct, "owner"))
-    text = (await called(second, "GET", "/metrics"))[1]
+    text = (await http_request(second, "GET", "/metrics"))[1]
     assert "relay_conf_loaded_total 0\n" in text  # it was not this process that got the signal
 
 
@@ -327,7 +327,7 @@
     process, console = await beside(world)
 
     async def counted(name: str) -> None:
-        while f"relay_{name} 1\n" not in (await called(console, "GET", "/metrics"))[1]:
+        while f"relay_{name} 1\n" not in (await http_request(console, "GET", "/metrics"))[1]:
             await asyncio.sleep(0.01)
 
     await until_ready(console, False)  # it listens, and says no
@@ -344,7 +344,7 @@
     await until_ready(console)
     world.process.kill()
     await world.process.wait()
-    assert await (await world.client()).hand_in("m1", "new") == b"+OK"
+    assert await (await world.client()).submit("m1", "new") == b"+OK"
 
 
 async def test_a_process_in_line_is_not_ready_and_ends_at_once_when_told(world: World) -> None:
@@ -361,7 +361,7 @@
     await asyncio.wait(watching, return_when=asyncio.FIRST_COMPLETED)
     await soon(asyncio.gather(*watching))  # the third follows the second
     assert len(ready) == 2
-    assert (await called(console, "GET", "/metrics"))[0] == 200
+    assert (await http_request(console, "GET", "/metrics"))[0] == 200
     assert world.process is not None and world.process.returncode is None
     for process in (first, second):
         assert process.returncode is None
--- a/tests/world.py
+++ b/tests/world.py
@@ -20,13 +20,25 @@
 from typing import Any, TypeVar
 
 T = TypeVar("T")
-BOUND_S = 30.0  # a wait that takes longer has failed, however slow the machine
+WAIT_LIMIT_S = 30.0  # a wait that takes longer has failed, however slow the machine
 ROOT = Path(__file__).resolve().parent.parent
-TIMES = {"aim_us": 4_000_000, "deadline_us": 60_000_000, "worth": 1.0, "late_worth": 0.5, "stream": False}
+CLASS_DEFAULTS = {
+    "aim_us": 4_000_000,
+    "deadline_us": 60_000_000,
+    "worth": 1.0,
+    "late_worth": 0.5,
+    "stream": False,
+}
 CLASSES: list[dict[str, Any]] = [
-    {"name": "keyed", "effect": "keyed", "key_scope": "zone", "dedup_window_us": 60_000_000, **TIMES},
-    {"name": "safe", "effect": "safe", "key_scope": "all", "dedup_window_us": 0, **TIMES},
-    {"name": "unsafe", "effect": "unsafe", "key_scope": "all", "dedup_window_us": 0, **TIMES},
+    {
+        "name": "keyed",
+        "effect": "keyed",
+        "key_scope": "zone",
+        "dedup_window_us": 60_000_000,
+        **CLASS_DEFAULTS,
+    },
+    {"name": "safe", "effect": "safe", "key_scope": "all", "dedup_window_us": 0, **CLASS_DEFAULTS},
+    {"name": "unsafe", "effect": "unsafe", "key_scope": "all", "dedup_window_us": 0, **CLASS_DEFAULTS},
 ]
 ALLOWED: dict[str, Any] = {
     "cancel": True,
@@ -76,7 +88,7 @@
 
 async def soon(awaitable: Awaitable[T]) -> T:
     """What has to come, under the bound of all tests."""
-    return await asyncio.wait_for(awaitable, BOUND_S)
+    return await asyncio.wait_for(awaitable, WAIT_LIMIT_S)
 
 
 class Request:
@@ -95,20 +107,20 @@
         """The messages that it carries."""
         if self.target == "/hook":
             return [self.headers["x-txn"]]
-        found, rest = [], self.body
+        message_ids, rest = [], self.body
         while rest:
             line, _, rest = rest.partition(b"\r\n")
             name, _key, size = line.split()
-            found.append(name.decode())
+            message_ids.append(name.decode())
             assert rest[int(size) : int(size) + 2] == b"\r\n"
             rest = rest[int(size) + 2 :]
-        return found
+        return message_ids
 
     def answer(self, status: int = 200, body: str = "", **headers: str) -> None:
         """Write the whole answer."""
-        told = "".join(f"{name.replace('_', '-')}: {value}\r\n" for name, value in headers.items())
+        header_lines = "".join(f"{name.replace('_', '-')}: {value}\r\n" for name, value in headers.items())
         size = "" if status == 204 else f"Content-Length: {len(body)}\r\n"
-        self.writer.write(f"HTTP/1.1 {status} X\r\n{told}{size}\r\n{body}".encode())
+        self.writer.write(f"HTTP/1.1 {status} X\r\n{header_lines}{size}\r\n{body}".encode())
 
     def reset(self) -> None:
         """Break the connection the hard way."""
@@ -194,7 +206,7 @@
         self.notices: list[dict[str, Any]] = []
         self.down, self.heartbeat = False, True
         self._watches: list[Request] = []
-        self._beat: asyncio.Task[None] | None = None
+        self._heartbeat_task: asyncio.Task[None] | None = None
 
     def _reply(self, request: Request) -> None:
         if request.method == "POST":
@@ -205,37 +217,39 @@
         else:
             request.writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
             self._watches.append(request)
-            self.tell(request, True, list(self.hosts.values()))
+            self.send_list(request, True, list(self.hosts.values()))
 
     async def start(self) -> None:
         """Listen, and keep watches from falling silent."""
         await super().start()
-        self._beat = asyncio.create_task(self._beats())
+        self._heartbeat_task = asyncio.create_task(self._send_heartbeats())
 
-    async def _beats(self) -> None:
+    async def _send_heartbeats(self) -> None:
         while True:
             await asyncio.sleep(1)
             for request in self._watches if self.heartbeat else ():
-                self.raw(request, b"\n")
+                self.send_chunk(request, b"\n")
 
     def stop(self) -> None:
         """End the heartbeat too."""
         super().stop()
-        if self._beat is not None:
-            self._beat.cancel()
+        if self._heartbeat_task is not None:
+            self._heartbeat_task.cancel()
 
-    def tell(self, request: Request, whole: bool, hosts: list[dict[str, Any]]) -> None:
+    def send_list(self, request: Request, whole: bool, hosts: list[dict[str, Any]]) -> None:
         """One line to one watch."""
-        self.raw(request, json.dumps({"seq": self.seq, "whole": whole, "hosts": hosts}).encode() + b"\n")
+        self.send_chunk(
+            request, json.dumps({"seq": self.seq, "whole": whole, "hosts": hosts}).encode() + b"\n"
+        )
 
-    def raw(self, request: Request, line: bytes) -> None:
+    def send_chunk(self, request: Request, line: bytes) -> None:
         """One chunk to one watch."""
         request.writer.write(b"%x\r\n%s\r\n" % (len(line), line))
 
     def garble(self) -> None:
         """Tell the watches something that is no list."""
         for request in self._watches:
-            self.raw(request, b"{nonsense\n")
+            self.send_chunk(request, b"{nonsense\n")
         self._watches.clear()
 
     def lose(self) -> None:
@@ -252,7 +266,7 @@
             self.hosts.get(host, {"health": "SERVING"}) | fields
         )
         for request in self._watches:
-            self.tell(request, False, [self.hosts[host]])
+            self.send_list(request, False, [self.hosts[host]])
 
     async def notice(self, ref: str) -> dict[str, Any]:
         """The notice for a message, once it has come."""
@@ -266,30 +280,30 @@
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader, self.writer = reader, writer
 
-    async def raw(self, data: bytes) -> bytes:
+    async def send_raw(self, data: bytes) -> bytes:
         """Write bytes and read one line."""
         self.writer.write(data)
         return (await soon(self.reader.readline())).rstrip()
 
     async def command(self, *args: bytes) -> bytes:
         """One request and its answer."""
-        return await self.raw(packed(*args))
+        return await self.send_raw(encode_command(*args))
 
-    async def hand_in(self, ref: str, cls: str = "safe", d: int = 30_000, dest: int = 1) -> bytes:
+    async def submit(self, ref: str, cls: str = "safe", d: int = 30_000, dest: int = 1) -> bytes:
         """Hand a message in."""
         return await self.command(*enqueue(ref, cls, d, dest))
 
-    async def insist(self, ref: str, cls: str = "safe", dest: int = 1) -> None:
+    async def submit_until_accepted(self, ref: str, cls: str = "safe", dest: int = 1) -> None:
         """Hand a message in until it is taken on: the relay hears of a new destination a moment later."""
 
         async def again() -> None:
-            while await self.hand_in(ref, cls, dest=dest) != b"+OK":
+            while await self.submit(ref, cls, dest=dest) != b"+OK":
                 await asyncio.sleep(0.02)
 
         await soon(again())
 
 
-def packed(*args: bytes) -> bytes:
+def encode_command(*args: bytes) -> bytes:
     """A command as an array of bulk strings."""
     return b"*%d\r\n" % len(args) + b"".join(b"$%d\r\n%s\r\n" % (len(arg), arg) for arg in args)
 
@@ -322,7 +336,7 @@
             return port
 
 
-async def called(port: int, method: str, target: str) -> tuple[int, str]:
+async def http_request(port: int, method: str, target: str) -> tuple[int, str]:
     """One call at a console: status and body."""
     reader, writer = await soon(asyncio.open_connection("127.0.0.1", port))
     writer.write(f"{method} {target} HTTP/1.1\r\nHost: console\r\n\r\n".encode())
@@ -337,15 +351,15 @@
     def __init__(self, folder: Path) -> None:
         self.folder, self.state = folder, folder / "state"
         self.directory, self.hosts = Directory(), dict[str, HttpServer]()
-        self.formers: list[Directory] = []  # directories at addresses that were left
+        self.former_directories: list[Directory] = []  # directories at addresses that were left
         self.process: asyncio.subprocess.Process | None = None
-        self.others: list[asyncio.subprocess.Process] = []  # started beside it, or before it
-        self.former: asyncio.subprocess.Process  # the one that the present one has followed
-        self.known: list[dict[str, Any]] = []
+        self.other_processes: list[asyncio.subprocess.Process] = []  # started beside it, or before it
+        self.former_process: asyncio.subprocess.Process  # the one that the present one has followed
+        self.known_hosts: list[dict[str, Any]] = []
         self.settings = settings_json()
         self.disk_mb, self.sockets = 3.0, 1024
-        self.words: tuple[str, ...] = ()  # behind `python -m mallowlug`
-        self.variables: dict[str, str] = {}  # what the environment tells beside file and folder
+        self.arguments: tuple[str, ...] = ()  # behind `python -m mallowlug`
+        self.environment_variables: dict[str, str] = {}  # what the environment tells beside file and folder
         # An address of its own: nothing else on the machine can take the port before the relay does.
         self.address = "127." + ".".join(str(secrets.randbelow(253) + 1) for _ in range(3))
         with socket.socket() as sock:
@@ -361,11 +375,11 @@
         """End everything."""
         if self.process is not None and self.process.returncode is None:
             await self.kill()
-        for process in self.others:
+        for process in self.other_processes:
             if process.returncode is None:
                 process.kill()
                 await process.wait()
-        for server in (self.directory, *self.formers, *self.hosts.values()):
+        for server in (self.directory, *self.former_directories, *self.hosts.values()):
             server.stop()
 
     async def add(
@@ -382,14 +396,14 @@
     def open_console(self) -> int:
         """The relays that start from now on have a console; its port."""
         port = free_port()
-        self.variables["ROUTER_CONSOLE"] = f"127.0.0.1:{port}"
+        self.environment_variables["ROUTER_CONSOLE"] = f"127.0.0.1:{port}"
         return port
 
-    def name(self, dest: int) -> None:
+    def list_unserved_destination(self, dest: int) -> None:
         """Make a destination known that has nobody to serve it."""
         self.directory.change(f"none-{dest}", dial="127.0.0.1:1", block=dest, health="DRAINING")
 
-    async def journaled(self, word: bytes) -> None:
+    async def wait_for_journal(self, word: bytes) -> None:
         """Wait until the relay's journal holds a word."""
 
         async def found() -> None:
@@ -406,14 +420,18 @@
             "discovery": f"127.0.0.1:{self.directory.port}",
             "seed": "8c1f30d27a5be964",
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": self.sockets, "disk_mb": self.disk_mb},
-            "known": {"seq": 0, "whole": True, "hosts": self.known},
+            "known": {"seq": 0, "whole": True, "hosts": self.known_hosts},
             "settings": self.settings,
         }
         path = self.folder / "config.json"
-        beside = path.with_suffix(".new")  # in one piece: a process may be reading it, as it starts
-        beside.write_text(json.dumps(config), encoding="utf-8")
-        beside.replace(path)
-        return os.environ | {"ROUTER_CONFIG": str(path), "ROUTER_STATE": str(self.state)} | self.variables
+        new_path = path.with_suffix(".new")  # in one piece: a process may be reading it, as it starts
+        new_path.write_text(json.dumps(config), encoding="utf-8")
+        new_path.replace(path)
+        return (
+            os.environ
+            | {"ROUTER_CONFIG": str(path), "ROUTER_STATE": str(self.state)}
+            | self.environment_variables
+        )
 
     async def reload(self, text: str | None = None) -> None:
         """Replace the file, by the present directory's address or by any text, and send SIGHUP."""
@@ -423,18 +441,18 @@
         assert self.process is not None
         self.process.send_signal(signal.SIGHUP)
 
-    async def move(self) -> Directory:
+    async def move_directory(self) -> Directory:
         """Discovery moves to another address, with the list as it is; the old one, which still serves."""
         old, self.directory = self.directory, Directory()
         self.directory.seq, self.directory.hosts = old.seq, dict(old.hosts)
         await self.directory.start()
-        self.formers.append(old)
+        self.former_directories.append(old)
         return old
 
     async def run(self) -> Client:
         """Start the relay's process; a client once it answers."""
         self.process = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "mallowlug", *self.words, cwd=ROOT, env=self.environment()
+            sys.executable, "-m", "mallowlug", *self.arguments, cwd=ROOT, env=self.environment()
         )
         client = await self.client()
         assert await client.command(b"PING") == b"+PONG"
@@ -458,7 +476,7 @@
         self.process.kill()
         await self.process.wait()
 
-    async def again(self) -> Client:
+    async def kill_and_restart(self) -> Client:
         """SIGKILL, then the next life with the same folder."""
         await self.kill()
         return await self.run()
