--- a/tests/contracts/directory.py
+++ b/tests/contracts/directory.py
@@ -1,4 +1,4 @@
-"""What every directory has to keep: order of versions, one end, nothing from what cannot be read."""
+"""Contract of directories: versions in order, one end per subscription, invalid data changes nothing."""
 
 from __future__ import annotations
 
@@ -15,68 +15,68 @@
 
 
 class DirectoryPeer(Protocol):
-    """A source of endpoints in the directory's protocol."""
+    """A source of endpoint lists that speaks the directory's protocol."""
 
     address: Address
 
     def change(self, host: str, listing: Listing) -> None:
-        """An endpoint is new or differs: a version of its own."""
+        """Add or change an endpoint, as a new version of the list."""
 
     def repeat_old(self) -> None:
-        """Tell a version that is older than the last, in which every endpoint is ready."""
+        """Send a version that is older than the last, in which every endpoint is ready."""
 
     def garble(self) -> None:
-        """Tell what cannot be read."""
+        """Send invalid data."""
 
     def lose(self) -> None:
-        """Break what followers hold, and fail new ones until ``regain``."""
+        """Break open subscriptions, and fail new ones until ``regain``."""
 
     def regain(self) -> None:
         """Serve again."""
 
     def stop(self) -> None:
-        """Be gone."""
+        """Stop the source."""
 
 
 class ListLog:
-    """What a directory told."""
+    """The lists that a directory delivered."""
 
     def __init__(self) -> None:
         self.lists: list[EndpointList] = []
         self.failures = 0
         self.changed = asyncio.Event()
 
-    def on_list(self, news: EndpointList) -> None:
-        """The core's callback for news."""
-        self.lists.append(news)
+    def on_list(self, update: EndpointList) -> None:
+        """The core's callback for a list."""
+        self.lists.append(update)
         self.changed.set()
 
     def on_end(self) -> None:
-        """The core's callback for the end of what was subscribed to."""
+        """The core's callback for the end of a subscription."""
         self.failures += 1
         self.changed.set()
 
     async def until(self, enough: Callable[[], bool]) -> None:
-        """Wait until what was told is enough."""
+        """Wait until the condition holds for the lists delivered."""
         while not enough():
             self.changed.clear()
             await soon(self.changed.wait())
 
     @property
     def view(self) -> dict[str, Listing]:
-        """The list as the news adds up."""
+        """Listings by host after all updates."""
         view: dict[str, Listing] = {}
-        for news in self.lists:
-            view = {} if news.full else view
-            view |= {listed.entry.host: listed.entry.listing for listed in news.hosts}
+        for update in self.lists:
+            view = {} if update.full else view
+            view |= {listed.entry.host: listed.entry.listing for listed in update.hosts}
         return view
 
 
 class DirectoryContract:
     """Subclass, name it ``Test...`` and supply ``directory`` and ``peer``."""
 
-    def directory(self, address: Address, news: ListLog) -> Directory:
-        """The directory, which holds nothing yet."""
+    def directory(self, address: Address, log: ListLog) -> Directory:
+        """The directory, before any list."""
         raise NotImplementedError
 
     async def peer(self) -> DirectoryPeer:
@@ -85,84 +85,90 @@
 
     @pytest.fixture
     async def rig(self):  # type: ignore[no-untyped-def]
-        """A directory that has told the first list, its news and its peer."""
-        news, peer = ListLog(), await self.peer()
-        directory = self.directory(peer.address, news)
+        """A directory that has delivered the first list, the log of its lists and its peer."""
+        log, peer = ListLog(), await self.peer()
+        directory = self.directory(peer.address, log)
         directory.subscribe()
-        await news.until(lambda: news.view == {"h1": Listing.READY})
-        yield directory, news, peer
+        await log.until(lambda: log.view == {"h1": Listing.READY})
+        yield directory, log, peer
         directory.close()
         peer.stop()
 
-    async def test_changes_are_told_in_the_order_of_versions(
+    async def test_changes_are_delivered_in_version_order(
         self, rig: tuple[Directory, ListLog, DirectoryPeer]
     ) -> None:
-        _, news, peer = rig
+        _, log, peer = rig
         for number in range(2, 12):
             peer.change(f"h{number}", Listing.READY)
         peer.change("h1", Listing.DRAINING)
-        await news.until(lambda: news.view.get("h1") is Listing.DRAINING)
-        assert [told.seq for told in news.lists] == sorted(told.seq for told in news.lists)
-        assert len(news.view) == 11
+        await log.until(lambda: log.view.get("h1") is Listing.DRAINING)
+        assert [update.seq for update in log.lists] == sorted(update.seq for update in log.lists)
+        assert len(log.view) == 11
 
-    async def test_an_old_version_undoes_no_drain(
+    async def test_an_older_version_does_not_undo_a_drain(
         self, rig: tuple[Directory, ListLog, DirectoryPeer]
     ) -> None:
-        _, news, peer = rig
+        _, log, peer = rig
         peer.change("h1", Listing.DRAINING)
-        await news.until(lambda: news.view["h1"] is Listing.DRAINING)
+        await log.until(lambda: log.view["h1"] is Listing.DRAINING)
         peer.repeat_old()
         peer.change("h2", Listing.READY)
-        await news.until(lambda: "h2" in news.view)
-        assert news.view["h1"] is Listing.DRAINING
+        await log.until(lambda: "h2" in log.view)
+        assert log.view["h1"] is Listing.DRAINING
 
     @pytest.mark.parametrize("how", ["lose", "garble"])
-    async def test_its_end_is_told_once_and_it_begins_anew_only_when_asked_to(
+    async def test_the_end_is_reported_once_and_it_restarts_only_on_subscribe(
         self, rig: tuple[Directory, ListLog, DirectoryPeer], how: str
     ) -> None:
-        directory, news, peer = rig
-        before = news.view
+        directory, log, peer = rig
+        before = log.view
         getattr(peer, how)()
-        await news.until(lambda: news.failures == 1)
-        assert news.view == before
+        await log.until(lambda: log.failures == 1)
+        assert log.view == before
         peer.regain()
         peer.change("h2", Listing.READY)
         for _ in range(20):
             await asyncio.sleep(0)
-        assert "h2" not in news.view
+        assert "h2" not in log.view
         directory.subscribe()
-        await news.until(lambda: "h2" in news.view)
-        assert news.failures == 1
+        await log.until(lambda: "h2" in log.view)
+        assert log.failures == 1
 
-    async def test_one_that_works_is_kept(self, rig: tuple[Directory, ListLog, DirectoryPeer]) -> None:
-        directory, news, peer = rig
-        told = len(news.lists)
+    async def test_an_established_subscription_is_kept(
+        self, rig: tuple[Directory, ListLog, DirectoryPeer]
+    ) -> None:
+        directory, log, peer = rig
+        list_count = len(log.lists)
         directory.subscribe()
         peer.change("h2", Listing.READY)
-        await news.until(lambda: "h2" in news.view)
-        assert len(news.lists) == told + 1
-        assert news.failures == 0
+        await log.until(lambda: "h2" in log.view)
+        assert len(log.lists) == list_count + 1
+        assert log.failures == 0
 
-    async def test_a_move_loses_no_change(self, rig: tuple[Directory, ListLog, DirectoryPeer]) -> None:
-        directory, news, peer = rig
+    async def test_an_address_change_loses_no_update(
+        self, rig: tuple[Directory, ListLog, DirectoryPeer]
+    ) -> None:
+        directory, log, peer = rig
         other = await self.peer()
         for _ in range(3):
             other.change("h1", Listing.READY)
         other.change("h1", Listing.DRAINING)
         directory.change_address(other.address)
-        await news.until(lambda: news.view["h1"] is Listing.DRAINING)
+        await log.until(lambda: log.view["h1"] is Listing.DRAINING)
         peer.lose()
         other.change("h2", Listing.READY)
-        await news.until(lambda: "h2" in news.view)
-        assert news.failures == 0
+        await log.until(lambda: "h2" in log.view)
+        assert log.failures == 0
         other.stop()
 
-    async def test_after_close_nothing_is_told(self, rig: tuple[Directory, ListLog, DirectoryPeer]) -> None:
-        directory, news, peer = rig
+    async def test_nothing_is_delivered_after_close(
+        self, rig: tuple[Directory, ListLog, DirectoryPeer]
+    ) -> None:
+        directory, log, peer = rig
         directory.close()
-        told = len(news.lists)
+        list_count = len(log.lists)
         peer.change("h2", Listing.READY)
         peer.lose()
         for _ in range(20):
             await asyncio.sleep(0)
-        assert (len(news.lists), news.failures) == (told, 0)
+        assert (len(log.lists), log.failures) == (list_count, 0)
--- a/tests/contracts/notifier.py
+++ b/tests/contracts/notifier.py
@@ -1,4 +1,4 @@
-"""What every way of telling ends has to keep: owed until confirmed, confirmed once."""
+"""Contract of notifiers: a notice is pending until it is confirmed, and confirmed once."""
 
 from __future__ import annotations
 
@@ -13,26 +13,26 @@
 
 
 class NotifierPeer(Protocol):
-    """The platform in the protocol of the ends."""
+    """The platform, in the notifier's protocol."""
 
     address: Address
 
     def script_replies(self, *replies: str) -> None:
-        """How the next deliveries fare: ``confirm``, ``fail``, ``reset``, ``hang``; then ``confirm``."""
+        """Set the replies to the next posts: ``confirm``, ``fail``, ``reset``, ``hang``; then ``confirm``."""
 
     @property
     def received(self) -> list[tuple[str, str, int]]:
-        """Every end that came, as reference, result and wait in ms."""
+        """Every notice received, as message id, result and wait in ms."""
 
     async def wait_for_calls(self, number: int) -> None:
-        """Wait until so many deliveries have come."""
+        """Wait until that many posts were received."""
 
     def stop(self) -> None:
-        """Be gone."""
+        """Stop the platform."""
 
 
 class Confirmed:
-    """What was confirmed, in order."""
+    """The ids of confirmed notices, in order."""
 
     def __init__(self) -> None:
         self.refs: list[str] = []
@@ -51,7 +51,7 @@
 
 
 class NotifierContract:
-    """Subclass, name it ``Test...`` and supply ``ends`` and ``peer``."""
+    """Subclass, name it ``Test...`` and supply ``notifier`` and ``peer``."""
 
     def notifier(self, address: Address, confirmed: Confirmed) -> Notifier:
         """The port's implementation, not started."""
@@ -63,56 +63,56 @@
 
     @pytest.fixture
     async def rig(self):  # type: ignore[no-untyped-def]
-        """Ends that were started, what was confirmed, and the platform."""
+        """A started notifier, the confirmed ids, and the platform."""
         confirmed, peer = Confirmed(), await self.peer()
-        ends = self.notifier(peer.address, confirmed)
-        ends.start()
-        yield ends, confirmed, peer
-        ends.close()
+        notifier = self.notifier(peer.address, confirmed)
+        notifier.start()
+        yield notifier, confirmed, peer
+        notifier.close()
         peer.stop()
 
-    async def test_an_end_is_told_as_it_is(self, rig: tuple[Notifier, Confirmed, NotifierPeer]) -> None:
-        ends, confirmed, peer = rig
-        ends.send(Notice("m1", "dead"))
-        ends.send(Notice("m2", "bounced", 1500))
+    async def test_a_notice_is_sent_unchanged(self, rig: tuple[Notifier, Confirmed, NotifierPeer]) -> None:
+        notifier, confirmed, peer = rig
+        notifier.send(Notice("m1", "dead"))
+        notifier.send(Notice("m2", "bounced", 1500))
         await confirmed.all("m1", "m2")
         assert sorted(peer.received) == [("m1", "dead", 0), ("m2", "bounced", 1500)]
-        assert ends.unconfirmed == 0
+        assert notifier.unconfirmed == 0
 
     @pytest.mark.parametrize("how", ["fail", "reset", "hang"])
-    async def test_it_is_owed_until_it_is_confirmed_and_confirmed_once(
+    async def test_a_notice_is_pending_until_it_is_confirmed_once(
         self, rig: tuple[Notifier, Confirmed, NotifierPeer], how: str
     ) -> None:
-        ends, confirmed, peer = rig
+        notifier, confirmed, peer = rig
         peer.script_replies(how, how)
-        ends.send(Notice("m1", "dead"))
+        notifier.send(Notice("m1", "dead"))
         await peer.wait_for_calls(2)
-        assert (ends.unconfirmed, confirmed.refs) == (1, [])
+        assert (notifier.unconfirmed, confirmed.refs) == (1, [])
         await confirmed.all("m1")
-        assert (ends.unconfirmed, confirmed.refs) == (0, ["m1"])
+        assert (notifier.unconfirmed, confirmed.refs) == (0, ["m1"])
         assert set(peer.received) == {("m1", "dead", 0)}
 
-    async def test_a_delivery_that_hangs_holds_up_no_other(
+    async def test_a_post_that_hangs_delays_no_other(
         self, rig: tuple[Notifier, Confirmed, NotifierPeer]
     ) -> None:
-        ends, confirmed, peer = rig
+        notifier, confirmed, peer = rig
         peer.script_replies("hang")
-        ends.send(Notice("m1", "dead"))
+        notifier.send(Notice("m1", "dead"))
         await peer.wait_for_calls(1)
-        ends.send(Notice("m2", "dead"))
+        notifier.send(Notice("m2", "dead"))
         await confirmed.all("m2")
         await confirmed.all("m1")
         assert sorted(confirmed.refs) == ["m1", "m2"]
 
-    async def test_what_is_owed_moves_with_the_address(
+    async def test_pending_notices_follow_an_address_change(
         self, rig: tuple[Notifier, Confirmed, NotifierPeer]
     ) -> None:
-        ends, confirmed, peer = rig
+        notifier, confirmed, peer = rig
         peer.script_replies(*["fail"] * 1000)
-        ends.send(Notice("m1", "dead"))
+        notifier.send(Notice("m1", "dead"))
         await peer.wait_for_calls(1)
         other = await self.peer()
-        ends.change_address(other.address)
+        notifier.change_address(other.address)
         await confirmed.all("m1")
         assert other.received == [("m1", "dead", 0)]
         other.stop()
@@ -120,11 +120,11 @@
     async def test_after_close_nothing_is_confirmed(
         self, rig: tuple[Notifier, Confirmed, NotifierPeer]
     ) -> None:
-        ends, confirmed, peer = rig
+        notifier, confirmed, peer = rig
         peer.script_replies(*["hang"] * 10)
-        ends.send(Notice("m1", "dead"))
+        notifier.send(Notice("m1", "dead"))
         await peer.wait_for_calls(1)
-        ends.close()
+        notifier.close()
         for _ in range(20):
             await asyncio.sleep(0)
-        assert (ends.unconfirmed, confirmed.refs) == (1, [])
+        assert (notifier.unconfirmed, confirmed.refs) == (1, [])
--- a/tests/contracts/partners.py
+++ b/tests/contracts/partners.py
@@ -1,4 +1,4 @@
-"""What every partner transport has to keep: each part settled once, and what its verdict proves."""
+"""Contract of partner transports: each part is settled once, and what its verdict proves."""
 
 from __future__ import annotations
 
@@ -23,22 +23,22 @@
     address: Address
 
     def script_replies(self, *replies: str) -> None:
-        """How the next calls fare: ``delivered``, ``refused``, ``wait`` (refused for 60 s), ``error``,
-        ``silent``, ``reset`` or ``partly`` (delivered, refused in turn); after them ``delivered``."""
+        """Set the replies to the next calls: ``delivered``, ``refused``, ``wait`` (refused for 60 s),
+        ``error``, ``silent``, ``reset`` or ``partly`` (delivered, refused in turn); then ``delivered``."""
 
     @property
     def calls(self) -> list[list[str]]:
-        """The ids of every call whose last byte came."""
+        """The message ids of every completely received call."""
 
     async def wait_for_calls(self, number: int) -> None:
-        """Wait until so many calls have come."""
+        """Wait until that many calls were received."""
 
     def stop(self) -> None:
-        """Refuse connections from now on and break those that are open."""
+        """Refuse new connections and break the open ones."""
 
 
 class OutcomeLog:
-    """What a transport settled."""
+    """The outcomes that a transport settled."""
 
     def __init__(self) -> None:
         self.outcomes: list[tuple[str, PartOutcome]] = []
@@ -50,11 +50,11 @@
         self.changed.set()
 
     def of_message(self, ref: str) -> list[PartOutcome]:
-        """All that was settled for a message."""
-        return [told for known, told in self.outcomes if known == ref]
+        """All outcomes of a message."""
+        return [outcome for message_id, outcome in self.outcomes if message_id == ref]
 
     async def first_of_message(self, ref: str) -> PartOutcome:
-        """How a message fared."""
+        """Wait for the first outcome of a message."""
         while not self.of_message(ref):
             self.changed.clear()
             await soon(self.changed.wait())
@@ -74,11 +74,11 @@
 
     @pytest.fixture
     async def rig(self):  # type: ignore[no-untyped-def]
-        """Transport, books and one listed endpoint ``h1``."""
-        books, peer = OutcomeLog(), await self.peer()
-        partners = self.partners(books.settled)
+        """The transport, the log of outcomes and one listed endpoint ``h1``."""
+        log, peer = OutcomeLog(), await self.peer()
+        partners = self.partners(log.settled)
         listed(partners, peer.address)
-        yield partners, books, peer
+        yield partners, log, peer
         partners.close()
         peer.stop()
 
@@ -91,94 +91,96 @@
             ("reset", Verdict.RESET, False),
         ],
     )
-    async def test_what_an_answer_proves(
+    async def test_each_response_proves_its_verdict(
         self, rig: tuple[Partners, OutcomeLog, PartnerPeer], reply: str, verdict: Verdict, complete: bool
     ) -> None:
-        partners, books, peer = rig
+        partners, log, peer = rig
         peer.script_replies(reply)
         partners.send(call("m1"))
-        told = await books.first_of_message("m1")
-        assert (told.verdict, told.complete) == (verdict, complete)
+        outcome = await log.first_of_message("m1")
+        assert (outcome.verdict, outcome.complete) == (verdict, complete)
         assert peer.calls == [["m1"]]
 
-    async def test_each_part_of_a_call_has_its_own_end(
+    async def test_each_part_of_a_call_has_its_own_outcome(
         self, rig: tuple[Partners, OutcomeLog, PartnerPeer]
     ) -> None:
-        partners, books, peer = rig
+        partners, log, peer = rig
         peer.script_replies("partly")
         partners.send(call("m1", "m2", "m3"))
-        told = [(await books.first_of_message(ref)).verdict for ref in ("m1", "m2", "m3")]
-        assert told == [Verdict.OK, Verdict.FULL, Verdict.OK]
+        verdicts = [(await log.first_of_message(ref)).verdict for ref in ("m1", "m2", "m3")]
+        assert verdicts == [Verdict.OK, Verdict.FULL, Verdict.OK]
         assert partners.batch_size("h1") == 4
 
     async def test_a_refused_connection_never_ran(
         self, rig: tuple[Partners, OutcomeLog, PartnerPeer]
     ) -> None:
-        partners, books, peer = rig
+        partners, log, peer = rig
         peer.stop()
         partners.send(call("m1"))
-        assert (await books.first_of_message("m1")).verdict is Verdict.CONNECT_FAILED
+        assert (await log.first_of_message("m1")).verdict is Verdict.CONNECT_FAILED
 
-    async def test_silence_ends_with_the_parts_own_limit_and_may_have_run(
+    async def test_silence_ends_at_the_parts_time_limit_and_may_have_run(
         self, rig: tuple[Partners, OutcomeLog, PartnerPeer]
     ) -> None:
-        partners, books, peer = rig
+        partners, log, peer = rig
         peer.script_replies("silent")
         sent = call("m1")
         sent.parts[0].timeout_us = 300_000
         partners.send(sent)
-        assert (await books.first_of_message("m1")).verdict is Verdict.TIMEOUT
-        assert not (await books.first_of_message("m1")).verdict.never_ran
+        assert (await log.first_of_message("m1")).verdict is Verdict.TIMEOUT
+        assert not (await log.first_of_message("m1")).verdict.never_ran
 
-    async def test_a_cancel_settles_once_and_another_settles_nothing(
+    async def test_a_part_is_settled_by_the_first_cancel_only(
         self, rig: tuple[Partners, OutcomeLog, PartnerPeer]
     ) -> None:
-        partners, books, peer = rig
+        partners, log, peer = rig
         peer.script_replies("silent")
         partners.send(call("m1"))
         await peer.wait_for_calls(1)
         for _ in range(3):
             partners.cancel("m1", 0)
         partners.cancel("nobody", 0)
-        assert [told.verdict for told in books.of_message("m1")] == [Verdict.CANCELLED]
+        assert [outcome.verdict for outcome in log.of_message("m1")] == [Verdict.CANCELLED]
         partners.send(call("m2"))
-        await books.first_of_message("m2")
-        assert len(books.of_message("m1")) == 1
-        assert len(books.outcomes) == 2
+        await log.first_of_message("m2")
+        assert len(log.of_message("m1")) == 1
+        assert len(log.outcomes) == 2
 
-    async def test_a_wait_binds_from_its_answer_on(
+    async def test_a_retry_after_wait_applies_from_its_response_on(
         self, rig: tuple[Partners, OutcomeLog, PartnerPeer]
     ) -> None:
-        partners, books, peer = rig
+        partners, log, peer = rig
         peer.script_replies("wait")
         partners.send(call("m1"))
-        first = await books.first_of_message("m1")
+        first = await log.first_of_message("m1")
         assert first.verdict is Verdict.FULL
         assert first.retry_after_us == 60_000_000
         partners.send(call("m2"))
-        later = await books.first_of_message("m2")
+        later = await log.first_of_message("m2")
         assert later.verdict is Verdict.NOT_SENT
         assert 0 < later.retry_after_us <= 60_000_000
         assert peer.calls == [["m1"]]
 
     @pytest.mark.parametrize("listing", [Listing.DRAINING, Listing.GONE])
-    async def test_news_binds_a_call_that_was_decided_before(
+    async def test_a_list_applies_to_calls_that_were_decided_before(
         self, rig: tuple[Partners, OutcomeLog, PartnerPeer], listing: Listing
     ) -> None:
-        partners, books, peer = rig
+        partners, log, peer = rig
         partners.send(call("m1"))
         listed(partners, peer.address, listing)
-        assert (await books.first_of_message("m1")).verdict.never_ran
+        assert (await log.first_of_message("m1")).verdict.never_ran
         assert peer.calls == []
 
-    async def test_a_call_to_nobody_never_ran(self, rig: tuple[Partners, OutcomeLog, PartnerPeer]) -> None:
-        partners, books, _ = rig
+    async def test_a_call_to_an_unlisted_host_never_ran(
+        self, rig: tuple[Partners, OutcomeLog, PartnerPeer]
+    ) -> None:
+        partners, log, _ = rig
         partners.send(Call("h9", [Part("m1", 0, "", b"x", LIMIT_US)], time.monotonic()))
-        assert (await books.first_of_message("m1")).verdict.never_ran
+        assert (await log.first_of_message("m1")).verdict.never_ran
         assert partners.zone_of("h9") == ""
 
     async def test_close_settles_nothing(self, rig: tuple[Partners, OutcomeLog, PartnerPeer]) -> None:
-        partners, books, peer = rig
+        partners, log, peer = rig
         peer.script_replies("silent")
         partners.send(call("m1"))
         await peer.wait_for_calls(1)
@@ -186,16 +188,16 @@
         partners.close()
         while partners.busy:
             await asyncio.sleep(0.01)
-        assert books.outcomes == []
+        assert log.outcomes == []
 
 
 def call(*refs: str) -> Call:
-    """One call to ``h1``."""
+    """Make a call to ``h1``."""
     return Call("h1", [Part(ref, 0, f"key-{ref}", b"x", LIMIT_US) for ref in refs], time.monotonic())
 
 
 def listed(partners: Partners, address: Address, listing: Listing = Listing.READY) -> None:
-    """The endpoint ``h1`` as the directory lists it."""
+    """List the endpoint ``h1``."""
     partners.apply(
         EndpointList(1, False, (ResolvedEndpoint(EndpointEntry("h1", 1, "a", "banks", listing), address),))
     )
--- a/tests/test_contracts.py
+++ b/tests/test_contracts.py
@@ -1,4 +1,4 @@
-"""The platform's adapters under their ports' contracts."""
+"""The adapters, tested against the contracts of their ports."""
 
 from __future__ import annotations
 
@@ -63,12 +63,12 @@
 
 def partly(request: Request) -> None:
     """Deliver every second message of a batch, refuse the others."""
-    ends = ("delivered", "refused")
-    request.answer(200, "".join(f"{ref} {ends[at % 2]}\r\n" for at, ref in enumerate(request.ids)))
+    results = ("delivered", "refused")
+    request.answer(200, "".join(f"{ref} {results[index % 2]}\r\n" for index, ref in enumerate(request.ids)))
 
 
 class HttpPeer:
-    """A scripted HTTP/1.1 server under the names that the contracts use."""
+    """A scripted HTTP/1.1 server with the interface that the contracts use."""
 
     def __init__(self, server: HttpServer, replies: dict[str, Reply]) -> None:
         self.server, self._replies = server, replies
@@ -95,8 +95,8 @@
 
 class TestHttpCalls(PartnersContract):
     def partners(self, settled: PartSettled) -> Partners:
-        ends: Any = {"settled": settled, "released": lambda _part: None}
-        return HttpPartners([KIND], 15_000_000, 10_000_000, 10, **ends, system=POSIX)
+        callbacks: Any = {"settled": settled, "released": lambda _part: None}
+        return HttpPartners([KIND], 15_000_000, 10_000_000, 10, **callbacks, system=POSIX)
 
     async def peer(self) -> HttpPeer:
         server = HttpServer(delivered)
@@ -119,7 +119,7 @@
 
 
 class DiscoveryPeer:
-    """The scripted directory under the names that the contract uses."""
+    """The scripted directory with the interface that the contract uses."""
 
     def __init__(self, server: world.Directory) -> None:
         self._server = server
--- a/tests/test_corrupt_responses.py
+++ b/tests/test_corrupt_responses.py
@@ -1,4 +1,4 @@
-"""Answers that are spoilt or bring more than belongs to them: what they prove, and what they leave behind."""
+"""Corrupt responses and extra data after a response: what they prove, and the connection's reuse."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 def write_response(data: bytes, whole: bool, endless: bytes = b"") -> Reply:
-    """Write an answer in one piece or byte by byte, then more and more of it; the connection stays open."""
+    """Write a response in one piece or byte by byte, then ``endless`` repeatedly; stay connected."""
 
     async def pieces(writer: asyncio.StreamWriter) -> AsyncIterator[bytes]:
         for at in range(0, len(data), len(data) if whole else 1):
@@ -35,7 +35,7 @@
                 await writer.drain()
                 await asyncio.sleep(0)
         except ConnectionError:
-            pass  # the relay has closed, as it should
+            pass  # the relay has closed the connection, as expected
 
     def reply(request: Request) -> None:
         TASKS.append(asyncio.create_task(write(request.writer)))
@@ -62,8 +62,8 @@
 
 @pytest.mark.parametrize("whole", [True, False], ids=["one piece", "byte by byte"])
 @pytest.mark.parametrize("name", CORRUPT)
-async def test_a_spoilt_answer_may_have_run(name: str, whole: bool) -> None:
-    """Whatever its head says: the request has run, and taken for "never ran" it would run twice."""
+async def test_a_corrupt_response_may_have_run(name: str, whole: bool) -> None:
+    """Whatever its head says: the request may have run, and taken for "never ran" it would be duplicated."""
     host = await serving()
     calls = Calls(host.port)
     host.script.append(write_response(CORRUPT[name], whole or len(CORRUPT[name]) > 1000))
@@ -72,7 +72,7 @@
     assert calls.hosts.exchanges == {}
     calls.send("m2")
     assert (await calls.outcome("m2")).verdict is Verdict.OK
-    assert host.connections == 2  # the spoilt one is of no further use
+    assert host.connections == 2  # the first one is not reused
     host.stop()
 
 
@@ -89,13 +89,13 @@
         NOISE,
     ],
 )
-async def test_a_first_line_that_says_200_is_true_for_one_message(rest: bytes, whole: bool) -> None:
+async def test_a_status_line_with_200_proves_delivery_of_a_single_message(rest: bytes, whole: bool) -> None:
     host = await serving()
     calls = Calls(host.port)
     host.script.append(write_response(b"HTTP/1.1 200 OK\r\n" + rest, whole or len(rest) > 1000))
     calls.send("m1")
-    told = await calls.outcome("m1")
-    assert (told.verdict, told.complete) == (Verdict.OK, True)
+    outcome = await calls.outcome("m1")
+    assert (outcome.verdict, outcome.complete) == (Verdict.OK, True)
     while calls.hosts.exchanges:
         await asyncio.sleep(0.01)
     calls.send("m2")
@@ -106,7 +106,7 @@
 
 @pytest.mark.parametrize("head", [b"HTTP/1.1 200 OK\r\n", b"HTTP/1.1 503 X\r\n"])
 @pytest.mark.parametrize("endless", [b"X-Pad: pppppppp\r\n", b"Content-Length: 3000000000\r\n\r\n"])
-async def test_an_answer_that_keeps_coming_frees_slot_and_connection(head: bytes, endless: bytes) -> None:
+async def test_an_endless_response_frees_slot_and_connection(head: bytes, endless: bytes) -> None:
     host = await serving()
     calls = Calls(host.port)
     host.script.append(write_response(head, True, endless))
@@ -132,15 +132,15 @@
         BATCH.replace(b"Content-Length: 26", b"Transfer-Encoding: chunked").replace(b"m1", b"zz\r\nm1"),
     ],
 )
-async def test_a_spoilt_batch_answer_proves_nothing(data: bytes, whole: bool) -> None:
-    """Not even its first line, nor the lines that look whole: another's may have been cut out before."""
+async def test_a_corrupt_batch_response_proves_nothing(data: bytes, whole: bool) -> None:
+    """Neither its status line nor its intact lines count: the line of another message may be missing."""
     host = await serving()
     calls = Calls(host.port)
     host.script.append(write_response(data, whole))
     calls.send("m1", "m2")
     for ref in ("m1", "m2"):
-        told = await calls.outcome(ref)
-        assert (told.verdict, told.complete) == (Verdict.ERROR, False)
+        outcome = await calls.outcome(ref)
+        assert (outcome.verdict, outcome.complete) == (Verdict.ERROR, False)
     calls.send("m3")
     await calls.outcome("m3")
     assert host.connections == 2
@@ -153,22 +153,22 @@
 )
 @pytest.mark.parametrize("behind", [b"", NOISE, OK])
 @pytest.mark.parametrize("good", [OK, FULL])
-async def test_more_than_belongs_to_it_spoils_no_good_answer(
+async def test_extra_data_does_not_invalidate_a_response(
     good: bytes, behind: bytes, ahead: bytes, whole: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(http, "RESPONSE_TIMEOUT_S", WAIT_LIMIT_S)  # however slow the machine writes it
+    monkeypatch.setattr(http, "RESPONSE_TIMEOUT_S", WAIT_LIMIT_S)  # a slow machine may take long to write it
     host = await serving()
     calls = Calls(host.port)
     host.script.append(write_response(ahead + good + behind, whole))
     calls.send("m1")
-    told = await calls.outcome("m1")
-    assert told.verdict is (Verdict.OK if good == OK else Verdict.FULL)
-    assert told.retry_after_us == (0 if good == OK else 100_000)
+    outcome = await calls.outcome("m1")
+    assert outcome.verdict is (Verdict.OK if good == OK else Verdict.FULL)
+    assert outcome.retry_after_us == (0 if good == OK else 100_000)
     host.stop()
 
 
 @pytest.mark.parametrize("behind", [NOISE, OK, BATCH])
-async def test_what_came_behind_is_never_the_next_answer(behind: bytes) -> None:
+async def test_extra_data_is_never_taken_for_the_next_response(behind: bytes) -> None:
     host = await serving(lambda request: request.answer(500))
     calls = Calls(host.port)
     host.script.append(write_response(OK + behind, True))
@@ -181,22 +181,22 @@
     host.stop()
 
 
-async def test_a_final_answer_may_come_long_after_a_1xx() -> None:
-    """Only an answer that has begun has to end soon."""
+async def test_a_final_response_may_come_long_after_a_1xx() -> None:
+    """Only a response that has started must be complete soon."""
     host = await serving()
     calls = Calls(host.port)
     host.script.append(lambda request: request.writer.write(b"HTTP/1.1 102 Processing\r\n\r\n"))
     calls.send("m1")
     request = await host.call(0)
-    await asyncio.sleep(1.1)  # longer than the bound on an answer that has begun
+    await asyncio.sleep(1.1)  # longer than RESPONSE_TIMEOUT_S
     assert calls.told == {}
     delivered(request)
     assert (await calls.outcome("m1")).verdict is Verdict.OK
     host.stop()
 
 
-async def test_a_limit_within_an_answer_is_no_silence() -> None:
-    """Taken for a time-out it would be laid to the connection, and idle ones would be closed ever sooner."""
+async def test_a_time_limit_within_a_response_is_no_timeout() -> None:
+    """A timeout verdict would be attributed to the connection, and idle ones would be closed ever earlier."""
     host = await serving()
     calls = Calls(host.port)
     host.script.append(write_response(b"HTTP/1.1 503 X\r\nX-Pad: ", True))
@@ -209,7 +209,7 @@
     host.stop()
 
 
-async def test_1xx_answers_without_end_are_no_answer() -> None:
+async def test_endless_1xx_responses_are_an_error() -> None:
     host = await serving()
     calls = Calls(host.port)
     host.script.append(write_response(100 * b"HTTP/1.1 100 Continue\r\n\r\n", True))
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -1,4 +1,4 @@
-"""Moments in which two things cross: a signal, a connection's end, a deadline at the wrong instant."""
+"""Races: signals, closed connections and deadlines that coincide with requests and calls."""
 
 from __future__ import annotations
 
@@ -18,10 +18,10 @@
 
 
 @pytest.mark.parametrize("first", [signal.SIGHUP, signal.SIGTERM])
-async def test_sigterm_twice_and_with_sighup_around_it_still_ends_in_order(
+async def test_repeated_sigterm_with_sighup_around_it_still_shuts_down_cleanly(
     world: World, first: signal.Signals
 ) -> None:
-    """What is taken on between the signals gets its answer, its call and its end in one life or the next."""
+    """A message accepted between the signals is answered, and delivered before or after the restart."""
     host = await world.add("h1")
     client = await world.run()
     await client.submit_until_accepted("m1")
@@ -30,15 +30,15 @@
         world.process.send_signal(number)
     assert await client.submit("m2") == b"+OK"
     assert await soon(world.process.wait()) == 0
-    await world.run()  # a call that could not end before the process is made by the next one
+    await world.run()  # a call that did not finish in time is made by the next process
     await host.until(lambda: {"m1", "m2"} <= {ref for seen in host.seen for ref in seen.ids})
 
 
-async def test_a_client_that_goes_on_sending_through_a_shutdown_has_every_answer_or_a_close_between(
+async def test_a_client_that_sends_during_a_shutdown_gets_every_answer_or_a_close_between_requests(
     world: World,
 ) -> None:
-    """On an open connection, until the process closes it between two requests: none is cut with no answer."""
-    await world.add("h1", silent)  # no call can end
+    """The process closes an open connection only between two requests: none is left without an answer."""
+    await world.add("h1", silent)  # no call can finish
     client = await world.run()
     await client.submit_until_accepted("m0")
     assert world.process is not None
@@ -49,7 +49,9 @@
             answers.append(await client.submit(f"m{number}"))
         except ConnectionError:
             break
-        if answers[-1] == b"":  # closed: what crossed it was not read, and comes once more on a new one
+        if (
+            answers[-1] == b""
+        ):  # closed: a request in transit was not read and is repeated on a new connection
             break
         taken += answers[-1] == b"+OK"
     assert all(answer == b"+OK" or answer.startswith(b"-BUSY") for answer in answers if answer)
@@ -57,8 +59,8 @@
     assert await soon(world.process.wait()) == 0
 
 
-async def test_what_crossed_the_close_is_answered_on_a_new_connection(world: World) -> None:
-    """The process still listens as it parts from its clients: the request comes again and has its answer."""
+async def test_a_request_in_transit_at_the_close_is_answered_on_a_new_connection(world: World) -> None:
+    """The process still listens while it drains its clients, so the repeated request gets an answer."""
     await world.add("h1", silent)
     client = await world.run()
     await client.submit_until_accepted("m0")
@@ -71,8 +73,8 @@
     assert await soon(world.process.wait()) == 0
 
 
-async def test_a_client_gone_before_its_answer_does_not_take_its_message_along(world: World) -> None:
-    """Much sent at once and then gone: whole requests are taken on, half a one is not, others are served."""
+async def test_messages_of_a_client_that_disconnects_before_the_answer_are_kept(world: World) -> None:
+    """Of many requests sent before a disconnect, complete ones are accepted and the incomplete one is not."""
     host = await world.add("h1")
     other = await world.run()
     await other.submit_until_accepted("m0")
@@ -86,7 +88,7 @@
     assert "half" not in {ref for seen in host.seen for ref in seen.ids}
 
 
-async def test_a_client_that_ends_its_sending_still_has_its_answer(world: World) -> None:
+async def test_a_client_that_shuts_down_its_sending_side_still_gets_its_answer(world: World) -> None:
     await world.add("h1")
     client = await world.run()
     client.writer.write(encode_command(*enqueue("m1")))
@@ -95,8 +97,8 @@
     assert await soon(client.reader.read()) == b""
 
 
-async def test_a_close_over_unread_bytes_does_not_take_answers_back(world: World) -> None:
-    """Far more was sent than is read before the close: a reset would go past what the client has not read."""
+async def test_a_close_with_unread_data_does_not_discard_answers(world: World) -> None:
+    """Far more was sent than is read before the close: a reset would discard answers in transit."""
     await world.add("h1")
     await world.run()
     client = await world.client()
@@ -106,8 +108,8 @@
     assert len(answers) == 1 + MAX_ERRORS and all(answer.startswith(b"-ERR") for answer in answers[1:])
 
 
-async def test_a_request_behind_the_shutdown_of_its_connection_is_not_taken_on(world: World) -> None:
-    """Its client has no answer on that connection, and sends it once more on another one."""
+async def test_a_request_after_the_shutdown_of_its_connection_is_not_accepted(world: World) -> None:
+    """Its client gets no answer on that connection and repeats the request on another one."""
     host = await world.add("h1")
     client = await world.run()
     await client.submit_until_accepted("m0")
@@ -125,8 +127,8 @@
     assert "m1" not in {ref for seen in host.seen for ref in seen.ids}
 
 
-async def test_who_sends_without_a_pause_is_not_cut_for_a_request_without_end(world: World) -> None:
-    """At every look a part of the next request stands there, and never the same one."""
+async def test_a_client_that_sends_without_pause_does_not_time_out(world: World) -> None:
+    """Each check finds part of a request in the buffer, but never of the same one."""
     await world.add("h1")
     await world.run()
     client, ping = await world.client(), encode_command(b"PING")
@@ -141,7 +143,7 @@
 
 
 def hold_new_connections(calls: Calls) -> asyncio.Event:
-    """Connections come up, but are not the relay's to use until the gate is set."""
+    """Withhold new connections from the relay until the returned event is set."""
     gate, opened = asyncio.Event(), calls.hosts._open
 
     async def late(name: str) -> object:
@@ -153,8 +155,8 @@
     return gate
 
 
-async def test_a_connection_that_is_up_only_after_the_calls_time_carries_nothing() -> None:
-    """It came up late: its message has had its end, or gone elsewhere."""
+async def test_a_connection_established_after_the_calls_time_limit_carries_nothing() -> None:
+    """By then its message is final or was sent elsewhere."""
     host = await serving()
     calls = Calls(host.port)
     gate = hold_new_connections(calls)
@@ -167,7 +169,7 @@
     host.stop()
 
 
-async def test_a_call_that_comes_up_late_to_a_host_that_went_is_not_made() -> None:
+async def test_a_call_that_connects_late_to_an_unlisted_host_is_not_sent() -> None:
     host = await serving()
     calls = Calls(host.port)
     gate = hold_new_connections(calls)
@@ -181,8 +183,8 @@
     host.stop()
 
 
-async def test_a_keyed_message_whose_window_passes_while_it_connects_is_not_written() -> None:
-    """The repeat was chosen in time; a connection that comes up late would carry it behind its window."""
+async def test_a_keyed_message_whose_window_passes_while_connecting_is_not_sent() -> None:
+    """The repeat was decided in time, but a slow connection would carry it after the deduplication window."""
     host = await serving()
     calls = Calls(host.port)
     gate = hold_new_connections(calls)
@@ -200,7 +202,7 @@
     host.stop()
 
 
-def test_a_repeat_says_by_when_its_key_is_known() -> None:
+def test_a_repeat_carries_the_end_of_its_deduplication_window() -> None:
     relay = DecisionEngine(settings(), 1)
     first = sends(relay.step(SECOND, [roster(entry("h1")), arrival("k", KEYED)]))
     assert [send.start_within_us for send in first] == [0]
@@ -209,12 +211,12 @@
 
 
 def empty_list() -> EndpointList:
-    """A whole list that names nobody."""
+    """A full list without hosts."""
     return EndpointList(2, True, ())
 
 
-async def test_a_wait_told_while_another_message_connects_binds_its_write(world: World) -> None:
-    """Every other message of the destination, also one whose connection is being opened as the wait comes."""
+async def test_a_retry_after_wait_received_while_another_message_connects_applies_to_it(world: World) -> None:
+    """The wait applies to all messages of the destination, also to one that is connecting as it arrives."""
 
     def told_to_wait(request: Request) -> None:
         request.answer(429, X_Retry_In_Ms="60000")
--- a/tests/test_deadlines.py
+++ b/tests/test_deadlines.py
@@ -1,4 +1,4 @@
-"""A message's time over all that takes time here: reading it, a restart, a step, a call, a late answer."""
+"""Deadlines include all processing time: intake, a restart, a step, a call, and a late response."""
 
 from __future__ import annotations
 
@@ -25,27 +25,27 @@
 from tests.support import KEYED, SECOND, UNSAFE, arrival, entry, roster, sends, settings
 from tests.world import World, delivered, settings_json, silent
 
-LAG_US = 13_000  # what a step, or taking up a journal of 90 messages, took on a scaled-down core
+LAG_US = 13_000  # duration of a step, or of recovering a journal of 90 messages, on a scaled-down CPU core
 NOW_US = 100 * SECOND
 
 
-def test_a_message_that_waited_for_its_step_has_so_much_less_time() -> None:
+def test_the_wait_for_a_step_counts_against_the_deadline() -> None:
     relay = DecisionEngine(settings(), 1)
     waited = replace(arrival("m1", UNSAFE, left_us=2 * SECOND), received_us=SECOND - LAG_US)
     [send] = sends(relay.step(SECOND, [roster(entry("h1")), waited]))
     assert send.timeout_us == 2 * SECOND - LAG_US
 
 
-def test_a_try_of_a_former_life_is_no_younger_for_the_time_that_a_restart_takes() -> None:
+def test_the_age_of_a_recovered_attempt_includes_the_restart() -> None:
     relay = DecisionEngine(settings(), 1)
-    found = replace(
+    recovered = replace(
         arrival("k1", KEYED), attempts=1, in_doubt_age_us=SECOND, in_doubt_zone="a", received_us=SECOND
     )
-    [send] = sends(relay.step(SECOND + LAG_US, [roster(entry("h1")), found]))
+    [send] = sends(relay.step(SECOND + LAG_US, [roster(entry("h1")), recovered]))
     assert send.start_within_us == KEYED.window_us - SECOND - LAG_US - settings().round_us
 
 
-async def test_a_calls_time_counts_from_its_step_and_not_from_when_it_is_let_out() -> None:
+async def test_a_calls_time_limit_counts_from_its_step_not_from_its_sending() -> None:
     host = await serving(silent)
     calls = Calls(host.port)
     sent_s = asyncio.get_running_loop().time() - 5.0
@@ -59,7 +59,7 @@
 
 
 class SlowClock:
-    """A monotonic clock that goes on at every look, as on a core where all that is done takes long."""
+    """A monotonic clock that advances at every reading, as on a CPU core where every operation is slow."""
 
     def __init__(self, lag_us: int) -> None:
         self.lag_us, self.now_us = lag_us, NOW_US
@@ -70,7 +70,7 @@
 
 
 class CoreUnderTest:
-    """A driver between ports that only listen."""
+    """A relay core with stub adapters that record what they receive."""
 
     def __init__(self, folder: Path, lag_us: int = 0) -> None:
         self.calls: list[Call] = []
@@ -79,45 +79,45 @@
         self.settled: Callable[[Call, Part, PartOutcome], None]
         self.confirmed: Callable[[str], None]
         partners = Mock(batch_size=lambda _host: 1, zone_of=lambda _host: "a", send=self.calls.append)
-        ends = Mock(send=self.notices.append)
+        notifier = Mock(send=self.notices.append)
 
-        def partners_of(settled: Callable[[Call, Part, PartOutcome], None], _released: object) -> Mock:
+        def make_partners(settled: Callable[[Call, Part, PartOutcome], None], _released: object) -> Mock:
             self.settled = settled
             return partners
 
-        def ends_of(confirmed: Callable[[str], None]) -> Mock:
+        def make_notifier(confirmed: Callable[[str], None]) -> Mock:
             self.confirmed = confirmed
-            return ends
+            return notifier
 
         self.journal = Journal(folder, 1_000_000, POSIX.disk)
         self.driver = RelayCore(
             settings=settings(), seed=1, journal=self.journal,
-            plugs=Adapters(partners_of, lambda *_: Mock(), ends_of),
+            plugs=Adapters(make_partners, lambda *_: Mock(), make_notifier),
             clock=Clock(0, self.slow, lambda: True), listings=Listings(1024, 60.0), figures=Metrics(()),
             outs=DisabledHosts(folder, POSIX.disk), crashed=lambda error: pytest.fail(repr(error)),
         )  # fmt: skip
-        self.steps: list[int] = []  # when each step was, by the module's clock
+        self.steps: list[int] = []  # times of the steps, by the decision engine's clock
         module = self.driver._module
         step = module.step
 
-        def noted(now_us: int, events: Iterable[api.Event]) -> list[api.Action]:
+        def recorded_step(now_us: int, events: Iterable[api.Event]) -> list[api.Action]:
             self.steps.append(now_us)
             return step(now_us, events)
 
-        module.step = noted  # type: ignore[method-assign]
+        module.step = recorded_step  # type: ignore[method-assign]
 
     def start(self) -> None:
-        """With one host on the list."""
+        """Start with one host on the list."""
         self.driver.start(EndpointList(1, True, (ResolvedEndpoint(entry("h1"), ("127.0.0.1", 1)),)))
 
-    async def called(self) -> Call:
-        """The first call, once it is let out."""
+    async def first_call(self) -> Call:
+        """Wait for the first call and return it."""
         while not self.calls:
             await asyncio.sleep(0)
         return self.calls[0]
 
     def close(self) -> None:
-        """Let go of everything."""
+        """Close the relay core and its journal."""
         self.driver.close()
         self.journal.close()
 
@@ -127,10 +127,8 @@
 
 
 @pytest.mark.parametrize("restarted", [False, True])
-async def test_no_call_outlasts_its_message_however_long_the_steps_take(
-    tmp_path: Path, restarted: bool
-) -> None:
-    """An answer came 6 ms behind the message's time, within a call that had 13 ms too many: lost."""
+async def test_no_call_outlasts_its_message_however_long_steps_take(tmp_path: Path, restarted: bool) -> None:
+    """A response came 6 ms after the deadline, in a call that lasted 13 ms too long: a lost message."""
     core = CoreUnderTest(tmp_path, LAG_US)
     core.start()
     core.driver.submit(submission(2 * SECOND), b"x")
@@ -138,32 +136,32 @@
         core.close()
         core = CoreUnderTest(tmp_path, LAG_US)
         core.start()
-    call = await core.called()
+    call = await core.first_call()
     assert core.steps[-1] + call.parts[0].timeout_us == NOW_US + 2 * SECOND
     core.close()
 
 
 @pytest.mark.parametrize(
-    ("left_us", "told"),
+    ("left_us", "notified"),
     [(SECOND, False), (NEAR_US + 1, False), (NEAR_US - 1, True), (0, True), (-LAG_US, True)],
 )
-async def test_an_answer_at_or_behind_the_messages_time_is_not_trusted_alone(
-    tmp_path: Path, left_us: int, told: bool
+async def test_a_response_at_or_after_the_deadline_still_sends_a_notice(
+    tmp_path: Path, left_us: int, notified: bool
 ) -> None:
-    """Whether it was written in time nobody here can know; a notice for what is over does no harm."""
+    """The relay can't know if it was written in time; a notice for a delivered message does no harm."""
     core = CoreUnderTest(tmp_path)
     core.start()
     core.driver.submit(submission(2 * SECOND), b"x")
-    call = await core.called()
+    call = await core.first_call()
     core.slow.now_us = NOW_US + 2 * SECOND - left_us
     core.settled(call, call.parts[0], PartOutcome(api.Verdict.OK, complete=True))
-    assert core.notices == [Notice("m1", "dead")] * told
+    assert core.notices == [Notice("m1", "dead")] * notified
     core.close()
     again = CoreUnderTest(tmp_path)
-    assert set(again.journal.recovered) == ({"m1"} if told else set())
+    assert set(again.journal.recovered) == ({"m1"} if notified else set())
     again.start()
-    assert again.notices == [Notice("m1", "dead")] * told  # until it is confirmed
-    if told:
+    assert again.notices == [Notice("m1", "dead")] * notified  # repeated until it is confirmed
+    if notified:
         again.confirmed("m1")
     again.close()
     last = CoreUnderTest(tmp_path)
@@ -171,19 +169,19 @@
     last.close()
 
 
-async def test_found_beside_thousands_an_answer_behind_its_time_still_ends_with_a_notice(
+async def test_a_response_after_the_deadline_sends_a_notice_also_after_a_large_recovery(
     world: World,
 ) -> None:
-    """The more a restart found, the later it took each message's time to be up."""
+    """The more messages a restart recovered, the later it took each deadline to be."""
     world.disk_mb = 30.0
     world.settings = settings_json(open_cap=10_000)
-    world.list_unserved_destination(2)  # nobody serves it: what is held for it stays held
+    world.list_unserved_destination(2)  # no host serves it, so its messages stay held
     host = await world.add("h1", silent)
     client = await world.run()
     await client.submit_until_accepted("m0", dest=2)
-    loop, most_s = asyncio.get_running_loop(), 4.0
-    end_s = loop.time() + most_s
-    assert await client.submit("m1", d=int(most_s * 1000)) == b"+OK"
+    loop, deadline_s = asyncio.get_running_loop(), 4.0
+    end_s = loop.time() + deadline_s
+    assert await client.submit("m1", d=int(deadline_s * 1000)) == b"+OK"
     await host.until(lambda: any("m1" in request.ids for request in host.seen))
     await world.kill()
     journal = Journal(world.state, 30_000_000, POSIX.disk)
@@ -195,5 +193,5 @@
     await world.run()
     await host.until(lambda: any("m1" in request.ids for request in host.seen))
     late = next(request for request in host.seen if "m1" in request.ids)
-    loop.call_at(end_s + 0.002, delivered, late)  # the gate: behind the message's time, and only just
+    loop.call_at(end_s + 0.002, delivered, late)  # just after the message's deadline
     assert (await world.directory.notice("m1"))["result"] in ("dead", "bounced")
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -1,4 +1,4 @@
-"""Failures met on the bench, each shown by the module alone: what it sees, and what it must not do."""
+"""Failures seen in simulation, reproduced with the decision engine alone."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 def drive(checker: Checker, until_us: int, feed: Feed, answer: Answer) -> list[tuple[int, api.Send]]:
-    """Run a relay against scripted answers: (verdict, after us) for each send; None: only its time-out."""
+    """Run a relay against scripted answers: (verdict, after us) for each send; None: it times out."""
     log: list[tuple[int, api.Send]] = []
     due: list[tuple[int, api.Outcome]] = []
     for now_us in range(checker.now_us + 20_000, until_us, 20_000):
@@ -37,8 +37,8 @@
         due = [(at_us, outcome) for at_us, outcome in due if at_us > now_us]
         for send in sends(checker.step(now_us, [*events, api.TimerDue(), *feed(now_us)])):
             attempt = len(checker.cases[send.id].attempts) - 1
-            said = answer(now_us, send, attempt)
-            verdict, took_us = said or (api.Verdict.TIMEOUT, send.timeout_us)
+            result = answer(now_us, send, attempt)
+            verdict, took_us = result or (api.Verdict.TIMEOUT, send.timeout_us)
             if took_us > send.timeout_us:
                 verdict, took_us = api.Verdict.TIMEOUT, send.timeout_us
             due.append((now_us + took_us, ended(send, verdict, attempt, took_us)))
@@ -47,14 +47,14 @@
 
 
 def steady_load(gap_us: int, cls: api.MessageClass = SAFE, dests: tuple[int, ...] = (1,)) -> Feed:
-    """A message for each destination every so often."""
+    """A message for each destination every ``gap_us``."""
     return lambda now_us: [
         arrival(f"{cls.name}{dest}-{now_us}", cls, dest) for dest in dests if now_us % gap_us == 0
     ]
 
 
-def test_a_limit_far_under_the_told_rate_is_not_hammered() -> None:
-    """Incident i2ed9dd: a lowered limit drew refusals for as long as it lasted."""
+def test_few_calls_are_sent_at_a_limit_far_below_the_announced_rate() -> None:
+    """Incident i2ed9dd: a lowered limit caused refusals for as long as it lasted."""
     checker = Checker(settings(rate_hints_given=True, max_held_messages=500))
     checker.step(0, [roster(entry("h1", rate=20.0))])
     served: list[int] = []
@@ -68,12 +68,12 @@
     log = drive(checker, 20 * SECOND, steady_load(60_000, KEYED), three_a_second)
     calls = sum(at_us > 10 * SECOND for at_us, _ in log)
     taken = sum(at_us > 10 * SECOND for at_us in served)
-    assert calls <= 1.5 * taken, "few calls for each one that is served"
+    assert calls <= 1.5 * taken, "too many calls for each one that is served"
     assert taken >= 15
 
 
-def test_short_slots_go_where_they_earn_most_in_their_time() -> None:
-    """Crawling destinations just inside the time-out must not take the slots of the quick ones."""
+def test_scarce_call_slots_go_to_the_fast_destination() -> None:
+    """Slow destinations just within the timeout must not take the call slots of the fast ones."""
     checker = Checker(settings(max_calls=4, max_held_messages=500))
     checker.step(0, [roster(entry("slow", dest=1), entry("quick", dest=2))])
 
@@ -82,21 +82,21 @@
 
     log = drive(checker, 12 * SECOND, steady_load(40_000, dests=(1, 2)), answer)
     quick = sum(send.host == "quick" and at_us > 4 * SECOND for at_us, send in log)
-    assert quick >= 0.8 * 8 * 25, "nearly all of the quick destination's messages go out"
+    assert quick >= 0.8 * 8 * 25, "nearly all of the quick destination's messages must be sent"
 
 
-def test_one_trial_at_a_time_for_all_failing_routes_of_a_destination() -> None:
-    """A connection that fails holds its slot for as long as connecting may take (incident ib87010)."""
+def test_failing_routes_of_a_destination_get_one_trial_call_at_a_time() -> None:
+    """A failing connection occupies its slot until the connect timeout (incident ib87010)."""
     checker = Checker(settings(max_held_messages=500))
     checker.step(0, [roster(*(entry(f"h{n}", kind="split") for n in range(4)))])
     log = drive(checker, 12 * SECOND, steady_load(50_000), lambda *_: (api.Verdict.CONNECT_FAILED, SECOND))
     sent = sorted({at_us for at_us, _ in log if at_us > 6 * SECOND})  # messages of one call share a time
-    assert sent, "trials go on"
+    assert sent, "trial calls must continue"
     assert all(later - at_us >= SECOND for at_us, later in itertools.pairwise(sent))
 
 
-def test_a_brief_stall_is_not_taken_for_an_outage() -> None:
-    """A pause of hundreds of milliseconds ends in late answers, and full speed at once."""
+def test_a_brief_stall_is_not_treated_as_an_outage() -> None:
+    """After a pause of hundreds of milliseconds answers are late, and the full rate resumes at once."""
     checker = Checker(settings(max_held_messages=500))
     checker.step(0, [roster(entry("h1"))])
 
@@ -105,12 +105,12 @@
         return OK, 400_000 if pause else 80_000
 
     log = drive(checker, 20 * SECOND, steady_load(100_000), answer)
-    assert len(log) == len(checker.cases), "no repeats"
+    assert len(log) == len(checker.cases), "no message may be repeated"
     assert len([1 for at_us, _ in log if at_us > 18 * SECOND]) >= 17
     assert not [a for a in checker.trace if isinstance(a, api.Log | api.Fail | api.Refuse)]
 
 
-def test_silence_shows_as_overdue_calls_and_stops_new_ones_before_any_timeout() -> None:
+def test_overdue_calls_stop_new_ones_before_any_timeout() -> None:
     checker = Checker(settings(max_held_messages=500))
     checker.step(0, [roster(entry("h1"), entry("h2", dest=2))])
 
@@ -120,7 +120,7 @@
 
     log = drive(checker, 4_800_000, steady_load(50_000, UNSAFE, (1, 2)), answer)
     after = [at_us for at_us, send in log if send.host == "h1" and at_us > 4_600_000]
-    assert not after, "unsafe calls run long, but no more of them go there"
+    assert not after, "no further unsafe call may go there while some are overdue"
 
 
 def test_a_connection_limit_beside_successes_is_no_outage() -> None:
@@ -136,11 +136,11 @@
         return OK, 300_000
 
     log = drive(checker, 20 * SECOND, steady_load(160_000), two_at_once)
-    assert len({send.id for at_us, send in log if at_us > 10 * SECOND}) >= 55, "the rate goes on"
+    assert len({send.id for at_us, send in log if at_us > 10 * SECOND}) >= 55, "the call rate must not drop"
     assert checker.relay.endpoints["h1"].own.slow.cold_since_us < 0
 
 
-def test_one_flooding_tenant_goes_last() -> None:
+def test_a_flooding_tenant_is_served_last() -> None:
     checker = Checker(settings(max_calls=1, max_held_messages=500))
     checker.step(0, [roster(entry("h1"))])
 
@@ -154,8 +154,8 @@
     assert sum(name in served for name in big) >= 0.9 * len(big)
 
 
-def test_connections_cut_while_idle_are_closed_in_time_and_harm_no_endpoint() -> None:
-    """Incident i3a3909: every call on a connection idle for half a second was reset at once."""
+def test_connections_reset_while_idle_are_closed_earlier_and_not_held_against_the_endpoint() -> None:
+    """Incident i3a3909: each call on a connection that was idle for half a second was reset at once."""
     checker = Checker(settings(max_held_messages=500, keepalive_us=10 * SECOND))
     checker.step(0, [roster(entry("h1"))])
     ended_us = [0]
@@ -171,21 +171,23 @@
 
     log = drive(checker, 40 * SECOND, steady_load(800_000, UNSAFE), answer)
     assert 1 <= len(resets) <= 12
-    assert len([at_us for at_us in resets if at_us > 20 * SECOND]) <= 4, "most are spared once it is learned"
+    assert len([at_us for at_us in resets if at_us > 20 * SECOND]) <= 4, (
+        "most resets must be avoided once the idle limit is learned"
+    )
     assert len(log) >= 45
     endpoint = checker.relay.endpoints["h1"]
     assert endpoint.quota == endpoint.start and endpoint.own.slow.phase is Phase.HEALTHY
 
 
-def test_a_fast_refusing_endpoint_at_the_floor_gets_few_calls() -> None:
-    """One in flight is no limit on rate: refusals back in 20 ms would allow fifty calls a second."""
+def test_an_endpoint_that_refuses_quickly_gets_few_calls() -> None:
+    """One call in flight does not limit the rate: refusals after 20 ms would allow fifty calls a second."""
     checker = Checker(settings(max_held_messages=500))
     checker.step(0, [roster(entry("h1"))])
     log = drive(checker, 20 * SECOND, steady_load(100_000, KEYED), lambda *_: (api.Verdict.FULL, 20_000))
     assert 2 <= len([1 for at_us, _ in log if at_us > 10 * SECOND]) <= 10
 
 
-def test_all_destinations_failing_at_once_lose_nothing_and_come_back() -> None:
+def test_no_message_is_lost_when_all_destinations_fail_at_once() -> None:
     checker = Checker(settings(max_held_messages=500, max_attempts=8))
     checker.step(0, [roster(*(entry(f"h{n}", dest=n) for n in (1, 2, 3)))])
 
@@ -195,12 +197,14 @@
 
     log = drive(checker, 24 * SECOND, steady_load(500_000, UNSAFE, (1, 2, 3)), answer)
     during = [at_us for at_us, _ in log if 4 * SECOND < at_us < 8 * SECOND]
-    assert 3 <= len(during) <= 30, "each gets a trial now and then"
-    assert not [a for a in checker.trace if isinstance(a, api.Fail | api.Refuse)], "nothing is given up"
+    assert 3 <= len(during) <= 30, "each destination must get occasional trial calls"
+    assert not [a for a in checker.trace if isinstance(a, api.Fail | api.Refuse)], (
+        "no message may be given up"
+    )
 
 
 def failing_share(share: float, from_us: int, until_us: int) -> Answer:
-    """Meanwhile so many of all calls, drawn by a fixed seed, are answered with an error at once."""
+    """In the interval, answer that share of the calls, drawn by a fixed seed, with an error at once."""
     rng = random.Random(7)
 
     def answer(now_us: int, _send: api.Send, _attempt: int) -> tuple[api.Verdict, int]:
@@ -210,35 +214,41 @@
     return answer
 
 
-def test_a_destination_that_mostly_answers_with_errors_is_tried_on() -> None:
-    """Four of five calls fail at once (second deployment, day rough-1): each further try may be served."""
+def test_calls_continue_to_a_destination_that_mostly_returns_errors() -> None:
+    """Four of five calls fail at once (second deployment, day rough-1): each further attempt may succeed."""
     checker = Checker(settings(max_held_messages=500, max_attempts=8))
     checker.step(0, [roster(entry("h1"), entry("h2"))])
     drive(checker, 30 * SECOND, steady_load(100_000), failing_share(0.8, 10 * SECOND, 30 * SECOND))
     asked = [case for case in checker.cases.values() if 16 * SECOND < case.deadline_us < 30 * SECOND]
-    assert sum(case.over and not case.answers for case in asked) >= 0.35 * len(asked), "many are delivered"
+    assert sum(case.over and not case.answers for case in asked) >= 0.35 * len(asked), "too few are delivered"
 
 
 def test_no_burst_when_the_errors_end() -> None:
-    """What went out before the last error can't weigh on the return; what comes behind it is spaced."""
-    # Calls/s: a little over the demand.
+    """Calls sent before the last error don't add load after it; calls sent after it are spaced."""
+    # capacity: calls/s, slightly above the load.
     end_us, window_us, capacity = 18 * SECOND, SETTINGS.fall_us, 12.0
     checker = Checker(settings(max_held_messages=500, max_attempts=8, group_size=1))
     checker.step(0, [roster(entry("h1"))])
     log = drive(checker, 26 * SECOND, steady_load(100_000, KEYED), failing_share(0.9, 6 * SECOND, end_us))
     back = [at_us for at_us, _ in log if at_us >= end_us]
-    assert len(back) > 10, "it is served again"
+    assert len(back) > 10, "calls must resume"
     for start_us in back:
-        cold = max(0.0, 1 - (start_us + window_us / 2 - end_us) / SETTINGS.warm_within_us)
-        bears = SETTINGS.fall_multiple * capacity * (1 - (1 - SETTINGS.cold_from) * cold) * window_us / SECOND
-        assert sum(start_us <= at_us < start_us + window_us for at_us in back) <= bears
+        cold_share = max(0.0, 1 - (start_us + window_us / 2 - end_us) / SETTINGS.warm_within_us)
+        allowed = (
+            SETTINGS.fall_multiple
+            * capacity
+            * (1 - (1 - SETTINGS.cold_from) * cold_share)
+            * window_us
+            / SECOND
+        )
+        assert sum(start_us <= at_us < start_us + window_us for at_us in back) <= allowed
 
 
-def test_an_error_in_a_cold_return_opens_no_gate() -> None:
-    """One error among answers is no proof that an outage goes on."""
+def test_an_error_during_slow_start_does_not_raise_the_call_rate() -> None:
+    """A single error among successes does not prove that the outage continues."""
 
     def calls_back(every: int) -> int:
-        """Calls in the first 4 s back from an outage, each so many of them answered with an error."""
+        """Count the calls in the first 4 s after an outage, with every ``every``-th answered by an error."""
         checker, served = Checker(settings(max_held_messages=500, group_size=1)), itertools.count(1)
         checker.step(0, [roster(entry("h1"))])
 
--- a/tests/test_hosts.py
+++ b/tests/test_hosts.py
@@ -1,4 +1,4 @@
-"""Calls at the level of one connection: what each end of a call proves."""
+"""Calls on a single connection: what each outcome proves."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
 from tests.world import delivered, silent, soon
 
 
-async def test_a_drain_between_decision_and_write_binds_the_write() -> None:
-    """Connecting takes time in which the directory may speak: the call must not go out after that."""
+async def test_a_drain_between_decision_and_write_prevents_the_write() -> None:
+    """The directory may report a drain while the call is connecting: the request must not be sent then."""
     host = await serving()
     calls = Calls(host.port)
     calls.send("m1")
@@ -28,15 +28,15 @@
     host.stop()
 
 
-async def test_a_wait_between_decision_and_write_binds_the_write() -> None:
+async def test_a_retry_after_wait_between_decision_and_write_prevents_the_write() -> None:
     host = await serving(lambda request: request.answer(429, X_Retry_In_Ms="60000"))
     calls = Calls(host.port)
     calls.send("m1")
     await calls.outcome("m1")
     calls.send("m2")
-    told = await calls.outcome("m2")
-    assert told.verdict is Verdict.NOT_SENT
-    assert 0 < told.retry_after_us <= 60_000_000
+    outcome = await calls.outcome("m2")
+    assert outcome.verdict is Verdict.NOT_SENT
+    assert 0 < outcome.retry_after_us <= 60_000_000
     assert len(host.seen) == 1
     host.stop()
 
@@ -49,8 +49,8 @@
         assert (await calls.outcome("m1")).verdict is Verdict.CONNECT_FAILED
 
 
-async def test_a_connection_that_never_comes_up_never_ran() -> None:
-    """A full backlog takes no further connection, as a machine that is cut off."""
+async def test_a_connection_that_times_out_never_ran() -> None:
+    """A listener with a full backlog accepts no connection, like an unreachable machine."""
     with socket.socket() as sock:
         sock.bind(("127.0.0.1", 0))
         sock.listen(0)
@@ -65,8 +65,8 @@
             filler.close()
 
 
-async def test_a_break_before_the_last_byte_never_ran() -> None:
-    """A host that stops reading and breaks cannot have begun, whatever part of the request it has."""
+async def test_a_reset_before_the_last_byte_never_ran() -> None:
+    """A host that stops reading and resets the connection can't have processed an incomplete request."""
     with socket.socket() as sock:
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         sock.bind(("127.0.0.1", 0))
@@ -84,7 +84,7 @@
         assert (await calls.outcome("m0")).verdict is Verdict.CONNECT_FAILED
 
 
-async def test_a_limit_before_the_last_byte_never_ran() -> None:
+async def test_a_time_limit_before_the_last_byte_never_ran() -> None:
     with socket.socket() as sock:
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         sock.bind(("127.0.0.1", 0))
@@ -96,7 +96,7 @@
         assert call.connection.write_started
 
 
-async def test_a_limit_after_the_last_byte_may_have_run_and_closes() -> None:
+async def test_a_time_limit_after_the_last_byte_may_have_run_and_closes() -> None:
     host = await serving(silent)
     calls = Calls(host.port)
     calls.send("m1", limit_us=300_000)
@@ -107,7 +107,7 @@
     host.stop()
 
 
-async def test_a_cancelled_call_is_told_and_closed() -> None:
+async def test_a_cancelled_call_is_settled_and_closed() -> None:
     host = await serving(silent)
     calls = Calls(host.port)
     calls.send("m1")
@@ -119,8 +119,8 @@
     host.stop()
 
 
-async def test_a_message_delivered_after_its_own_limit_is_over() -> None:
-    """Another's longer limit keeps the shared call open: its answer still ends the message."""
+async def test_a_message_delivered_after_its_own_time_limit_is_final() -> None:
+    """A part with a longer limit keeps the shared call open: its response still settles the message."""
     host = await serving(silent)
     calls = Calls(host.port)
     call = calls.send("m1", "m2")
@@ -130,11 +130,11 @@
     delivered(request)
     assert (await calls.outcome("m2")).verdict is Verdict.OK
     assert calls.told["m1"] == PartOutcome(Verdict.OK, complete=True)
-    assert [part.id for part in calls.released] == ["m1"]  # only now is its call off the wire
+    assert [part.id for part in calls.released] == ["m1"]  # only now has its call ended
     host.stop()
 
 
-async def test_idle_connections_are_closed_on_demand_and_by_age() -> None:
+async def test_idle_connections_are_closed_on_demand_and_by_timeout() -> None:
     host = await serving()
     calls = Calls(host.port)
     calls.send("m1")
@@ -171,7 +171,7 @@
 
 
 def response_head(status: int, *headers: tuple[str, str]) -> ResponseHead:
-    """An answer's head, read from its bytes."""
+    """Parse the head of a response from its bytes."""
     lines = "".join(f"{name}: {value}\r\n" for name, value in headers)
     answers = ResponseParser()
     answers.feed(f"HTTP/1.1 {status} X\r\n{lines}Content-Length: 0\r\n\r\n".encode())
@@ -215,6 +215,6 @@
     assert (parse_retry_after_us(answer), parse_load_report(answer)) == (wait_us, report)
 
 
-def test_of_many_waits_the_longest_counts() -> None:
+def test_the_longest_of_several_retry_delays_applies() -> None:
     waits = [("X-Retry-In-Ms", str(number)) for number in (10, 300, "x", 20)]
     assert parse_retry_after_us(response_head(429, *waits)) == 300_000
--- a/tests/test_malformed_requests.py
+++ b/tests/test_malformed_requests.py
@@ -1,4 +1,4 @@
-"""Clients that keep to no protocol: each gets its error line or a close, and the others are served on."""
+"""Malformed clients: each gets an error or a close, and other clients are still served."""
 
 from __future__ import annotations
 
@@ -12,17 +12,17 @@
 from tests.world import World, encode_command, enqueue, silent, soon
 
 
-async def test_a_connection_that_says_nothing_is_closed(world: World) -> None:
-    """Hundreds of them would use up the descriptors; one that has asked before may stay."""
+async def test_a_connection_without_a_request_is_closed(world: World) -> None:
+    """Hundreds of them would exhaust the descriptors; a connection that has sent a request may stay."""
     usual = await world.run()
-    mute = await world.client()
-    assert await soon(mute.reader.read()) == b""
+    unused = await world.client()
+    assert await soon(unused.reader.read()) == b""
     assert await usual.command(b"PING") == b"+PONG"
 
 
 @pytest.mark.parametrize("before", [b"", encode_command(b"PING")])
 @pytest.mark.parametrize("half", [b"*", b"*5\r\n$7\r\nENQ", encode_command(*enqueue("m1"))[:-1]])
-async def test_a_request_that_does_not_end_is_turned_away(world: World, before: bytes, half: bytes) -> None:
+async def test_an_incomplete_request_gets_an_error(world: World, before: bytes, half: bytes) -> None:
     usual = await world.run()
     client = await world.client()
     client.writer.write(before + half)
@@ -30,7 +30,7 @@
     assert await usual.command(b"PING") == b"+PONG"
 
 
-async def test_a_trickle_does_not_put_off_the_end(world: World) -> None:
+async def test_slow_data_does_not_extend_the_request_timeout(world: World) -> None:
     await world.run()
     client = await world.client()
     client.writer.write(b"*5\r\n$60000\r\n")
@@ -45,7 +45,7 @@
     task.cancel()
 
 
-async def test_hundreds_of_bad_commands_hold_nobody_up_and_end_the_connection(world: World) -> None:
+async def test_hundreds_of_bad_commands_delay_no_other_client_and_close_the_connection(world: World) -> None:
     usual = await world.run()
     client = await world.client()
     client.writer.write(500 * encode_command(b"NONSENSE"))
@@ -56,13 +56,13 @@
 
 
 async def lines(reader: asyncio.StreamReader) -> AsyncIterator[bytes]:
-    """Lines up to the end of the stream; a reset is a failure, also where bytes were left unread."""
+    """Yield lines up to the end of the stream; a reset is a failure, even with unread data."""
     while line := await soon(reader.readline()):
         yield line
 
 
 async def test_hundreds_of_good_commands_are_all_answered(world: World) -> None:
-    """They are served in turns, and a client that closes its side behind them still gets every answer."""
+    """They are served in turns, and a client that then closes its sending side still gets every answer."""
     await world.run()
     client = await world.client()
     client.writer.write(300 * encode_command(b"PING"))
@@ -70,8 +70,8 @@
     assert await soon(client.reader.read()) == 300 * b"+PONG\r\n"
 
 
-async def test_a_destination_that_nobody_lists_is_refused(world: World) -> None:
-    """Taken on, it would be held in vain, and every number ever named would be kept."""
+async def test_a_destination_without_listed_hosts_is_refused(world: World) -> None:
+    """If accepted, it would be held in vain, and every destination number ever named would be kept."""
     host = await world.add("h1")
     client = await world.run()
     await client.submit_until_accepted("m1")
@@ -80,8 +80,8 @@
     assert await client.submit("m3") == b"+OK"
 
 
-async def test_a_body_with_a_wrong_length_is_not_taken_on(world: World) -> None:
-    """A shorter one would be sent on cut: the relay answers for what it took."""
+async def test_a_body_with_a_wrong_length_is_not_accepted(world: World) -> None:
+    """Otherwise a truncated body would be accepted and delivered."""
     host = await world.add("h1")
     usual = await world.run()
     for wrong in (b"$3\r\nhello\r\n", b"$8\r\nhello\r\n" + encode_command(b"PING")):
@@ -93,7 +93,7 @@
     assert len(host.seen) == 1
 
 
-async def test_the_id_of_an_open_request_is_no_second_message(world: World) -> None:
+async def test_a_repeated_id_of_an_open_message_is_no_second_message(world: World) -> None:
     host = await world.add("h1", silent)
     client = await world.run()
     await client.submit_until_accepted("m1")
@@ -105,11 +105,11 @@
 
 
 async def test_descriptors_stay_within_the_limit_under_a_burst(world: World) -> None:
-    """Half of them are for clients, however many connect at once and whatever they have begun."""
+    """Half of them are for clients, however many connect at once and whatever they have sent."""
     world.sockets = 64
     await world.run()
-    rude = [await world.client() for _ in range(150)]
-    for number, client in enumerate(rude):
+    malformed = [await world.client() for _ in range(150)]
+    for number, client in enumerate(malformed):
         client.writer.write(b"" if number % 2 else b"*5\r\n$7\r\nENQ")
     middle = await world.client()
     assert await middle.command(b"PING") == b"+PONG"
@@ -119,9 +119,9 @@
     assert await newest.command(b"PING") == b"+PONG"
 
 
-async def test_in_a_crowd_a_new_connection_is_not_the_first_to_go(world: World) -> None:
-    """Its request is on its way, while others that asked before wait for nothing."""
-    world.sockets = 64  # of which half are for clients
+async def test_at_the_connection_limit_a_new_connection_is_not_closed_first(world: World) -> None:
+    """Its request is in transit, while connections that were served before are idle."""
+    world.sockets = 64  # half of which are for clients
     others = [await world.run(), *[await world.client() for _ in range(31)]]
     for client in others:
         assert await client.command(b"PING") == b"+PONG"
@@ -133,7 +133,7 @@
 
 
 @pytest.mark.parametrize("size", [1, 2, 3, 7, 1000])
-def test_requests_are_cut_alike_in_any_pieces(size: int) -> None:
+def test_requests_are_parsed_alike_however_they_are_split(size: int) -> None:
     wanted = [list(enqueue("m1", body=b"\r\n*1\r\n$")), [b""], list(enqueue("m2", body=bytes(3000)))]
     data = b"".join(encode_command(*request) for request in wanted)
     requests, found = RequestParser(), []
--- a/tests/test_order_wire.py
+++ b/tests/test_order_wire.py
@@ -1,4 +1,4 @@
-"""A try whose call is still on the wire is not over: the next message of its key waits until it is."""
+"""An attempt is not over while its call is open: the next message with its order key waits until then."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 @pytest.mark.parametrize("still_out", [False, True])
-def test_the_next_of_a_key_waits_for_a_call_that_lasts(still_out: bool) -> None:
+def test_the_next_message_of_a_key_waits_for_an_open_call(still_out: bool) -> None:
     relay = DecisionEngine(settings(order_pause_us=0, round_us=1000), 1)
     relay.step(0, [roster(entry("h1", 1, "plain"), entry("h2", 1, "plain"))])
     first = sends(relay.step(0, [arrival("a", TURN, key="k")]))
@@ -24,12 +24,12 @@
     assert [send.id for send in released] == (["b"] if still_out else [])
 
 
-def test_an_outage_that_a_former_life_saw_is_gone_on_with() -> None:
-    """A fresh life sends all that it holds at once; one that was told of the outage makes one trial."""
+def test_an_outage_recorded_before_a_restart_continues() -> None:
+    """A new process sends all held messages at once; one that recovered the outage makes one trial call."""
     counts = []
-    for told in ([], [api.OutageRecord("h1", 20 * SECOND)]):
+    for records in ([], [api.OutageRecord("h1", 20 * SECOND)]):
         relay = DecisionEngine(settings(round_us=1000), 1)
-        relay.step(0, [roster(entry("h1", 1, "plain")), *told])
+        relay.step(0, [roster(entry("h1", 1, "plain")), *records])
         arrivals = [arrival(f"m{number}", TURN, key=f"k{number}") for number in range(4)]
         made = sends(relay.step(1000, arrivals))
         for at in range(1, 20):
@@ -39,15 +39,15 @@
     assert counts[1] == 1
 
 
-def test_a_later_time_out_does_not_let_the_key_go_while_the_first_call_is_on_the_wire() -> None:
-    """The second time-out set the key's rest anew, over that the first one's call was out (seed 71224)."""
+def test_a_later_timeout_does_not_release_the_key_while_the_first_call_is_open() -> None:
+    """A second timeout overwrote the key's pause, while the first call was still open (seed 71224)."""
     relay = DecisionEngine(settings(round_us=1000), 1)
     relay.step(0, [roster(entry("h1"), entry("h2"))])
     first = sends(relay.step(1, [arrival("a", TURN, key="k"), arrival("b", TURN, key="k")]))
     timeout = api.Verdict.TIMEOUT
     lasting = api.Outcome("a", 0, first[0].host, timeout, 100_000, call_continues=True)
     second = sends(relay.step(SECOND, [lasting]))
-    assert [send.id for send in second] == ["a"]  # the one that has the turn may be repeated at once
+    assert [send.id for send in second] == ["a"]  # the first message of the key may be repeated at once
     third = sends(relay.step(2 * SECOND, [ended(second[0], timeout, attempt=1)]))
     assert [send.id for send in third] == ["a"]
     over = relay.step(3 * SECOND, [ended(third[0], attempt=2)])
--- a/tests/test_pushed_lists.py
+++ b/tests/test_pushed_lists.py
@@ -1,4 +1,4 @@
-"""Lists pushed to an agent beside the relay, whose news counts as told; lists that come in pieces."""
+"""Lists pushed to a local agent, whose updates count as received at once; lists that arrive in pieces."""
 
 from __future__ import annotations
 
@@ -20,37 +20,37 @@
 
 
 def subscribes(relay: DecisionEngine, now_us: int, *events: api.Event) -> bool:
-    """Whether a step asks for the list."""
+    """Whether a step subscribes to the list."""
     return any(isinstance(action, api.Subscribe) for action in relay.step(now_us, events))
 
 
 def engine_in_large_group(pushed: bool) -> DecisionEngine:
-    """One of 200 relays."""
+    """Return the decision engine of one of 200 relays."""
     group = settings(group_size=LARGE, drain_grace_us=GRACE_US, ask_within_us=SECOND)
     return DecisionEngine(replace(group, must_subscribe=True, list_is_pushed=pushed), 3)
 
 
-def test_an_agent_is_asked_at_once_however_large_the_group() -> None:
-    """From the first moment of a new process what the agent has counts as told."""
+def test_a_local_agent_is_subscribed_to_at_once_in_a_group_of_any_size() -> None:
+    """From the start of a new process, what the agent has counts as received."""
     cached = roster(entry("h1"), kind=api.EndpointUpdateKind.CACHED)
     assert subscribes(engine_in_large_group(True), 0, cached)
     assert not subscribes(
         engine_in_large_group(False), 0, cached
-    )  # one directory for all: their asks are spread
+    )  # one directory for all relays: subscriptions are spread over time
 
 
-def test_a_watch_that_ended_is_opened_anew_well_within_a_drains_grace_each_time() -> None:
+def test_a_watch_that_ended_is_reopened_within_half_a_drain_grace_period() -> None:
     relay, now_us = engine_in_large_group(True), 0
     subscribes(relay, 0, roster(entry("h1"), kind=api.EndpointUpdateKind.CACHED))
-    for _ in range(6):  # also while discovery stays down: its return is told at once
+    for _ in range(6):  # also while discovery stays down: its return counts as known at once
         subscribes(relay, now_us, api.EndpointUpdate(api.EndpointUpdateKind.FAILED))
         assert relay.ask_us - now_us <= GRACE_US // 2
         now_us = relay.ask_us
         assert subscribes(relay, now_us, api.TimerDue())
 
 
-async def test_an_ask_that_an_agent_leaves_unanswered_is_given_up_for_the_next(world: World) -> None:
-    """Silent while discovery is down: an ask that hung on would outlast its return."""
+async def test_an_unanswered_subscription_times_out(world: World) -> None:
+    """The agent is silent while discovery is down; a hanging subscription would outlast its return."""
     agent = HttpServer(silent)
     await agent.start()
     failed = asyncio.Event()
@@ -77,7 +77,7 @@
 
 
 def configured_timeout_s(world: World, grace_us: int) -> float:
-    """How long the relay of such settings waits for an answer."""
+    """Return how long (s) a relay with these settings waits for a response."""
     rules = world.settings["rules"] | {"drain_grace_us": grace_us}
     raw = {
         "name": "n0", "listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "limits": {}, "seed": 1,
@@ -89,7 +89,7 @@
 
 
 async def send_in_pieces(world: World, *pieces: bytes) -> None:
-    """Tell the relay a list in pieces."""
+    """Send the relay a list in pieces."""
     for request in world.directory._watches:
         for piece in pieces:
             world.directory.send_chunk(request, piece)
@@ -120,8 +120,8 @@
     host.stop()
 
 
-async def test_a_list_cut_short_ends_its_watch_at_the_next_empty_line(world: World) -> None:
-    """Behind half a list nothing is to be believed, and whatever follows must not pass for its end."""
+async def test_a_truncated_list_ends_its_watch_at_the_next_empty_line(world: World) -> None:
+    """Data after a truncated list is not trusted, and must not be taken for the list's end."""
     await world.run()
     await world.directory.until(lambda: world.directory._watches)
     watches = len(world.directory.seen)
@@ -129,7 +129,7 @@
     await world.directory.until(lambda: len(world.directory.seen) > watches)
 
 
-async def test_a_list_that_trickles_without_end_ends_its_watch(world: World) -> None:
+async def test_an_endless_list_ends_its_watch(world: World) -> None:
     await world.run()
     await world.directory.until(lambda: world.directory._watches)
     watches = len(world.directory.seen)
@@ -140,7 +140,7 @@
 
 
 async def send_endless_list(world: World) -> None:
-    """A list whose bytes come one by one and have no end."""
+    """Send a list byte by byte without end."""
     request: Request = world.directory._watches[0]
     world.directory.send_chunk(request, b'{"seq": 9, "hosts": [')
     while not request.writer.transport.is_closing():
--- a/tests/test_sequences.py
+++ b/tests/test_sequences.py
@@ -1,4 +1,4 @@
-"""Hypothesis sequences of legal events under audit, and the same actions however the relay is run."""
+"""Generated sequences of valid events, checked against the rules; actions are the same in every process."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 
 def play(config: api.Settings, script: list[Step], seed: int) -> list[api.Action]:
-    """Turn a script into events that the wire could deliver and run it to the end."""
+    """Turn a script into events as an adapter could report them and run it until all messages are final."""
     checker = Checker(config, seed)
     entries = [entry(host, dest, kind, zone=zone, rate=5.0) for host, dest, kind, zone in HOSTS]
     checker.step(0, [roster(*entries, kind=api.EndpointUpdateKind.CACHED)])
@@ -49,7 +49,7 @@
             out.append((send, sum(1 for a in checker.cases[send.id].attempts) - 1))
 
     def expired(until_us: int) -> list[api.Event]:
-        """Time-outs due by now; every attempt gets exactly one outcome."""
+        """Return the timeouts due by now; every attempt gets exactly one outcome."""
         events: list[api.Event] = []
         for send, attempt in list(out):
             if checker.cases[send.id].attempts[attempt].expires_us <= until_us:
@@ -59,7 +59,7 @@
 
     for gap_us, new, ends, change, withdraw in script:
         target_us = now_us + gap_us
-        while now_us < target_us:  # the clock runs in small steps, as timers and time-outs would have it
+        while now_us < target_us:  # small steps, as timers and timeouts would cause
             now_us = min(target_us, now_us + 20_000)
             take(checker.step(now_us, [*expired(now_us), api.TimerDue()]))
         events: list[api.Event] = []
@@ -94,14 +94,16 @@
     suppress_health_check=[HealthCheck.too_slow],
 )
 @given(st.lists(STEP, min_size=1, max_size=12), st.booleans(), st.booleans(), st.integers(1, 4))
-def test_no_legal_sequence_breaks_a_rule(script: list[Step], ask: bool, told: bool, slots: int) -> None:
+def test_no_valid_event_sequence_violates_a_rule(
+    script: list[Step], must_subscribe: bool, hints_given: bool, slots: int
+) -> None:
     config = settings(
-        must_subscribe=ask,
+        must_subscribe=must_subscribe,
         ask_within_us=10 * SECOND,
-        rate_hints_given=told,
+        rate_hints_given=hints_given,
         max_calls=slots,
-        may_probe=told,
-        may_duplicate=ask,
+        may_probe=hints_given,
+        may_duplicate=must_subscribe,
     )
     play(config, script, 7)
 
@@ -137,8 +139,8 @@
     assert "Send(" in outputs.pop()
 
 
-def test_a_wake_that_comes_a_microsecond_early_is_asked_for_again() -> None:
-    """The process's clock and the loop's differ: a held message was answered with the next event."""
+def test_a_timer_that_fires_a_microsecond_early_is_set_again() -> None:
+    """The clocks of process and loop differ: a held message was answered only with the next event."""
     relay = DecisionEngine(settings(), seed=1)
     relay.step(0, [roster(entry("h1", listing=api.Listing.DRAINING)), arrival("m1")])
     [end_us] = [at_us for at_us, *_ in relay.ends]
--- a/tests/test_subscription_timing.py
+++ b/tests/test_subscription_timing.py
@@ -1,4 +1,7 @@
-"""A change counts as told 6 s after the directory had it and could be reached, whatever the calls came to."""
+"""Timing of subscriptions to the directory, by which updates must arrive in time.
+
+A change counts as received 6 s after the directory has it and is reachable, however the calls to it fare.
+"""
 
 from __future__ import annotations
 
@@ -17,13 +20,13 @@
 
 SIZES = [1, 6, 30, 230, 1024]
 TICK_US = 20_000
-MAX_RESPONSE_US = 2 * SECOND  # what a crowded directory may take for an answer, after which it fails the call
-# How long a call that fails takes: refused, or answered 503; reset; waited for in vain; given up by us.
+MAX_RESPONSE_US = 2 * SECOND  # an overloaded directory fails a call after this time
+# Duration of a failed call: refused or answered by 503; reset; failed by the directory; timed out here.
 FAILURE_DURATIONS_US = (5_000, 400_000, MAX_RESPONSE_US, int(FIRST_LINE_TIMEOUT_S * 1e6))
 
 
 class Subscriber:
-    """One relay of a group that must ask: feed it ends, and it says when it asks."""
+    """A relay of a group that must subscribe: takes the results of its calls, reports when it subscribes."""
 
     def __init__(self, size: int, seed: int) -> None:
         self.relay = DecisionEngine(
@@ -32,12 +35,12 @@
         self.now_us = 0
 
     def step(self, now_us: int, *events: api.Event) -> bool:
-        """Whether it asks now."""
+        """Whether it subscribes now."""
         self.now_us = now_us
         return any(isinstance(action, api.Subscribe) for action in self.relay.step(now_us, events))
 
     def first_subscription_us(self) -> int:
-        """When it asks first, with a list that it knew."""
+        """Return when it subscribes first, given a cached list."""
         return (
             0
             if self.step(0, roster(entry("h1"), kind=api.EndpointUpdateKind.CACHED))
@@ -45,15 +48,15 @@
         )
 
     def next_subscription_us(self) -> int:
-        """Go on until it asks; when that is."""
+        """Run until it subscribes; return when."""
         while not self.step(self.now_us + TICK_US, api.TimerDue()):
-            assert self.now_us < 10**9, "it never asks again"
+            assert self.now_us < 10**9, "it never subscribes again"
         return self.now_us
 
 
 @pytest.mark.parametrize("size", SIZES)
-def test_between_the_beginnings_of_two_asks_the_directory_cannot_be_back_for_long(size: int) -> None:
-    """Failed, refused, reset, waited for in vain: alone and in every order, in a group of any size."""
+def test_subscription_attempts_start_at_bounded_intervals(size: int) -> None:
+    """Calls fail in every way and order, in groups of any size; the directory's return is noticed in time."""
     rng = random.Random(size)
     for seed in range(20):
         asking = Subscriber(size, seed)
@@ -67,8 +70,8 @@
 
 
 @pytest.mark.parametrize("size", SIZES)
-def test_a_watch_that_falls_silent_is_opened_anew_in_time(size: int) -> None:
-    """Found after ``SILENCE_TIMEOUT_S``; what it misses counts as told 6 s after it fell silent."""
+def test_a_silent_watch_is_reopened_in_time(size: int) -> None:
+    """Detected after ``SILENCE_TIMEOUT_S``; missed changes count as received 6 s after the silence began."""
     for seed in range(20):
         asking = Subscriber(size, seed)
         begun_us = asking.first_subscription_us()
@@ -80,9 +83,10 @@
 
 
 def simulate_directory_return(relays: int, capacity: int, seed: int) -> tuple[list[float], int]:
-    """A directory back from 20 s of 503: when (s) each relay has heard of it, and the calls that it got.
+    """Simulate a directory that returns after 20 s of 503.
 
-    It works through calls in turn, and turns away at once what would wait for longer than a second.
+    Returns when (s) each relay received the list, and how many calls the directory got. It serves calls in
+    turn, and rejects at once those that would wait for longer than a second.
     """
     rng, group = random.Random(seed), [Subscriber(relays, n) for n in range(relays)]
     inbox: dict[int, api.Event] = {
@@ -108,24 +112,24 @@
 
 
 @pytest.mark.parametrize("relays", [30, 230])
-def test_at_its_return_a_group_has_heard_in_time_and_is_no_crowd(relays: int) -> None:
-    """It can take a call of each in 4 s: all have heard within 6 s, by little more than one call each."""
+def test_after_its_return_the_directory_reaches_a_group_in_time_without_a_rush(relays: int) -> None:
+    """It can serve a call of each relay in 4 s: all get the list within 6 s, with few extra calls."""
     heard, calls = simulate_directory_return(relays, relays // 4, 1)
     assert len(heard) == relays
     assert heard[-1] <= LISTED_US / 1e6
     assert calls <= 1.5 * relays
 
 
-def test_a_directory_that_cannot_take_all_in_time_is_kept_at_work_and_not_jammed() -> None:
-    """One that needs 8 s for a call of each: not all can hear in time, but nearly all of its time is used."""
+def test_a_directory_too_slow_for_the_group_is_kept_busy_and_not_overloaded() -> None:
+    """It needs 8 s for a call of each relay: not all are served in time, but it is nearly always busy."""
     heard, _ = simulate_directory_return(230, 230 // 8, 1)
     in_time = sum(at_s <= LISTED_US / 1e6 for at_s in heard)
     assert in_time >= 0.9 * (LISTED_US / 1e6) * (230 // 8)
     assert len(heard) == 230
 
 
-async def test_a_drain_is_heard_in_time_however_the_calls_before_have_failed(world: World) -> None:
-    """Over sockets, in a group of 230: 503, a reset, silence, a refused connection, then it is back."""
+async def test_a_drain_is_received_in_time_however_earlier_calls_failed(world: World) -> None:
+    """Over sockets, in a group of 230: 503, a reset and silence, then the directory returns."""
     world.settings |= {"group_size": 230}
     directory = world.directory
     host = await world.add("h1")
--- a/tests/world.py
+++ b/tests/world.py
@@ -1,6 +1,6 @@
-"""The relay's surroundings on loopback sockets: scripted hosts, a scripted directory and a client.
+"""The relay's test environment on loopback sockets: scripted hosts, a scripted directory and a client.
 
-Nothing here waits for a time: a test awaits what it wants to see, under one generous bound.
+Nothing here waits for a fixed time: a test awaits a condition, under one generous time limit.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 from typing import Any, TypeVar
 
 T = TypeVar("T")
-WAIT_LIMIT_S = 30.0  # a wait that takes longer has failed, however slow the machine
+WAIT_LIMIT_S = 30.0  # a longer wait counts as failed, even on a slow machine
 ROOT = Path(__file__).resolve().parent.parent
 CLASS_DEFAULTS = {
     "aim_us": 4_000_000,
@@ -63,7 +63,7 @@
 
 
 def settings_json(**allowed: Any) -> dict[str, Any]:
-    """Settings as nested JSON in the simulator's words; the first calls' time-outs are over ten seconds."""
+    """Settings as nested JSON with the simulator's names; the first calls time out after over ten seconds."""
     return {
         "allowed": ALLOWED | allowed,
         "discovery": "ask",
@@ -87,12 +87,12 @@
 
 
 async def soon(awaitable: Awaitable[T]) -> T:
-    """What has to come, under the bound of all tests."""
+    """Await something that must happen, with the time limit shared by all tests."""
     return await asyncio.wait_for(awaitable, WAIT_LIMIT_S)
 
 
 class Request:
-    """One HTTP request as a server here saw it."""
+    """An HTTP request that a scripted server received."""
 
     def __init__(self, head: bytes, body: bytes, writer: asyncio.StreamWriter, connection: int) -> None:
         first, *lines = head.decode("latin-1").split("\r\n")
@@ -104,7 +104,7 @@
 
     @property
     def ids(self) -> list[str]:
-        """The messages that it carries."""
+        """The ids of the messages in the request."""
         if self.target == "/hook":
             return [self.headers["x-txn"]]
         message_ids, rest = [], self.body
@@ -117,13 +117,13 @@
         return message_ids
 
     def answer(self, status: int = 200, body: str = "", **headers: str) -> None:
-        """Write the whole answer."""
+        """Write a complete response."""
         header_lines = "".join(f"{name.replace('_', '-')}: {value}\r\n" for name, value in headers.items())
         size = "" if status == 204 else f"Content-Length: {len(body)}\r\n"
         self.writer.write(f"HTTP/1.1 {status} X\r\n{header_lines}{size}\r\n{body}".encode())
 
     def reset(self) -> None:
-        """Break the connection the hard way."""
+        """Reset the connection."""
         sock = self.writer.get_extra_info("socket")
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         self.writer.transport.abort()
@@ -133,7 +133,7 @@
 
 
 class HttpServer:
-    """A server on a port of its own: requests go to the next reply of the script, then to the default."""
+    """A server on its own port: each request is answered by the next scripted reply, then by the default."""
 
     def __init__(self, default: Reply) -> None:
         self.default, self.script = default, deque[Reply]()
@@ -144,7 +144,7 @@
         self.port = 0
 
     async def start(self) -> None:
-        """Listen, on the same port as before where there was one."""
+        """Listen, on the same port as before if there was one."""
         self._server = await asyncio.start_server(self._serve, "127.0.0.1", self.port)
         self.port = self._server.sockets[0].getsockname()[1]
 
@@ -171,12 +171,12 @@
             writer.close()
 
     async def until(self, enough: Callable[[], Any]) -> None:
-        """Wait until what was seen is enough."""
+        """Wait until the condition holds, checking it after each request."""
         async with self._changed:
             await soon(self._changed.wait_for(enough))
 
     async def call(self, number: int) -> Request:
-        """The request of that number, from 0, once it has come."""
+        """Wait for the request with that index and return it."""
         await self.until(lambda: len(self.seen) > number)
         return self.seen[number]
 
@@ -189,7 +189,7 @@
 
 
 def silent(_request: Request) -> None:
-    """Take the call and answer nothing."""
+    """Receive the call and send no response."""
 
 
 def delivered(request: Request) -> None:
@@ -220,7 +220,7 @@
             self.send_list(request, True, list(self.hosts.values()))
 
     async def start(self) -> None:
-        """Listen, and keep watches from falling silent."""
+        """Listen, and send heartbeats to the watches."""
         await super().start()
         self._heartbeat_task = asyncio.create_task(self._send_heartbeats())
 
@@ -231,36 +231,36 @@
                 self.send_chunk(request, b"\n")
 
     def stop(self) -> None:
-        """End the heartbeat too."""
+        """Stop the server and the heartbeats."""
         super().stop()
         if self._heartbeat_task is not None:
             self._heartbeat_task.cancel()
 
     def send_list(self, request: Request, whole: bool, hosts: list[dict[str, Any]]) -> None:
-        """One line to one watch."""
+        """Send a list to a watch as one line."""
         self.send_chunk(
             request, json.dumps({"seq": self.seq, "whole": whole, "hosts": hosts}).encode() + b"\n"
         )
 
     def send_chunk(self, request: Request, line: bytes) -> None:
-        """One chunk to one watch."""
+        """Send a chunk to a watch."""
         request.writer.write(b"%x\r\n%s\r\n" % (len(line), line))
 
     def garble(self) -> None:
-        """Tell the watches something that is no list."""
+        """Send invalid data to the watches."""
         for request in self._watches:
             self.send_chunk(request, b"{nonsense\n")
         self._watches.clear()
 
     def lose(self) -> None:
-        """Discovery goes down: its watches end."""
+        """Take discovery down: reset its watches and fail new ones."""
         self.down = True
         for request in self._watches:
             request.reset()
         self._watches.clear()
 
     def change(self, host: str, **fields: Any) -> None:
-        """An entry is new or differs."""
+        """Add or change a host entry and send it to the watches."""
         self.seq += 1
         self.hosts[host] = {"host": host, "site": "a", "class": "lots", "block": 1, "share": 1.0} | (
             self.hosts.get(host, {"health": "SERVING"}) | fields
@@ -269,32 +269,32 @@
             self.send_list(request, False, [self.hosts[host]])
 
     async def notice(self, ref: str) -> dict[str, Any]:
-        """The notice for a message, once it has come."""
+        """Wait for the notice for a message and return it."""
         await self.until(lambda: any(n["ref"] == ref for n in self.notices))
         return next(n for n in self.notices if n["ref"] == ref)
 
 
 class Client:
-    """One client's connection."""
+    """A client's connection."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader, self.writer = reader, writer
 
     async def send_raw(self, data: bytes) -> bytes:
-        """Write bytes and read one line."""
+        """Write bytes and read one line of answer."""
         self.writer.write(data)
         return (await soon(self.reader.readline())).rstrip()
 
     async def command(self, *args: bytes) -> bytes:
-        """One request and its answer."""
+        """Send a request and return its answer."""
         return await self.send_raw(encode_command(*args))
 
     async def submit(self, ref: str, cls: str = "safe", d: int = 30_000, dest: int = 1) -> bytes:
-        """Hand a message in."""
+        """Submit a message and return the answer."""
         return await self.command(*enqueue(ref, cls, d, dest))
 
     async def submit_until_accepted(self, ref: str, cls: str = "safe", dest: int = 1) -> None:
-        """Hand a message in until it is taken on: the relay hears of a new destination a moment later."""
+        """Submit a message until it is accepted: the relay learns of a new destination with a delay."""
 
         async def again() -> None:
             while await self.submit(ref, cls, dest=dest) != b"+OK":
@@ -304,27 +304,28 @@
 
 
 def encode_command(*args: bytes) -> bytes:
-    """A command as an array of bulk strings."""
+    """Encode a command as an array of bulk strings."""
     return b"*%d\r\n" % len(args) + b"".join(b"$%d\r\n%s\r\n" % (len(arg), arg) for arg in args)
 
 
 def enqueue(
     ref: str, cls: str = "safe", d: int = 30_000, dest: int = 1, body: bytes = b"hello"
 ) -> tuple[bytes, ...]:
-    """The words of a request that hands a message in."""
+    """The arguments of an ENQUEUE request."""
     names = f"c={cls},t=acme_corp,d={d},k=key-{ref},dest={dest}"
     return b"ENQUEUE", b"0" * 16, ref.encode(), names.encode(), body
 
 
-# Below the ports that the system gives to connections: one of those may be taken before a process listens.
+# Below the ephemeral ports of the system, any of which may be in use before a process listens on it.
 PORTS = range(12_000, 32_000)
 _given_ports: set[int] = set()
 
 
 def free_port(kind: socket.SocketKind = socket.SOCK_STREAM) -> int:
-    """A port of this machine's loopback that nobody has now, and that was not given before.
+    """Return a loopback port that is not in use and was not returned before.
 
-    For a process that is told its port, and keeps it over restarts; test runs side by side draw apart.
+    For a process that gets its port as a setting and keeps it over restarts; ports are drawn at random, so
+    that parallel test runs rarely collide.
     """
     while True:
         port = secrets.choice(PORTS)
@@ -337,7 +338,7 @@
 
 
 async def http_request(port: int, method: str, target: str) -> tuple[int, str]:
-    """One call at a console: status and body."""
+    """Make one HTTP request, as to a console; return status and body."""
     reader, writer = await soon(asyncio.open_connection("127.0.0.1", port))
     writer.write(f"{method} {target} HTTP/1.1\r\nHost: console\r\n\r\n".encode())
     head, _, body = (await soon(reader.read())).partition(b"\r\n\r\n")
@@ -346,33 +347,33 @@
 
 
 class World:
-    """A directory, hosts as they are added, and the real process of one relay."""
+    """Test environment: a directory, the hosts that a test adds, and the real process of one relay."""
 
     def __init__(self, folder: Path) -> None:
         self.folder, self.state = folder, folder / "state"
         self.directory, self.hosts = Directory(), dict[str, HttpServer]()
-        self.former_directories: list[Directory] = []  # directories at addresses that were left
+        self.former_directories: list[Directory] = []  # directories at previous addresses
         self.process: asyncio.subprocess.Process | None = None
-        self.other_processes: list[asyncio.subprocess.Process] = []  # started beside it, or before it
-        self.former_process: asyncio.subprocess.Process  # the one that the present one has followed
+        self.other_processes: list[asyncio.subprocess.Process] = []  # started besides or before ``process``
+        self.former_process: asyncio.subprocess.Process  # the predecessor of ``process``
         self.known_hosts: list[dict[str, Any]] = []
         self.settings = settings_json()
         self.disk_mb, self.sockets = 3.0, 1024
-        self.arguments: tuple[str, ...] = ()  # behind `python -m mallowlug`
-        self.environment_variables: dict[str, str] = {}  # what the environment tells beside file and folder
-        # An address of its own: nothing else on the machine can take the port before the relay does.
+        self.arguments: tuple[str, ...] = ()  # after `python -m mallowlug`
+        self.environment_variables: dict[str, str] = {}  # besides those for file and folder
+        # A separate loopback address: no other program can take the port before the relay does.
         self.address = "127." + ".".join(str(secrets.randbelow(253) + 1) for _ in range(3))
         with socket.socket() as sock:
             sock.bind((self.address, 0))
             self.port = sock.getsockname()[1]
 
     async def start(self) -> None:
-        """Start the directory; the relay is started by the test."""
+        """Start the directory; the test starts the relay."""
         self.state.mkdir()
         await self.directory.start()
 
     async def stop(self) -> None:
-        """End everything."""
+        """Stop all processes and servers."""
         if self.process is not None and self.process.returncode is None:
             await self.kill()
         for process in self.other_processes:
@@ -385,7 +386,7 @@
     async def add(
         self, name: str, default: Reply = delivered, kind: str = "lots", listens: bool = True, **fields: Any
     ) -> HttpServer:
-        """A host on the list; one that does not listen refuses."""
+        """Add a host to the list; one that does not listen refuses connections."""
         host = self.hosts[name] = HttpServer(default)
         await host.start()
         if not listens:
@@ -394,17 +395,17 @@
         return host
 
     def open_console(self) -> int:
-        """The relays that start from now on have a console; its port."""
+        """Configure a console for relays started from now on; return its port."""
         port = free_port()
         self.environment_variables["ROUTER_CONSOLE"] = f"127.0.0.1:{port}"
         return port
 
     def list_unserved_destination(self, dest: int) -> None:
-        """Make a destination known that has nobody to serve it."""
+        """List a destination without a host that serves it."""
         self.directory.change(f"none-{dest}", dial="127.0.0.1:1", block=dest, health="DRAINING")
 
     async def wait_for_journal(self, word: bytes) -> None:
-        """Wait until the relay's journal holds a word."""
+        """Wait until the relay's journal contains the bytes."""
 
         async def found() -> None:
             while word not in (self.state / "journal").read_bytes():
@@ -413,7 +414,7 @@
         await soon(found())
 
     def environment(self) -> dict[str, str]:
-        """What the deployment tells the relay."""
+        """Write the configuration file and return the environment of the relay's process."""
         config = {
             "name": "n0",
             "listen": f"{self.address}:{self.port}",
@@ -424,7 +425,7 @@
             "settings": self.settings,
         }
         path = self.folder / "config.json"
-        new_path = path.with_suffix(".new")  # in one piece: a process may be reading it, as it starts
+        new_path = path.with_suffix(".new")  # replaced atomically: a starting process may be reading it
         new_path.write_text(json.dumps(config), encoding="utf-8")
         new_path.replace(path)
         return (
@@ -434,7 +435,7 @@
         )
 
     async def reload(self, text: str | None = None) -> None:
-        """Replace the file, by the present directory's address or by any text, and send SIGHUP."""
+        """Rewrite the configuration file, with the given text if any, and send SIGHUP."""
         self.environment()
         if text is not None:
             (self.folder / "config.json").write_text(text, encoding="utf-8")
@@ -442,7 +443,7 @@
         self.process.send_signal(signal.SIGHUP)
 
     async def move_directory(self) -> Directory:
-        """Discovery moves to another address, with the list as it is; the old one, which still serves."""
+        """Move discovery to another address with the same list; return the old one, which still serves."""
         old, self.directory = self.directory, Directory()
         self.directory.seq, self.directory.hosts = old.seq, dict(old.hosts)
         await self.directory.start()
@@ -450,7 +451,7 @@
         return old
 
     async def run(self) -> Client:
-        """Start the relay's process; a client once it answers."""
+        """Start the relay's process; return a client once it answers."""
         self.process = await asyncio.create_subprocess_exec(
             sys.executable, "-m", "mallowlug", *self.arguments, cwd=ROOT, env=self.environment()
         )
@@ -459,7 +460,7 @@
         return client
 
     async def client(self) -> Client:
-        """A client's connection, as soon as the relay listens."""
+        """Connect a client as soon as the relay listens."""
 
         async def connect() -> Client:
             while True:
@@ -471,12 +472,12 @@
         return await soon(connect())
 
     async def kill(self) -> None:
-        """SIGKILL."""
+        """Kill the relay with SIGKILL."""
         assert self.process is not None
         self.process.kill()
         await self.process.wait()
 
     async def kill_and_restart(self) -> Client:
-        """SIGKILL, then the next life with the same folder."""
+        """Kill the relay with SIGKILL and restart it with the same folder."""
         await self.kill()
         return await self.run()
