--- a/mallowlug/net/http.py
+++ b/mallowlug/net/http.py
@@ -11,7 +11,8 @@
 from mallowlug.system import System, family_of
 
 Headers = list[tuple[str, str]]
-RESPONSE_TIMEOUT_S = 0.5  # from a response's first byte to its last: servers write it at once
+# From a response's first byte to its last: servers write it at once; a slower one counts as endless.
+RESPONSE_TIMEOUT_S = 0.5
 READ_BYTES = 64 * 1024
 
 
--- a/tests/contracts/directory.py
+++ b/tests/contracts/directory.py
@@ -84,7 +84,7 @@
         raise NotImplementedError
 
     @pytest.fixture
-    async def rig(self):  # type: ignore[no-untyped-def]
+    async def env(self):  # type: ignore[no-untyped-def]
         """A directory that has delivered the first list, the log of its lists and its peer."""
         log, peer = ListLog(), await self.peer()
         directory = self.directory(peer.address, log)
@@ -95,9 +95,9 @@
         peer.stop()
 
     async def test_changes_are_delivered_in_version_order(
-        self, rig: tuple[Directory, ListLog, DirectoryPeer]
+        self, env: tuple[Directory, ListLog, DirectoryPeer]
     ) -> None:
-        _, log, peer = rig
+        _, log, peer = env
         for number in range(2, 12):
             peer.change(f"h{number}", Listing.READY)
         peer.change("h1", Listing.DRAINING)
@@ -106,9 +106,9 @@
         assert len(log.view) == 11
 
     async def test_an_older_version_does_not_undo_a_drain(
-        self, rig: tuple[Directory, ListLog, DirectoryPeer]
+        self, env: tuple[Directory, ListLog, DirectoryPeer]
     ) -> None:
-        _, log, peer = rig
+        _, log, peer = env
         peer.change("h1", Listing.DRAINING)
         await log.until(lambda: log.view["h1"] is Listing.DRAINING)
         peer.repeat_old()
@@ -118,9 +118,9 @@
 
     @pytest.mark.parametrize("how", ["lose", "garble"])
     async def test_the_end_is_reported_once_and_it_restarts_only_on_subscribe(
-        self, rig: tuple[Directory, ListLog, DirectoryPeer], how: str
+        self, env: tuple[Directory, ListLog, DirectoryPeer], how: str
     ) -> None:
-        directory, log, peer = rig
+        directory, log, peer = env
         before = log.view
         getattr(peer, how)()
         await log.until(lambda: log.failures == 1)
@@ -135,9 +135,9 @@
         assert log.failures == 1
 
     async def test_an_established_subscription_is_kept(
-        self, rig: tuple[Directory, ListLog, DirectoryPeer]
+        self, env: tuple[Directory, ListLog, DirectoryPeer]
     ) -> None:
-        directory, log, peer = rig
+        directory, log, peer = env
         list_count = len(log.lists)
         directory.subscribe()
         peer.change("h2", Listing.READY)
@@ -146,9 +146,9 @@
         assert log.failures == 0
 
     async def test_an_address_change_loses_no_update(
-        self, rig: tuple[Directory, ListLog, DirectoryPeer]
+        self, env: tuple[Directory, ListLog, DirectoryPeer]
     ) -> None:
-        directory, log, peer = rig
+        directory, log, peer = env
         other = await self.peer()
         for _ in range(3):
             other.change("h1", Listing.READY)
@@ -162,9 +162,9 @@
         other.stop()
 
     async def test_nothing_is_delivered_after_close(
-        self, rig: tuple[Directory, ListLog, DirectoryPeer]
+        self, env: tuple[Directory, ListLog, DirectoryPeer]
     ) -> None:
-        directory, log, peer = rig
+        directory, log, peer = env
         directory.close()
         list_count = len(log.lists)
         peer.change("h2", Listing.READY)
--- a/tests/contracts/notifier.py
+++ b/tests/contracts/notifier.py
@@ -62,7 +62,7 @@
         raise NotImplementedError
 
     @pytest.fixture
-    async def rig(self):  # type: ignore[no-untyped-def]
+    async def env(self):  # type: ignore[no-untyped-def]
         """A started notifier, the confirmed ids, and the platform."""
         confirmed, peer = Confirmed(), await self.peer()
         notifier = self.notifier(peer.address, confirmed)
@@ -71,8 +71,8 @@
         notifier.close()
         peer.stop()
 
-    async def test_a_notice_is_sent_unchanged(self, rig: tuple[Notifier, Confirmed, NotifierPeer]) -> None:
-        notifier, confirmed, peer = rig
+    async def test_a_notice_is_sent_unchanged(self, env: tuple[Notifier, Confirmed, NotifierPeer]) -> None:
+        notifier, confirmed, peer = env
         notifier.send(Notice("m1", "dead"))
         notifier.send(Notice("m2", "bounced", 1500))
         await confirmed.all("m1", "m2")
@@ -81,9 +81,9 @@
 
     @pytest.mark.parametrize("how", ["fail", "reset", "hang"])
     async def test_a_notice_is_pending_until_it_is_confirmed_once(
-        self, rig: tuple[Notifier, Confirmed, NotifierPeer], how: str
+        self, env: tuple[Notifier, Confirmed, NotifierPeer], how: str
     ) -> None:
-        notifier, confirmed, peer = rig
+        notifier, confirmed, peer = env
         peer.script_replies(how, how)
         notifier.send(Notice("m1", "dead"))
         await peer.wait_for_calls(2)
@@ -93,9 +93,9 @@
         assert set(peer.received) == {("m1", "dead", 0)}
 
     async def test_a_post_that_hangs_delays_no_other(
-        self, rig: tuple[Notifier, Confirmed, NotifierPeer]
+        self, env: tuple[Notifier, Confirmed, NotifierPeer]
     ) -> None:
-        notifier, confirmed, peer = rig
+        notifier, confirmed, peer = env
         peer.script_replies("hang")
         notifier.send(Notice("m1", "dead"))
         await peer.wait_for_calls(1)
@@ -105,9 +105,9 @@
         assert sorted(confirmed.refs) == ["m1", "m2"]
 
     async def test_pending_notices_follow_an_address_change(
-        self, rig: tuple[Notifier, Confirmed, NotifierPeer]
+        self, env: tuple[Notifier, Confirmed, NotifierPeer]
     ) -> None:
-        notifier, confirmed, peer = rig
+        notifier, confirmed, peer = env
         peer.script_replies(*["fail"] * 1000)
         notifier.send(Notice("m1", "dead"))
         await peer.wait_for_calls(1)
@@ -118,9 +118,9 @@
         other.stop()
 
     async def test_after_close_nothing_is_confirmed(
-        self, rig: tuple[Notifier, Confirmed, NotifierPeer]
+        self, env: tuple[Notifier, Confirmed, NotifierPeer]
     ) -> None:
-        notifier, confirmed, peer = rig
+        notifier, confirmed, peer = env
         peer.script_replies(*["hang"] * 10)
         notifier.send(Notice("m1", "dead"))
         await peer.wait_for_calls(1)
--- a/tests/contracts/partners.py
+++ b/tests/contracts/partners.py
@@ -73,7 +73,7 @@
         raise NotImplementedError
 
     @pytest.fixture
-    async def rig(self):  # type: ignore[no-untyped-def]
+    async def env(self):  # type: ignore[no-untyped-def]
         """The transport, the log of outcomes and one listed endpoint ``h1``."""
         log, peer = OutcomeLog(), await self.peer()
         partners = self.partners(log.settled)
@@ -92,9 +92,9 @@
         ],
     )
     async def test_each_response_proves_its_verdict(
-        self, rig: tuple[Partners, OutcomeLog, PartnerPeer], reply: str, verdict: Verdict, complete: bool
+        self, env: tuple[Partners, OutcomeLog, PartnerPeer], reply: str, verdict: Verdict, complete: bool
     ) -> None:
-        partners, log, peer = rig
+        partners, log, peer = env
         peer.script_replies(reply)
         partners.send(call("m1"))
         outcome = await log.first_of_message("m1")
@@ -102,9 +102,9 @@
         assert peer.calls == [["m1"]]
 
     async def test_each_part_of_a_call_has_its_own_outcome(
-        self, rig: tuple[Partners, OutcomeLog, PartnerPeer]
+        self, env: tuple[Partners, OutcomeLog, PartnerPeer]
     ) -> None:
-        partners, log, peer = rig
+        partners, log, peer = env
         peer.script_replies("partly")
         partners.send(call("m1", "m2", "m3"))
         verdicts = [(await log.first_of_message(ref)).verdict for ref in ("m1", "m2", "m3")]
@@ -112,17 +112,17 @@
         assert partners.batch_size("h1") == 4
 
     async def test_a_refused_connection_never_ran(
-        self, rig: tuple[Partners, OutcomeLog, PartnerPeer]
+        self, env: tuple[Partners, OutcomeLog, PartnerPeer]
     ) -> None:
-        partners, log, peer = rig
+        partners, log, peer = env
         peer.stop()
         partners.send(call("m1"))
         assert (await log.first_of_message("m1")).verdict is Verdict.CONNECT_FAILED
 
     async def test_silence_ends_at_the_parts_time_limit_and_may_have_run(
-        self, rig: tuple[Partners, OutcomeLog, PartnerPeer]
+        self, env: tuple[Partners, OutcomeLog, PartnerPeer]
     ) -> None:
-        partners, log, peer = rig
+        partners, log, peer = env
         peer.script_replies("silent")
         sent = call("m1")
         sent.parts[0].timeout_us = 300_000
@@ -131,9 +131,9 @@
         assert not (await log.first_of_message("m1")).verdict.never_ran
 
     async def test_a_part_is_settled_by_the_first_cancel_only(
-        self, rig: tuple[Partners, OutcomeLog, PartnerPeer]
+        self, env: tuple[Partners, OutcomeLog, PartnerPeer]
     ) -> None:
-        partners, log, peer = rig
+        partners, log, peer = env
         peer.script_replies("silent")
         partners.send(call("m1"))
         await peer.wait_for_calls(1)
@@ -147,9 +147,9 @@
         assert len(log.outcomes) == 2
 
     async def test_a_retry_after_wait_applies_from_its_response_on(
-        self, rig: tuple[Partners, OutcomeLog, PartnerPeer]
+        self, env: tuple[Partners, OutcomeLog, PartnerPeer]
     ) -> None:
-        partners, log, peer = rig
+        partners, log, peer = env
         peer.script_replies("wait")
         partners.send(call("m1"))
         first = await log.first_of_message("m1")
@@ -163,24 +163,24 @@
 
     @pytest.mark.parametrize("listing", [Listing.DRAINING, Listing.GONE])
     async def test_a_list_applies_to_calls_that_were_decided_before(
-        self, rig: tuple[Partners, OutcomeLog, PartnerPeer], listing: Listing
+        self, env: tuple[Partners, OutcomeLog, PartnerPeer], listing: Listing
     ) -> None:
-        partners, log, peer = rig
+        partners, log, peer = env
         partners.send(call("m1"))
         listed(partners, peer.address, listing)
         assert (await log.first_of_message("m1")).verdict.never_ran
         assert peer.calls == []
 
     async def test_a_call_to_an_unlisted_host_never_ran(
-        self, rig: tuple[Partners, OutcomeLog, PartnerPeer]
+        self, env: tuple[Partners, OutcomeLog, PartnerPeer]
     ) -> None:
-        partners, log, _ = rig
+        partners, log, _ = env
         partners.send(Call("h9", [Part("m1", 0, "", b"x", LIMIT_US)], time.monotonic()))
         assert (await log.first_of_message("m1")).verdict.never_ran
         assert partners.zone_of("h9") == ""
 
-    async def test_close_settles_nothing(self, rig: tuple[Partners, OutcomeLog, PartnerPeer]) -> None:
-        partners, log, peer = rig
+    async def test_close_settles_nothing(self, env: tuple[Partners, OutcomeLog, PartnerPeer]) -> None:
+        partners, log, peer = env
         peer.script_replies("silent")
         partners.send(call("m1"))
         await peer.wait_for_calls(1)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -43,7 +43,7 @@
     await client.submit_until_accepted("m0")
     assert world.process is not None
     world.process.terminate()
-    answers, taken = list[bytes](), 0
+    answers, accepted = list[bytes](), 0
     for number in range(1, 100_000):
         try:
             answers.append(await client.submit(f"m{number}"))
@@ -53,9 +53,9 @@
             answers[-1] == b""
         ):  # closed: a request in transit was not read and is repeated on a new connection
             break
-        taken += answers[-1] == b"+OK"
+        accepted += answers[-1] == b"+OK"
     assert all(answer == b"+OK" or answer.startswith(b"-BUSY") for answer in answers if answer)
-    assert taken > 0
+    assert accepted > 0
     assert await soon(world.process.wait()) == 0
 
 
@@ -218,10 +218,10 @@
 async def test_a_retry_after_wait_received_while_another_message_connects_applies_to_it(world: World) -> None:
     """The wait applies to all messages of the destination, also to one that is connecting as it arrives."""
 
-    def told_to_wait(request: Request) -> None:
+    def reply_with_wait(request: Request) -> None:
         request.answer(429, X_Retry_In_Ms="60000")
 
-    host = await world.add("h1", told_to_wait)
+    host = await world.add("h1", reply_with_wait)
     client = await world.run()
     both = encode_command(*enqueue("m1")) + encode_command(*enqueue("m2"))
     await client.submit_until_accepted("m0")
--- a/tests/test_subscription_timing.py
+++ b/tests/test_subscription_timing.py
@@ -59,27 +59,27 @@
     """Calls fail in every way and order, in groups of any size; the directory's return is noticed in time."""
     rng = random.Random(size)
     for seed in range(20):
-        asking = Subscriber(size, seed)
-        begun_us = asking.first_subscription_us()
-        assert begun_us <= LISTED_US - MAX_RESPONSE_US
+        subscriber = Subscriber(size, seed)
+        started_us = subscriber.first_subscription_us()
+        assert started_us <= LISTED_US - MAX_RESPONSE_US
         for took_us in rng.choices(FAILURE_DURATIONS_US, k=12):
-            asking.step(begun_us + took_us, api.EndpointUpdate(api.EndpointUpdateKind.FAILED))
-            again_us = asking.next_subscription_us()
-            assert again_us - begun_us <= LISTED_US - MAX_RESPONSE_US + TICK_US
-            begun_us = again_us
+            subscriber.step(started_us + took_us, api.EndpointUpdate(api.EndpointUpdateKind.FAILED))
+            again_us = subscriber.next_subscription_us()
+            assert again_us - started_us <= LISTED_US - MAX_RESPONSE_US + TICK_US
+            started_us = again_us
 
 
 @pytest.mark.parametrize("size", SIZES)
 def test_a_silent_watch_is_reopened_in_time(size: int) -> None:
     """Detected after ``SILENCE_TIMEOUT_S``; missed changes count as received 6 s after the silence began."""
     for seed in range(20):
-        asking = Subscriber(size, seed)
-        begun_us = asking.first_subscription_us()
-        asking.step(begun_us + SECOND, roster(entry("h1")))
-        silent_us = begun_us + 60 * SECOND
-        found_us = silent_us + int(SILENCE_TIMEOUT_S * 1e6)
-        asking.step(found_us, api.EndpointUpdate(api.EndpointUpdateKind.FAILED))
-        assert asking.next_subscription_us() + MAX_RESPONSE_US // 2 <= silent_us + LISTED_US
+        subscriber = Subscriber(size, seed)
+        started_us = subscriber.first_subscription_us()
+        subscriber.step(started_us + SECOND, roster(entry("h1")))
+        silent_us = started_us + 60 * SECOND
+        detected_us = silent_us + int(SILENCE_TIMEOUT_S * 1e6)
+        subscriber.step(detected_us, api.EndpointUpdate(api.EndpointUpdateKind.FAILED))
+        assert subscriber.next_subscription_us() + MAX_RESPONSE_US // 2 <= silent_us + LISTED_US
 
 
 def simulate_directory_return(relays: int, capacity: int, seed: int) -> tuple[list[float], int]:
@@ -92,40 +92,40 @@
     inbox: dict[int, api.Event] = {
         n: roster(entry("h1"), kind=api.EndpointUpdateKind.CACHED) for n in range(relays)
     }
-    heard, calls, free_us, back_us = dict[int, float](), 0, 0, 20 * SECOND
+    received_s, calls, free_us, return_us = dict[int, float](), 0, 0, 20 * SECOND
     due: dict[int, list[tuple[int, api.Event]]] = {}
-    for now_us in range(0, back_us + 12 * SECOND, TICK_US):
+    for now_us in range(0, return_us + 12 * SECOND, TICK_US):
         for number, event in due.pop(now_us, []):
             inbox[number] = event
         for number in rng.sample(range(relays), relays):
             if not group[number].step(now_us, inbox.pop(number, api.TimerDue())):
                 continue
-            calls += now_us >= back_us
+            calls += now_us >= return_us
             answer: tuple[int, api.Event] = (number, api.EndpointUpdate(api.EndpointUpdateKind.FAILED))
             at_us = now_us + TICK_US
-            if now_us >= back_us and (free_us := max(free_us, now_us)) <= now_us + SECOND:
+            if now_us >= return_us and (free_us := max(free_us, now_us)) <= now_us + SECOND:
                 free_us += SECOND // capacity
                 answer, at_us = (number, roster(entry("h1"))), free_us + TICK_US
-                heard[number] = (free_us - back_us) / 1e6
+                received_s[number] = (free_us - return_us) / 1e6
             due.setdefault(at_us - at_us % TICK_US, []).append(answer)
-    return sorted(heard.values()), calls
+    return sorted(received_s.values()), calls
 
 
 @pytest.mark.parametrize("relays", [30, 230])
 def test_after_its_return_the_directory_reaches_a_group_in_time_without_a_rush(relays: int) -> None:
     """It can serve a call of each relay in 4 s: all get the list within 6 s, with few extra calls."""
-    heard, calls = simulate_directory_return(relays, relays // 4, 1)
-    assert len(heard) == relays
-    assert heard[-1] <= LISTED_US / 1e6
+    received_s, calls = simulate_directory_return(relays, relays // 4, 1)
+    assert len(received_s) == relays
+    assert received_s[-1] <= LISTED_US / 1e6
     assert calls <= 1.5 * relays
 
 
 def test_a_directory_too_slow_for_the_group_is_kept_busy_and_not_overloaded() -> None:
     """It needs 8 s for a call of each relay: not all are served in time, but it is nearly always busy."""
-    heard, _ = simulate_directory_return(230, 230 // 8, 1)
-    in_time = sum(at_s <= LISTED_US / 1e6 for at_s in heard)
+    received_s, _ = simulate_directory_return(230, 230 // 8, 1)
+    in_time = sum(at_s <= LISTED_US / 1e6 for at_s in received_s)
     assert in_time >= 0.9 * (LISTED_US / 1e6) * (230 // 8)
-    assert len(heard) == 230
+    assert len(received_s) == 230
 
 
 async def test_a_drain_is_received_in_time_however_earlier_calls_failed(world: World) -> None:
@@ -162,9 +162,9 @@
         failing(how)
     await directory.until(lambda: len(asked) >= 4)
     directory.change("h1", health="DRAINING")
-    back_s, directory.default = loop.time(), usual
+    return_s, directory.default = loop.time(), usual
     await directory.until(lambda: directory._watches)
-    assert loop.time() - back_s <= LISTED_US / 1e6
+    assert loop.time() - return_s <= LISTED_US / 1e6
     assert all(later - sooner <= 4.5 for sooner, later in itertools.pairwise(asked))
     seen = len(host.seen)
     other = await world.add("h2", delivered)
