--- a/mallowlug/compose.py
+++ b/mallowlug/compose.py
@@ -23,10 +23,10 @@
 from mallowlug.core.reasons import Reasons
 from mallowlug.core.relay import RelayCore
 from mallowlug.core.reserved_space import reserved_space
-from mallowlug.directory.discovery import FIRST_S, Watch
-from mallowlug.ends.notices import Notices
-from mallowlug.fronts.resp2 import Server
-from mallowlug.partners.http_calls import Hosts
+from mallowlug.directory.discovery import FIRST_LINE_TIMEOUT_S, DirectoryWatch
+from mallowlug.ends.notices import HttpNotifier
+from mallowlug.fronts.resp2 import Resp2Server
+from mallowlug.partners.http_calls import HttpPartners
 from mallowlug.system import System
 from mossfront.interface import Settings
 
@@ -48,7 +48,7 @@
 
 def build_fronts(
     cfg: config.Config, extras: config.Extras, core: Intake, system: System, reasons: Reasons
-) -> list[Server]:
+) -> list[Resp2Server]:
     """Build the platform's front, then the operator's; together they may use one half of the descriptors.
 
     Raises ``ConfigError`` if the operator's fronts leave too few connections for the platform's.
@@ -65,7 +65,7 @@
     shared = cfg.console is not None
     burst = max(1, shares.accept_burst // len(listeners))
     return [
-        Server(core, address, max_connections, system, shared, burst=burst, reasons=reasons)
+        Resp2Server(core, address, max_connections, system, shared, accept_backlog=burst, reasons=reasons)
         for address, max_connections in listeners
     ]
 
@@ -87,7 +87,7 @@
 ) -> Adapters:
     """Return factories for the platform's adapters, bound to the configuration."""
     return Adapters(
-        partners=lambda settled, released: Hosts(
+        partners=lambda settled, released: HttpPartners(
             cfg.settings.kinds,
             cfg.settings.keepalive_us,
             cfg.connect_timeout_us,
@@ -95,19 +95,19 @@
             settled=settled,
             released=released,
             system=system,
-            most_open=max_calls,
+            max_open=max_calls,
             reasons=reasons,
         ),
-        directory=lambda on_update, failed: Watch(
+        directory=lambda on_update, failed: DirectoryWatch(
             cfg.discovery,
             seq,
             on_update,
             failed,
             system,
-            most_line=cfg.memory_bytes // 8,
-            answer_s=watch_answer_timeout_s(cfg),
+            max_line_bytes=cfg.memory_bytes // 8,
+            response_timeout_s=watch_answer_timeout_s(cfg),
         ),
-        notifier=lambda confirmed: Notices(cfg.discovery, confirmed, system),
+        notifier=lambda confirmed: HttpNotifier(cfg.discovery, confirmed, system),
     )
 
 
@@ -119,7 +119,7 @@
     request that hangs must time out within the grace of a drain.
     """
     min_s = max(MIN_ANSWER_S, cfg.settings.drain_grace_us / 4e6)
-    return min(FIRST_S, min_s) if cfg.settings.list_is_pushed else FIRST_S
+    return min(FIRST_LINE_TIMEOUT_S, min_s) if cfg.settings.list_is_pushed else FIRST_LINE_TIMEOUT_S
 
 
 def newest_list(handover: HandoverState | None, known: EndpointList) -> EndpointList:
@@ -162,7 +162,7 @@
             {listed.entry.host for listed in cfg.known.hosts} if cfg.console else set()
         )
         self._journal: Journal | None = None
-        self._fronts: list[Server] = []
+        self._fronts: list[Resp2Server] = []
         self._intake: Intake | None = None  # receives what clients submit to the fronts
         self._coordinator: UpgradeCoordinator | None = None
         # The next attempt to write down which ROUTER_DISCOVERY a reload has overridden.
@@ -274,7 +274,11 @@
         )
         for front in self._fronts:
             await front.start()
-            if self._coordinator is not None and self._coordinator.had_predecessor and not front.prevail():
+            if (
+                self._coordinator is not None
+                and self._coordinator.had_predecessor
+                and not front.steer_connections_here()
+            ):
                 LOG.warning("upgrade: cannot steer new connections to this process; any process may get them")
 
     def start_core(self, handover: HandoverState | None) -> RelayCore:
@@ -351,7 +355,7 @@
         """Send what clients submit to this intake from now on."""
         self._intake = intake
         for front in self._fronts:
-            front.core = intake
+            front.intake = intake
 
     def refresh_disabled_hosts(self) -> None:
         """Read again which hosts are disabled, as an operator may have changed them at the other process."""
@@ -463,10 +467,10 @@
 
         if has_successor := self._coordinator is not None and self._coordinator.spool_writer is not None:
             for front in self._fronts:
-                front.part()
+                front.close_after_next_answer()
             await asyncio.sleep(STOP_LISTENING_S)
             for front in self._fronts:
-                front.shut()
+                front.stop_listening()
         await self._wait_until(start_s + KEEP_SERVING_S, drained, start_s + 0.5)
         for front in self._fronts:
             front.drain_clients()
--- a/mallowlug/net/http.py
+++ b/mallowlug/net/http.py
@@ -1,4 +1,4 @@
-"""One HTTP/1.1 client connection on a plain socket: it counts its bytes and repeats nothing by itself."""
+"""HTTP/1.1 client connection on a plain socket that counts unsent bytes and never retries."""
 
 from __future__ import annotations
 
@@ -7,28 +7,30 @@
 from collections.abc import Callable
 
 from mallowlug.core.model import Address
-from mallowlug.net.answers import Answer, Answers, SpoiltError
+from mallowlug.net.responses import CorruptResponseError, ResponseHead, ResponseParser
 from mallowlug.system import System, family_of
 
 Headers = list[tuple[str, str]]
-ANSWER_S = 0.5  # s from an answer's first byte to its last: it is written in one go, or it has no end
-READ = 64 * 1024
+# From a response's first byte to its last: servers write it at once; a slower one counts as endless.
+RESPONSE_TIMEOUT_S = 0.5
+READ_BYTES = 64 * 1024
 
 
 class Connection:
-    """A connection whose owner knows exactly how many bytes of its request are still here."""
+    """A connection whose owner knows exactly how many bytes of its request are not sent yet."""
 
     def __init__(self, sock: socket.socket, address: Address = ("localhost", 0)) -> None:
         self.sock, self.address, self.unsent = sock, address, 0
-        # The loop gets the number: it names what it does not find, a socket by two system calls.
+        # Passed to the loop instead of the socket: looking up an unknown socket formats its name in an
+        # exception, which costs two system calls.
         self.fd = sock.fileno()
-        self.begun = False  # whether a byte of the present request has gone out
-        self._end_s: float | None = None  # when the present answer has to be complete
-        self._answers = Answers()
+        self.write_started = False  # whether a byte of the current request was sent
+        self._response_deadline_s: float | None = None  # when the current response must be complete
+        self._parser = ResponseParser()
 
     @classmethod
     async def open(cls, address: Address, system: System) -> Connection:
-        """Connect; ``OSError`` where the other side refuses."""
+        """Connect; raise ``OSError`` if that fails."""
         sock = system.stream(family_of(address))
         try:
             await asyncio.get_running_loop().sock_connect(sock, address)
@@ -38,128 +40,136 @@
         return cls(sock, address)
 
     def request(self, method: str, target: str, headers: Headers, body: bytes = b"") -> bytes:
-        """A request's bytes; ``ValueError`` where a header would break out of its line."""
+        """Encode a request; raise ``ValueError`` if a header contains a line break."""
         lines = [f"{name}: {value}\r\n" for name, value in headers]
         if method != "GET":
             lines.append(f"Content-Length: {len(body)}\r\n")
         host, port = self.address
         head = f"{method} {target} HTTP/1.1\r\nHost: {host}:{port}\r\n{''.join(lines)}\r\n".encode("ascii")
         if head.count(b"\n") != len(lines) + 3 or head.count(b"\r") != len(lines) + 3:
-            raise ValueError("a header holds a line's end")
+            raise ValueError("a header contains a line break")
         return head + body
 
     async def send(self, data: bytes) -> None:
-        """Hand every byte to the kernel; ``unsent`` is exact at every moment, also when this is cancelled.
+        """Pass all bytes to the kernel; ``unsent`` is exact at any time, also after a cancellation.
 
-        ``loop.sock_sendall`` will not do: cancelled after its last byte it looks as if it had not ended,
-        and a call that may have run would be taken for one that never did.
+        ``loop.sock_sendall`` is not suitable: if cancelled after its last byte it looks incomplete, and a
+        call that may have run would be taken for one that never ran.
         """
         loop, view = asyncio.get_running_loop(), memoryview(data)
-        self.unsent, self.begun = len(view), False
-        self._answers.begin()
-        self._end_s = None
+        self.unsent, self.write_started = len(view), False
+        self._parser.begin_response()
+        self._response_deadline_s = None
         while view:
             try:
                 sent = self.sock.send(view)
             except (BlockingIOError, InterruptedError):
-                await self._ready(loop.add_writer, loop.remove_writer)
+                await self._wait_ready(loop.add_writer, loop.remove_writer)
                 continue
-            view, self.begun = view[sent:], True
+            view, self.write_started = view[sent:], True
             self.unsent = len(view)
 
-    async def _ready(self, add: Callable[..., None], remove: Callable[..., object]) -> None:
-        """Wait for one side of the socket, by the loop's pair of calls for it."""
+    async def _wait_ready(
+        self, add_watcher: Callable[..., None], remove_watcher: Callable[..., object]
+    ) -> None:
+        """Wait until the socket is ready, using the loop's functions that add and remove a watcher."""
         ready = asyncio.Event()
-        add(self.fd, ready.set)
+        add_watcher(self.fd, ready.set)
         try:
             await ready.wait()
         finally:
-            remove(self.fd)
+            remove_watcher(self.fd)
 
-    async def _more(self) -> None:
-        """Take in what comes next; a broken or ended connection raises."""
+    async def _read_more(self) -> None:
+        """Receive and parse more data; raises if the connection is broken or closed."""
         if data := await self._receive():
-            self._answers.feed(data)
+            self._parser.feed(data)
         else:
-            self._answers.ended()
+            self._parser.handle_eof()
 
     async def _receive(self) -> bytes:
-        """What has come; cancelled, it has taken nothing from the kernel, so nothing that came is lost.
+        """Receive data; a cancellation leaves it in the kernel, so that none is lost.
 
-        A process that stood still finds its time-outs due and the answers there: the answers go first.
+        After a pause of the process both timeouts and data may be due: data takes precedence.
         """
         loop = asyncio.get_running_loop()
         while True:
             try:
-                return self.sock.recv(READ)
+                return self.sock.recv(READ_BYTES)
             except (BlockingIOError, InterruptedError):
                 pass
-            if self._end_s is None:
-                await self._ready(loop.add_reader, loop.remove_reader)
+            if self._response_deadline_s is None:
+                await self._wait_ready(loop.add_reader, loop.remove_reader)
                 continue
             try:
-                async with asyncio.timeout_at(self._end_s):
-                    await self._ready(loop.add_reader, loop.remove_reader)
+                async with asyncio.timeout_at(self._response_deadline_s):
+                    await self._wait_ready(loop.add_reader, loop.remove_reader)
             except TimeoutError:
-                if self._empty():  # what has come of an answer stays in the parser: it is not the question
-                    raise SpoiltError("an answer without end") from None
+                if self._receive_queue_empty():  # an incomplete response in the parser does not count
+                    raise CorruptResponseError("response not complete in time") from None
 
-    async def answer(self) -> Answer:
-        """Status and headers of the final answer; from its first byte on it has to end soon.
+    async def read_head(self) -> ResponseHead:
+        """Read status and headers of the final response, which must be complete soon after its first byte.
 
-        The wait for that byte is the caller's to bound; 1xx answers may come long before the final one.
+        The caller limits the wait for that byte; 1xx responses may arrive long before the final one.
         """
-        answers, begun = self._answers, -1  # begun: the 1xx answers ahead of the one that has begun
-        while answers.head is None:
-            await self._more()
-            if not answers.first:
-                self._end_s = None
-            elif begun != answers.interims:
-                self._end_s, begun = asyncio.get_running_loop().time() + ANSWER_S, answers.interims
-        return answers.head
+        parser, timed_interims = self._parser, -1  # interim_count when the deadline was set
+        while parser.head is None:
+            await self._read_more()
+            if not parser.head_bytes:
+                self._response_deadline_s = None
+            elif timed_interims != parser.interim_count:
+                self._response_deadline_s, timed_interims = (
+                    asyncio.get_running_loop().time() + RESPONSE_TIMEOUT_S,
+                    parser.interim_count,
+                )
+        return parser.head
 
     @property
-    def answering(self) -> bool:
-        """Whether the other side has begun to answer."""
-        return bool(self._answers.first)
+    def response_started(self) -> bool:
+        """Whether part of a response has been received."""
+        return bool(self._parser.head_bytes)
 
     @property
-    def says_delivered(self) -> bool:
-        """Whether the first line is whole and says 200, whatever became of the rest."""
-        return self._answers.says_delivered
-
-    async def body(self, most: int) -> bytes:
-        """The rest of the answer, of which ``most`` bytes are bearable."""
-        data = self._answers.body()
-        while not self._answers.done:
-            await self._more()
-            data += self._answers.body()
-            if len(data) > most:
-                raise SpoiltError("the answer is too long")
+    def status_is_200(self) -> bool:
+        """Whether the status line is complete and says 200, whatever follows it."""
+        return self._parser.status_is_200
+
+    async def read_body(self, max_bytes: int) -> bytes:
+        """Read the rest of the response; raise ``CorruptResponseError`` beyond ``max_bytes``."""
+        data = self._parser.take_body()
+        while not self._parser.done:
+            await self._read_more()
+            data += self._parser.take_body()
+            if len(data) > max_bytes:
+                raise CorruptResponseError("response body too long")
         return data
 
-    async def part(self) -> bytes:
-        """The next part of an answer that takes its time: a watch. Its end is a ``ConnectionResetError``."""
-        self._end_s = None
-        while not (data := self._answers.body()):
-            if self._answers.done:
-                raise ConnectionResetError("the answer has ended")
-            await self._more()
+    async def read_body_part(self) -> bytes:
+        """Read the next data of a long-lived response such as a watch; no deadline applies.
+
+        Raises ``ConnectionResetError`` at the end of the response.
+        """
+        self._response_deadline_s = None
+        while not (data := self._parser.take_body()):
+            if self._parser.done:
+                raise ConnectionResetError("the response has ended")
+            await self._read_more()
         return data
 
     def reusable(self) -> bool:
-        """Whether both sides are done with the last call and keep the connection."""
-        if not (self._answers.done and self._answers.keep and self.quiet()):
+        """Whether the last call is complete and both sides keep the connection open."""
+        if not (self._parser.done and self._parser.keep_alive and self.no_unsolicited_data()):
             return False
-        self.begun = False
+        self.write_started = False
         return True
 
-    def quiet(self) -> bool:
-        """Whether nothing came unasked: neither bytes nor the other side's end."""
-        return not self._answers.extra and self._empty()
+    def no_unsolicited_data(self) -> bool:
+        """Whether neither unrequested data nor the server's end of stream was received."""
+        return not self._parser.has_extra_data and self._receive_queue_empty()
 
-    def _empty(self) -> bool:
-        """Whether the kernel holds neither bytes nor the other side's end."""
+    def _receive_queue_empty(self) -> bool:
+        """Whether the kernel holds neither data nor the server's end of stream."""
         try:
             self.sock.recv(1, socket.MSG_PEEK)
         except (BlockingIOError, InterruptedError):
@@ -169,8 +179,8 @@
         return False
 
     def close(self) -> None:
-        """Give the connection up, and with it a call that is out on it."""
+        """Close the connection and abandon any call on it."""
         self.sock.close()
 
 
-FAULTS = (OSError, SpoiltError)
+CONNECTION_ERRORS = (OSError, CorruptResponseError)
--- a/mallowlug/partners/http_calls.py
+++ b/mallowlug/partners/http_calls.py
@@ -1,7 +1,7 @@
-"""Calls to hosts: connections and their reuse, batches, time-outs, and what each answer proves.
+"""HTTP calls to hosts: connection reuse, batches, timeouts, and the verdict that each response proves.
 
-Every part of a call is settled exactly once. Whether the last byte of a request went to the kernel decides
-between "never ran" and "may have run", so nothing here writes a request twice.
+Every part of a call is settled exactly once. Whether the last byte of a request was handed to the kernel
+decides between "never ran" and "in doubt", so a request is never written twice.
 """
 
 from __future__ import annotations
@@ -16,83 +16,88 @@
 from mallowlug.core.model import Call, EndpointList, Part, PartOutcome, ResolvedEndpoint
 from mallowlug.core.ports import PartReleased, PartSettled
 from mallowlug.core.reasons import Event, HostClose, Reasons
-from mallowlug.net.answers import Answer, SpoiltError
-from mallowlug.net.http import FAULTS, Connection, Headers
+from mallowlug.net.http import CONNECTION_ERRORS, Connection, Headers
+from mallowlug.net.responses import CorruptResponseError, ResponseHead
 from mallowlug.system import System
 from mossfront.interface import Kind, Listing, Verdict
 
 LOG = logging.getLogger(__name__)
-ONE, MANY = "/hook", "/hook/batch"
-MOST_ANSWER = 64 * 1024  # bytes of an answer's body
-MOST_WAIT_MS = 3_600_000  # ms: a longer wait is no host's intention and would shut a route for good
-WAIT = re.compile(rb"[0-9]{1,12}(?:\.[0-9]*)?")
-IDLE_SHARE = 0.9  # of the hosts' keep-alive: an older connection may be ended while a request is under way
-ENDS = {
+SINGLE_TARGET, BATCH_TARGET = "/hook", "/hook/batch"
+MAX_BODY_BYTES = 64 * 1024  # of a response
+MAX_RETRY_AFTER_MS = 3_600_000  # a longer wait can't be intended and would close a route for good
+RETRY_AFTER_VALUE = re.compile(rb"[0-9]{1,12}(?:\.[0-9]*)?")
+# Fraction of the hosts' keep-alive time: a connection idle for longer may be closed by the host while a
+# request is being sent.
+IDLE_TIMEOUT_FRACTION = 0.9
+BATCH_VERDICTS = {
     "delivered": Verdict.OK,
     "failed": Verdict.ERROR,
     "refused": Verdict.FULL,
     "over": Verdict.NOT_SENT,
     "spent": Verdict.NOT_SENT,
 }
-OVER, DELIVERED = 410, 200
-REPORTED = ("x0", "x1")
+STATUS_OVER, STATUS_DELIVERED = 410, 200  # both are final; 410 means that no attempt is needed any more
+LOAD_REPORT_FIELDS = ("x0", "x1")
 
 
 @dataclass(slots=True, eq=False)
 class Exchange:
-    """One call on its way: what of it has gone out, and on which connection."""
+    """A call in progress: its connection, what was sent, and its timers."""
 
     call: Call
     connection: Connection | None = None
     task: asyncio.Task[None] | None = None
-    sent: list[Part] = field(default_factory=list)  # what the request carries: parts may end before it
-    until_s: float = 0.0  # the loop's time at which it ends, for all of its parts
+    sent_parts: list[Part] = field(default_factory=list)  # in the request; some may be settled before its end
+    end_s: float = 0.0  # loop time at which the call ends for all of its parts
     timer: asyncio.TimerHandle | None = None
-    timers: dict[Part, asyncio.TimerHandle] = field(default_factory=dict)  # of parts that end before
-    late: bool = False  # it was ended by its time
-    left: list[Part] = field(default_factory=list)  # parts that ended while the call goes on for others
+    part_timers: dict[Part, asyncio.TimerHandle] = field(
+        default_factory=dict
+    )  # of parts with a shorter limit
+    timed_out: bool = False  # the call reached ``end_s``
+    # Parts that were settled while the call continued for others.
+    parts_to_release: list[Part] = field(default_factory=list)
 
     @property
     def written(self) -> bool:
-        """Whether the last byte is out, after which the host may have begun."""
-        return self.connection is not None and self.connection.begun and self.connection.unsent == 0
+        """Whether the last byte was sent, after which the host may have processed the request."""
+        return self.connection is not None and self.connection.write_started and self.connection.unsent == 0
 
     @property
-    def answering(self) -> bool:
-        """Whether the host has begun to answer."""
-        return self.connection is not None and self.connection.answering
+    def response_started(self) -> bool:
+        """Whether the host has started to respond."""
+        return self.connection is not None and self.connection.response_started
 
 
-def request_of(connection: Connection, parts: list[Part], left_s: float) -> bytes:
-    """The request for one message, or for several that share a call, for which the relay waits so long."""
-    left = ("X-Remaining", f"{max(1, int(left_s * 1000))}m")
+def build_request(connection: Connection, parts: list[Part], remaining_s: float) -> bytes:
+    """Build the request for one message or a batch; ``remaining_s`` is how long the relay will wait."""
+    remaining = ("X-Remaining", f"{max(1, int(remaining_s * 1000))}m")
     if len(parts) == 1:
-        headers: Headers = [("X-Txn", parts[0].id), left]
+        headers: Headers = [("X-Txn", parts[0].id), remaining]
         if parts[0].key:
             headers.append(("Idempotency-Key", parts[0].key))
-        return connection.request("POST", ONE, headers, parts[0].body)
+        return connection.request("POST", SINGLE_TARGET, headers, parts[0].body)
     frames = [
         b"%s %s %d\r\n%s\r\n" % (p.id.encode(), (p.key or "-").encode(), len(p.body), p.body) for p in parts
     ]
-    return connection.request("POST", MANY, [left], b"".join(frames))
+    return connection.request("POST", BATCH_TARGET, [remaining], b"".join(frames))
 
 
-def wait_of(answer: Answer) -> int:
-    """The longest wait that an answer tells, in microseconds; 0 for none."""
+def parse_retry_after_us(response: ResponseHead) -> int:
+    """Return the longest retry delay in a response's headers, in microseconds; 0 for none."""
     wait_us = 0
-    for name, value in answer.headers:
+    for name, value in response.headers:
         if name == b"x-retry-in-ms":
-            if WAIT.fullmatch(value):
-                wait_us = max(wait_us, int(min(float(value), MOST_WAIT_MS) * 1000))
+            if RETRY_AFTER_VALUE.fullmatch(value):
+                wait_us = max(wait_us, int(min(float(value), MAX_RETRY_AFTER_MS) * 1000))
             else:
-                LOG.warning("hosts: unreadable wait %r", value[:40])
+                LOG.warning("hosts: invalid X-Retry-In-Ms value %r", value[:40])
     return wait_us
 
 
-def report_of(answer: Answer) -> dict[str, float]:
-    """The load report that any answer may carry; values that are no figures are unknown."""
+def parse_load_report(response: ResponseHead) -> dict[str, float]:
+    """Return the load report of a response; values that are not finite non-negative numbers are omitted."""
     report: dict[str, float] = {}
-    for name, value in answer.headers:
+    for name, value in response.headers:
         if name == b"x-pressure":
             for pair in value.decode("latin-1").split(","):
                 field_name, _, text = pair.strip().partition("=")
@@ -100,107 +105,117 @@
                     figure = float(text)
                 except ValueError:
                     continue
-                if field_name in REPORTED and math.isfinite(figure) and figure >= 0:
+                if field_name in LOAD_REPORT_FIELDS and math.isfinite(figure) and figure >= 0:
                     report[field_name] = figure
     return report
 
 
-def verdict_of(answer: Answer) -> Verdict:
-    """What a status proves; one that the protocol does not know proves nothing."""
-    if answer.status == 503 and any(n == b"x-no-slot" and v == b"1" for n, v in answer.headers):
+def verdict_of(response: ResponseHead) -> Verdict:
+    """Return the verdict that a status proves; a status outside the protocol proves nothing (``ERROR``)."""
+    if response.status == 503 and any(n == b"x-no-slot" and v == b"1" for n, v in response.headers):
         return Verdict.NOT_SENT
-    table = {DELIVERED: Verdict.OK, 429: Verdict.FULL, 503: Verdict.FULL}
-    unsent = dict.fromkeys((400, 404, 405, OVER, 413, 431, 504), Verdict.NOT_SENT)
-    return (table | unsent).get(answer.status, Verdict.ERROR)
+    table = {STATUS_DELIVERED: Verdict.OK, 429: Verdict.FULL, 503: Verdict.FULL}
+    unsent = dict.fromkeys((400, 404, 405, STATUS_OVER, 413, 431, 504), Verdict.NOT_SENT)
+    return (table | unsent).get(response.status, Verdict.ERROR)
 
 
-def told_of(answer: Answer, end: str | None, wait_us: int, report: dict[str, float]) -> PartOutcome:
-    """What a whole answer says of a message: its own end in a batch, else the answer's."""
-    if end is not None:
-        return PartOutcome(ENDS[end], end in ("delivered", "over"), wait_us, report)
-    return PartOutcome(verdict_of(answer), answer.status in (DELIVERED, OVER), wait_us, report)
+def part_outcome(
+    response: ResponseHead, batch_result: str | None, wait_us: int, report: dict[str, float]
+) -> PartOutcome:
+    """Return a message's outcome by a complete response: by its result in a batch, else by the status."""
+    if batch_result is not None:
+        return PartOutcome(
+            BATCH_VERDICTS[batch_result], batch_result in ("delivered", "over"), wait_us, report
+        )
+    return PartOutcome(
+        verdict_of(response), response.status in (STATUS_DELIVERED, STATUS_OVER), wait_us, report
+    )
 
 
-def ends_of(body: bytes, parts: Sequence[Part]) -> dict[str, str]:
-    """The end of each message of a batch; an answer with a word too many or too few is spoilt as a whole.
+def parse_batch_results(body: bytes, parts: Sequence[Part]) -> dict[str, str]:
+    """Parse the result of each message of a batch by id.
 
-    Cut or garbled, it may still hold lines that look whole, and each that says "refused" would be believed.
+    Raises ``CorruptResponseError`` unless every line is valid and every message has exactly one: a truncated
+    or garbled body may still contain intact lines, and each "refused" among them would be believed.
     """
     lines = [line.split() for line in body.decode("latin-1").splitlines() if line.strip()]
-    ends = {words[0]: words[1] for words in lines if len(words) == 2 and words[1] in ENDS}
-    if len(ends) != len(lines) or ends.keys() != {part.id for part in parts}:
-        raise SpoiltError("not the ends of this batch")
-    return ends
+    results = {words[0]: words[1] for words in lines if len(words) == 2 and words[1] in BATCH_VERDICTS}
+    if len(results) != len(lines) or results.keys() != {part.id for part in parts}:
+        raise CorruptResponseError("the response does not hold one result for each message of the batch")
+    return results
 
 
-class Hosts:
-    """The hosts that the list names, the calls out to them, and connections kept between calls."""
+class HttpPartners:
+    """Sends calls to the listed hosts and keeps connections open between calls."""
 
     def __init__(
         self,
         kinds: Iterable[Kind],
         keepalive_us: int,
-        connect_us: int,
-        most_idle: int,
+        connect_timeout_us: int,
+        max_idle: int,
         *,
         settled: PartSettled,
         released: PartReleased,
         system: System,
-        most_open: int = 1 << 16,
+        max_open: int = 1 << 16,
         reasons: Reasons | None = None,
     ) -> None:
-        """``most_idle``, ``most_open``: connections kept between calls; and with those that carry one."""
+        """``max_idle`` limits the connections kept between calls, ``max_open`` these and those in use."""
         self._now_s, self._system = asyncio.get_running_loop().time, system
         self._kinds = {kind.name: kind for kind in kinds}
-        self._idle_s, self._connect_s = keepalive_us / 1e6 * IDLE_SHARE, connect_us / 1e6
-        self._most_open, self._reasons = most_open, reasons or Reasons()
-        self._most_idle, self._settled, self._released = most_idle, settled, released
+        self._idle_timeout_s, self._connect_timeout_s = (
+            keepalive_us / 1e6 * IDLE_TIMEOUT_FRACTION,
+            connect_timeout_us / 1e6,
+        )
+        self._max_open, self._reasons = max_open, reasons or Reasons()
+        self._max_idle, self._on_settled, self._on_released = max_idle, settled, released
         self._listed: dict[str, ResolvedEndpoint] = {}
         self._idle: dict[str, list[tuple[Connection, asyncio.TimerHandle]]] = {}
-        self._waits: dict[str, float] = {}  # by route: the loop's time until which it is to be left alone
+        self._waits: dict[str, float] = {}  # by route: loop time until which no call may be sent
         self.messages_written = 0
-        self._out: set[str] = set()  # by hand, listed or not
-        self.exchanges: dict[Exchange, None] = {}  # in order, so that what is given up goes in order too
+        self._disabled: set[str] = set()  # by an operator, whether listed or not
+        self.exchanges: dict[Exchange, None] = {}  # a dict keeps the order for close()
 
     def apply(self, news: EndpointList) -> None:
-        """Follow the list at once: what drains or goes gets no call that is still to be written."""
-        now_s = self._now_s()  # hosts come and go all day: a wait that is over is forgotten
+        """Apply a list at once: no request is written any more to hosts that drain or are gone."""
+        now_s = self._now_s()  # hosts are replaced all day: expired waits are removed
         self._waits = {route: until_s for route, until_s in self._waits.items() if until_s > now_s}
         if news.full:
-            gone = self._listed.keys() - {listed.entry.host for listed in news.hosts}
-            for host in gone:
+            removed = self._listed.keys() - {listed.entry.host for listed in news.hosts}
+            for host in removed:
                 del self._listed[host]
                 self.close_idle(host, HostClose.HOST_INACTIVE)
         for listed in news.hosts:
             host = listed.entry.host
-            known = self._listed.get(host)
+            previous = self._listed.get(host)
             if listed.entry.listing is Listing.GONE:
                 self._listed.pop(host, None)
             else:
                 self._listed[host] = listed
-            if listed.entry.listing is not Listing.READY or (known and known.address != listed.address):
+            if listed.entry.listing is not Listing.READY or (previous and previous.address != listed.address):
                 self.close_idle(host, HostClose.HOST_INACTIVE)
 
     def set_kinds(self, kinds: Iterable[Kind]) -> None:
-        """Go by these kinds from now on."""
+        """Replace the endpoint kinds."""
         self._kinds = {kind.name: kind for kind in kinds}
 
-    def set_disabled(self, host: str, out: bool) -> None:
-        """A host is out by hand, or back: then as a new process, which no old connection reaches."""
-        (self._out.add if out else self._out.discard)(host)
+    def set_disabled(self, host: str, disabled: bool) -> None:
+        """Disable or enable a host for an operator; its idle connections would not reach a new process."""
+        (self._disabled.add if disabled else self._disabled.discard)(host)
         self.close_idle(host, HostClose.HOST_INACTIVE)
 
-    def _serves(self, host: str) -> bool:
-        """Whether the list and the staff let calls go there."""
+    def _may_call(self, host: str) -> bool:
+        """Whether the host is listed as ready and not disabled by an operator."""
         listed = self._listed.get(host)
-        return listed is not None and listed.entry.listing is Listing.READY and host not in self._out
+        return listed is not None and listed.entry.listing is Listing.READY and host not in self._disabled
 
     def zone_of(self, host: str) -> str:
-        """The zone of a host."""
+        """Return the zone of a host; empty if it is not listed."""
         return self._listed[host].entry.zone if host in self._listed else ""
 
     def _route(self, host: str) -> str:
-        """What shares waits with a host: its destination, unless its kind's endpoints are routes apart."""
+        """Return the key under which a host's waits apply: its destination, or itself for separate routes."""
         listed = self._listed.get(host)
         apart = listed is None or self._kind(listed).separate_routes
         return host if listed is None or apart else f"dest {listed.entry.dest}"
@@ -209,82 +224,87 @@
         return self._kinds.get(listed.entry.kind, Kind(listed.entry.kind))
 
     def batch_size(self, host: str) -> int:
-        """How many messages a call to the host may carry."""
+        """Return how many messages a call to the host may carry."""
         listed = self._listed.get(host)
         return 1 if listed is None else self._kind(listed).batch_size
 
     def remaining_waits(self) -> dict[str, int]:
-        """By route: how long (us) it is still to be left alone."""
+        """Return the remaining Retry-After wait in microseconds, by route."""
         left = {route: int((until_s - self._now_s()) * 1e6) for route, until_s in self._waits.items()}
         return {route: left_us for route, left_us in left.items() if left_us > 0}
 
     def restore_waits(self, waits: dict[str, int]) -> None:
-        """Heed waits that a process before this one was told."""
+        """Apply Retry-After waits that a previous process received."""
         now_s = self._now_s()
         for route, left_us in waits.items():
-            until_s = now_s + min(left_us, MOST_WAIT_MS * 1000) / 1e6
+            until_s = now_s + min(left_us, MAX_RETRY_AFTER_MS * 1000) / 1e6
             self._waits[route] = max(self._waits.get(route, 0.0), until_s)
 
     def wait_left_us(self, host: str) -> int:
-        """How long the host is still to be left alone."""
+        """Return the remaining Retry-After wait for the host in microseconds."""
         return max(0, int((self._waits.get(self._route(host), 0.0) - self._now_s()) * 1e6))
 
-    def barred(self, host: str) -> PartOutcome | None:
-        """Why nothing may be written there now: decided before, a call must still obey newer news."""
+    def blocking_outcome(self, host: str) -> PartOutcome | None:
+        """Return the outcome for a call that must not be written now, else None.
+
+        The list or a wait may have changed since the call was decided.
+        """
         wait_us = self.wait_left_us(host)
-        if wait_us or not self._serves(host):
+        if wait_us or not self._may_call(host):
             return PartOutcome(Verdict.NOT_SENT, retry_after_us=wait_us)
         return None
 
     @property
     def busy(self) -> bool:
-        """Whether a call is out."""
+        """Whether a call is in progress."""
         return bool(self.exchanges)
 
     def send(self, call: Call) -> Exchange:
-        """Start one call; it ends at the longest limit of its parts, and each part at its own at the latest.
+        """Start a call; it ends at the longest time limit of its parts, and each part at its own at latest.
 
-        Parts of the same limit end in one go, behind the call: one by one, by timers that were set some
-        microseconds apart, one might be tried again while the call that carries it is still out.
+        Parts with the longest limit are settled together, after the call has ended. With a timer each, set
+        microseconds apart, one part could be repeated while the call that carries it is still open.
         """
         loop, exchange = asyncio.get_running_loop(), Exchange(call)
         self.exchanges[exchange] = None
-        start_s, most_us = call.sent_s, 0
+        start_s, longest_us = call.sent_s, 0
         for part in call.parts:
-            most_us = max(most_us, part.timeout_us)
-        exchange.until_s = start_s + most_us / 1e6
-        exchange.timer = loop.call_at(exchange.until_s, self._time_out, exchange)
+            longest_us = max(longest_us, part.timeout_us)
+        exchange.end_s = start_s + longest_us / 1e6
+        exchange.timer = loop.call_at(exchange.end_s, self._end_at_time_limit, exchange)
         for part in call.parts:
-            if part.timeout_us < most_us:
-                end_s = start_s + part.timeout_us / 1e6
-                exchange.timers[part] = loop.call_at(end_s, self._stop, exchange, part, Verdict.TIMEOUT)
+            if part.timeout_us < longest_us:
+                part_end_s = start_s + part.timeout_us / 1e6
+                exchange.part_timers[part] = loop.call_at(
+                    part_end_s, self._stop_part, exchange, part, Verdict.TIMEOUT
+                )
         exchange.task = loop.create_task(self._run(exchange))
         return exchange
 
-    def _time_out(self, exchange: Exchange) -> None:
-        """The call's time is up: it is off the wire before any of its parts is told so.
+    def _end_at_time_limit(self, exchange: Exchange) -> None:
+        """End a call at its time limit; its connection is closed before any of its parts is settled.
 
-        Also where an answer stands in the kernel, unread in this very turn of the loop: it may have come
-        behind the time of the call's messages, and then it delivers none of them.
+        A response that is in the kernel but not read yet is ignored, too: it may have arrived after the
+        time limit of the call's messages, and then it delivers none of them.
         """
-        exchange.late = True
+        exchange.timed_out = True
         if exchange.task is not None:
             exchange.task.cancel()
 
-    def cancel(self, ref: str, attempt: int) -> None:
-        """Call one attempt off."""
+    def cancel(self, message_id: str, attempt: int) -> None:
+        """Cancel one attempt of a message."""
         for exchange in list(self.exchanges):
             for part in exchange.call.open:
-                if (part.id, part.attempt) == (ref, attempt):
-                    self._stop(exchange, part, Verdict.CANCELLED)
+                if (part.id, part.attempt) == (message_id, attempt):
+                    self._stop_part(exchange, part, Verdict.CANCELLED)
 
     def close_idle(self, host: str, reason: HostClose = HostClose.POLICY) -> None:
-        """Close the connections to a host that carry no call."""
+        """Close the idle connections to a host."""
         for connection, timer in self._idle.pop(host, []):
-            self._drop(host, connection, timer, reason)
+            self._close_kept(host, connection, timer, reason)
 
     def close(self) -> None:
-        """Give up everything, silently: what is out stays in the journal as it stands."""
+        """Abort all calls and settle nothing: attempts in progress stay in the journal as they are."""
         for exchange in list(self.exchanges):
             for part in exchange.call.open:
                 self._settle(exchange, part, None)
@@ -293,161 +313,173 @@
         for host in list(self._idle):
             self.close_idle(host, HostClose.SHUTTING_DOWN)
 
-    def _settle(self, exchange: Exchange, part: Part, told: PartOutcome | None) -> None:
+    def _settle(self, exchange: Exchange, part: Part, outcome: PartOutcome | None) -> None:
         part.settled = True
-        if part in exchange.timers:
-            exchange.timers.pop(part).cancel()
-        if told is not None:
-            self._settled(exchange.call, part, told)
+        if part in exchange.part_timers:
+            exchange.part_timers.pop(part).cancel()
+        if outcome is not None:
+            self._on_settled(exchange.call, part, outcome)
 
-    def _stop(self, exchange: Exchange, part: Part, verdict: Verdict) -> None:
-        """End one part before its answer; with the last one the connection is closed."""
+    def _stop_part(self, exchange: Exchange, part: Part, verdict: Verdict) -> None:
+        """Settle one part before its response; the last one also ends the call and closes the connection."""
         if part.settled:
             return
         connection = exchange.connection
-        if verdict is Verdict.TIMEOUT and exchange.answering:
-            verdict = Verdict.ERROR  # it answers without an end: no silence of a lost host
-        last = len(exchange.call.open) == 1
-        begun = connection is not None and connection.begun
-        ran = exchange.written if last else begun  # others' bytes that follow may complete the call
-        lasts = begun and not last
-        told = PartOutcome(verdict if ran else Verdict.CONNECT_FAILED, call_continues=lasts)
-        if lasts:
-            exchange.left.append(part)
-        self._settle(exchange, part, self._proved(exchange) or told)
-        if last and exchange.task is not None:
+        if verdict is Verdict.TIMEOUT and exchange.response_started:
+            verdict = Verdict.ERROR  # the host responds, if incompletely: it is not lost
+        is_last = len(exchange.call.open) == 1
+        write_started = connection is not None and connection.write_started
+        # A call that continues for other parts may still send its remaining bytes.
+        in_doubt = exchange.written if is_last else write_started
+        call_continues = write_started and not is_last
+        outcome = PartOutcome(verdict if in_doubt else Verdict.CONNECT_FAILED, call_continues=call_continues)
+        if call_continues:
+            exchange.parts_to_release.append(part)
+        self._settle(exchange, part, self._delivered_by_status_line(exchange) or outcome)
+        if is_last and exchange.task is not None:
             exchange.task.cancel()
 
     async def _run(self, exchange: Exchange) -> None:
-        """Connect, write, read: every way out settles what is open and leaves no connection behind."""
-        told, keep, host = PartOutcome(Verdict.RESET), False, exchange.call.host
+        """Run a call; on every exit all open parts are settled, and the connection is kept or closed."""
+        outcome, keep_connection, host = PartOutcome(Verdict.RESET), False, exchange.call.host
         reason = HostClose.FAILED
         try:
-            keep = await self._exchange(exchange)
+            keep_connection = await self._perform(exchange)
             reason = HostClose.NOT_KEPT
-        except SpoiltError as error:  # not a reset: the connection held, and the host has answered
-            LOG.debug("hosts: %s: a spoilt answer: %s", host, str(error)[:80], extra={"host": host})
-            told = PartOutcome(Verdict.ERROR)
-        except (*FAULTS, TimeoutError) as error:
+        except CorruptResponseError as error:  # no RESET verdict: the connection held, and the host responded
+            LOG.debug("hosts: %s: corrupt response: %s", host, str(error)[:80], extra={"host": host})
+            outcome = PartOutcome(Verdict.ERROR)
+        except (*CONNECTION_ERRORS, TimeoutError) as error:
             LOG.debug("hosts: %s: %r", host, error, extra={"host": host})
         except Exception:
-            LOG.exception("hosts: call to %s broke", host, extra={"host": host})
+            LOG.exception("hosts: unexpected error in a call to %s", host, extra={"host": host})
         finally:
             if not exchange.written:
-                told = PartOutcome(Verdict.CONNECT_FAILED)
-            elif exchange.late:  # it answers without an end: no silence of a lost host
-                told = PartOutcome(Verdict.ERROR if exchange.answering else Verdict.TIMEOUT)
+                outcome = PartOutcome(Verdict.CONNECT_FAILED)
+            elif exchange.timed_out:  # a host that responds, if incompletely, is not lost
+                outcome = PartOutcome(Verdict.ERROR if exchange.response_started else Verdict.TIMEOUT)
             if exchange.timer is not None:
                 exchange.timer.cancel()
-            if exchange.connection is not None and not keep:
+            if exchange.connection is not None and not keep_connection:
                 self._close(host, exchange.connection, reason)
             self.exchanges.pop(exchange, None)
             for part in exchange.call.open:
-                self._settle(exchange, part, self._proved(exchange) or told)
-            for part in exchange.left:
-                self._released(part)
+                self._settle(exchange, part, self._delivered_by_status_line(exchange) or outcome)
+            for part in exchange.parts_to_release:
+                self._on_released(part)
 
     @staticmethod
-    def _proved(exchange: Exchange) -> PartOutcome | None:
-        """A first line that says 200 is true for the one message of a call, however the answer went on."""
+    def _delivered_by_status_line(exchange: Exchange) -> PartOutcome | None:
+        """Return the delivered outcome if the call carries one message and its status line says 200.
+
+        The status line holds even if the rest of the response is corrupt or missing.
+        """
         connection = exchange.connection
-        if len(exchange.sent) == 1 and exchange.written and connection and connection.says_delivered:
+        if len(exchange.sent_parts) == 1 and exchange.written and connection and connection.status_is_200:
             return PartOutcome(Verdict.OK, complete=True)
         return None
 
-    async def _exchange(self, exchange: Exchange) -> bool:
-        """The call itself; whether its connection can serve again."""
+    async def _perform(self, exchange: Exchange) -> bool:
+        """Connect, send the request, read the response; return whether the connection was kept for reuse."""
         host = exchange.call.host
-        connection = self._take(host) or await self._open(host)
+        connection = self._take_idle(host) or await self._open(host)
         exchange.connection = connection
-        # Connecting takes time, in which a wait or a drain may have been told: it binds this write too.
-        barred, parts = self.barred(host), exchange.call.open
-        if len(parts) > 1:  # the one that lasts longest first: who reckons a call's time by one takes that
+        # While connecting, a Retry-After wait or a drain may have been received; it applies to this write.
+        blocked, parts = self.blocking_outcome(host), exchange.call.open
+        if (
+            len(parts) > 1
+        ):  # longest limit first: a reader that takes the call's time from one part takes that
             parts.sort(key=lambda part: -part.timeout_us)
-        if barred is not None:
+        if blocked is not None:
             for part in parts:
-                self._settle(exchange, part, barred)
-            return self._keep(host, connection)
-        for part in list(parts):  # its window may have passed as well
+                self._settle(exchange, part, blocked)
+            return self._keep_idle(host, connection)
+        for part in list(parts):  # a part's deduplication window may have passed, too
             if part.start_within_us and self._now_s() > exchange.call.sent_s + part.start_within_us / 1e6:
                 self._settle(exchange, part, PartOutcome(Verdict.NOT_SENT))
                 parts.remove(part)
         if not parts:
-            return self._keep(host, connection)
-        exchange.sent = parts
-        await connection.send(request_of(connection, parts, exchange.until_s - self._now_s()))
+            return self._keep_idle(host, connection)
+        exchange.sent_parts = parts
+        await connection.send(build_request(connection, parts, exchange.end_s - self._now_s()))
         self.messages_written += len(parts)
-        answer = await connection.answer()
-        wait_us, report = wait_of(answer), report_of(answer)
+        response = await connection.read_head()
+        wait_us, report = parse_retry_after_us(response), parse_load_report(response)
         if wait_us:
             route = self._route(host)
-            until = self._now_s() + wait_us / 1e6
-            self._waits[route] = max(self._waits.get(route, 0.0), until)
-        if answer.status == DELIVERED and len(parts) == 1:
-            self._tell(exchange, parts[0], PartOutcome(Verdict.OK, True, wait_us, report))
+            until_s = self._now_s() + wait_us / 1e6
+            self._waits[route] = max(self._waits.get(route, 0.0), until_s)
+        if response.status == STATUS_DELIVERED and len(parts) == 1:
+            self._settle_from_response(exchange, parts[0], PartOutcome(Verdict.OK, True, wait_us, report))
             parts = []
-        # Any other answer counts when it is whole: a head that says "never ran" proves nothing if the
-        # body shows that the answer is spoilt, for the request has run then.
-        body = await connection.body(MOST_ANSWER)
-        ends = ends_of(body, parts) if answer.status == DELIVERED and parts else {}
+        # Any other response counts only when complete: a status that means "never ran" proves nothing if the
+        # body shows that the response is corrupt, since the request may have run.
+        body = await connection.read_body(MAX_BODY_BYTES)
+        batch_results = (
+            parse_batch_results(body, parts) if response.status == STATUS_DELIVERED and parts else {}
+        )
         for part in parts:
-            self._tell(exchange, part, told_of(answer, ends.get(part.id), wait_us, report))
-        return self._keep(host, connection)
+            self._settle_from_response(
+                exchange, part, part_outcome(response, batch_results.get(part.id), wait_us, report)
+            )
+        return self._keep_idle(host, connection)
 
-    def _tell(self, exchange: Exchange, part: Part, told: PartOutcome) -> None:
-        """Settle a part; where its own time ran out within the call, only a final end is still news."""
-        if not part.settled or told.complete:
-            self._settle(exchange, part, told)
+    def _settle_from_response(self, exchange: Exchange, part: Part, outcome: PartOutcome) -> None:
+        """Settle a part; one that was settled by its own time limit is updated only by a final outcome."""
+        if not part.settled or outcome.complete:
+            self._settle(exchange, part, outcome)
 
     async def _open(self, host: str) -> Connection:
         listed = self._listed.get(host)
         if listed is None:
             raise ConnectionError("no longer listed")
-        self._make_room()
-        async with asyncio.timeout(self._connect_s):
+        self._close_excess_idle()
+        async with asyncio.timeout(self._connect_timeout_s):
             return await Connection.open(listed.address, self._system)
 
-    def _take(self, host: str) -> Connection | None:
-        """The idle connection that was used last, if the host has not ended it."""
+    def _take_idle(self, host: str) -> Connection | None:
+        """Take the most recently used idle connection that the host has not closed."""
         idle = self._idle.get(host, [])
         while idle:
             connection, timer = idle.pop()
             asyncio.get_running_loop().remove_reader(connection.fd)
             timer.cancel()
-            if connection.quiet():
+            if connection.no_unsolicited_data():
                 return connection
             self._close(host, connection, HostClose.IDLE)
         return None
 
-    def _make_room(self) -> None:
-        """Close the idle connections that are due first, so that a new one finds a descriptor."""
+    def _close_excess_idle(self) -> None:
+        """Close the idle connections that expire first, so that a new one gets a file descriptor."""
         while any(self._idle.values()) and sum(map(len, self._idle.values())) + len(self.exchanges) > (
-            self._most_open
+            self._max_open
         ):
-            kept = [(host, idle) for host, idle in self._idle.items() if idle]
-            host, first = min(kept, key=lambda item: item[1][0][1].when())
-            self._drop(host, *first.pop(0), HostClose.DESCRIPTOR_NEEDED)
+            candidates = [(host, idle) for host, idle in self._idle.items() if idle]
+            host, connections = min(candidates, key=lambda item: item[1][0][1].when())
+            self._close_kept(host, *connections.pop(0), HostClose.DESCRIPTOR_NEEDED)
 
-    def _keep(self, host: str, connection: Connection) -> bool:
-        """Keep a connection for the next call, watched for the host's end, closed before its keep-alive."""
-        if not self._serves(host) or not connection.reusable():
+    def _keep_idle(self, host: str, connection: Connection) -> bool:
+        """Keep a connection for reuse until it times out or the host closes it; return whether it is kept."""
+        if not self._may_call(host) or not connection.reusable():
             return False
-        if sum(map(len, self._idle.values())) >= self._most_idle:
+        if sum(map(len, self._idle.values())) >= self._max_idle:
             return False
         loop = asyncio.get_running_loop()
-        timer = loop.call_later(self._idle_s, self._expire, host, connection)
-        loop.add_reader(connection.fd, self._expire, host, connection)
+        timer = loop.call_later(self._idle_timeout_s, self._discard_idle, host, connection)
+        loop.add_reader(connection.fd, self._discard_idle, host, connection)
         self._idle.setdefault(host, []).append((connection, timer))
         return True
 
-    def _expire(self, host: str, connection: Connection) -> None:
-        """An idle connection has stood too long, or the host has ended it."""
+    def _discard_idle(self, host: str, connection: Connection) -> None:
+        """Close an idle connection that has timed out or that the host has closed."""
         for item in [item for item in self._idle.get(host, []) if item[0] is connection]:
             self._idle[host].remove(item)
-            self._drop(host, *item, HostClose.IDLE)
+            self._close_kept(host, *item, HostClose.IDLE)
 
-    def _drop(self, host: str, connection: Connection, timer: asyncio.TimerHandle, reason: HostClose) -> None:
-        """Close a connection that was kept."""
+    def _close_kept(
+        self, host: str, connection: Connection, timer: asyncio.TimerHandle, reason: HostClose
+    ) -> None:
+        """Close an idle connection and remove its reader and timer."""
         asyncio.get_running_loop().remove_reader(connection.fd)
         timer.cancel()
         self._close(host, connection, reason)
--- a/tests/contracts/partners.py
+++ b/tests/contracts/partners.py
@@ -1,4 +1,4 @@
-"""What every partner transport has to keep: each part settled once, and what its verdict proves."""
+"""Contract of partner transports: each part is settled once, and what its verdict proves."""
 
 from __future__ import annotations
 
@@ -22,43 +22,43 @@
 
     address: Address
 
-    def then(self, *replies: str) -> None:
-        """How the next calls fare: ``delivered``, ``refused``, ``wait`` (refused for 60 s), ``error``,
-        ``silent``, ``reset`` or ``partly`` (delivered, refused in turn); after them ``delivered``."""
+    def script_replies(self, *replies: str) -> None:
+        """Set the replies to the next calls: ``delivered``, ``refused``, ``wait`` (refused for 60 s),
+        ``error``, ``silent``, ``reset`` or ``partly`` (delivered, refused in turn); then ``delivered``."""
 
     @property
     def calls(self) -> list[list[str]]:
-        """The ids of every call whose last byte came."""
+        """The message ids of every completely received call."""
 
-    async def came(self, number: int) -> None:
-        """Wait until so many calls have come."""
+    async def wait_for_calls(self, number: int) -> None:
+        """Wait until that many calls were received."""
 
     def stop(self) -> None:
-        """Refuse connections from now on and break those that are open."""
+        """Refuse new connections and break the open ones."""
 
 
-class Books:
-    """What a transport settled."""
+class OutcomeLog:
+    """The outcomes that a transport settled."""
 
     def __init__(self) -> None:
-        self.told: list[tuple[str, PartOutcome]] = []
+        self.outcomes: list[tuple[str, PartOutcome]] = []
         self.changed = asyncio.Event()
 
-    def settled(self, _call: Call, part: Part, told: PartOutcome) -> None:
+    def settled(self, _call: Call, part: Part, outcome: PartOutcome) -> None:
         """The core's callback."""
-        self.told.append((part.id, told))
+        self.outcomes.append((part.id, outcome))
         self.changed.set()
 
-    def of(self, ref: str) -> list[PartOutcome]:
-        """All that was settled for a message."""
-        return [told for known, told in self.told if known == ref]
+    def of_message(self, ref: str) -> list[PartOutcome]:
+        """All outcomes of a message."""
+        return [outcome for message_id, outcome in self.outcomes if message_id == ref]
 
-    async def first(self, ref: str) -> PartOutcome:
-        """How a message fared."""
-        while not self.of(ref):
+    async def first_of_message(self, ref: str) -> PartOutcome:
+        """Wait for the first outcome of a message."""
+        while not self.of_message(ref):
             self.changed.clear()
             await soon(self.changed.wait())
-        return self.of(ref)[0]
+        return self.of_message(ref)[0]
 
 
 class PartnersContract:
@@ -73,12 +73,12 @@
         raise NotImplementedError
 
     @pytest.fixture
-    async def rig(self):  # type: ignore[no-untyped-def]
-        """Transport, books and one listed endpoint ``h1``."""
-        books, peer = Books(), await self.peer()
-        partners = self.partners(books.settled)
+    async def env(self):  # type: ignore[no-untyped-def]
+        """The transport, the log of outcomes and one listed endpoint ``h1``."""
+        log, peer = OutcomeLog(), await self.peer()
+        partners = self.partners(log.settled)
         listed(partners, peer.address)
-        yield partners, books, peer
+        yield partners, log, peer
         partners.close()
         peer.stop()
 
@@ -91,107 +91,113 @@
             ("reset", Verdict.RESET, False),
         ],
     )
-    async def test_what_an_answer_proves(
-        self, rig: tuple[Partners, Books, PartnerPeer], reply: str, verdict: Verdict, complete: bool
+    async def test_each_response_proves_its_verdict(
+        self, env: tuple[Partners, OutcomeLog, PartnerPeer], reply: str, verdict: Verdict, complete: bool
     ) -> None:
-        partners, books, peer = rig
-        peer.then(reply)
+        partners, log, peer = env
+        peer.script_replies(reply)
         partners.send(call("m1"))
-        told = await books.first("m1")
-        assert (told.verdict, told.complete) == (verdict, complete)
+        outcome = await log.first_of_message("m1")
+        assert (outcome.verdict, outcome.complete) == (verdict, complete)
         assert peer.calls == [["m1"]]
 
-    async def test_each_part_of_a_call_has_its_own_end(
-        self, rig: tuple[Partners, Books, PartnerPeer]
+    async def test_each_part_of_a_call_has_its_own_outcome(
+        self, env: tuple[Partners, OutcomeLog, PartnerPeer]
     ) -> None:
-        partners, books, peer = rig
-        peer.then("partly")
+        partners, log, peer = env
+        peer.script_replies("partly")
         partners.send(call("m1", "m2", "m3"))
-        told = [(await books.first(ref)).verdict for ref in ("m1", "m2", "m3")]
-        assert told == [Verdict.OK, Verdict.FULL, Verdict.OK]
+        verdicts = [(await log.first_of_message(ref)).verdict for ref in ("m1", "m2", "m3")]
+        assert verdicts == [Verdict.OK, Verdict.FULL, Verdict.OK]
         assert partners.batch_size("h1") == 4
 
-    async def test_a_refused_connection_never_ran(self, rig: tuple[Partners, Books, PartnerPeer]) -> None:
-        partners, books, peer = rig
+    async def test_a_refused_connection_never_ran(
+        self, env: tuple[Partners, OutcomeLog, PartnerPeer]
+    ) -> None:
+        partners, log, peer = env
         peer.stop()
         partners.send(call("m1"))
-        assert (await books.first("m1")).verdict is Verdict.CONNECT_FAILED
+        assert (await log.first_of_message("m1")).verdict is Verdict.CONNECT_FAILED
 
-    async def test_silence_ends_with_the_parts_own_limit_and_may_have_run(
-        self, rig: tuple[Partners, Books, PartnerPeer]
+    async def test_silence_ends_at_the_parts_time_limit_and_may_have_run(
+        self, env: tuple[Partners, OutcomeLog, PartnerPeer]
     ) -> None:
-        partners, books, peer = rig
-        peer.then("silent")
+        partners, log, peer = env
+        peer.script_replies("silent")
         sent = call("m1")
         sent.parts[0].timeout_us = 300_000
         partners.send(sent)
-        assert (await books.first("m1")).verdict is Verdict.TIMEOUT
-        assert not (await books.first("m1")).verdict.never_ran
+        assert (await log.first_of_message("m1")).verdict is Verdict.TIMEOUT
+        assert not (await log.first_of_message("m1")).verdict.never_ran
 
-    async def test_a_cancel_settles_once_and_another_settles_nothing(
-        self, rig: tuple[Partners, Books, PartnerPeer]
+    async def test_a_part_is_settled_by_the_first_cancel_only(
+        self, env: tuple[Partners, OutcomeLog, PartnerPeer]
     ) -> None:
-        partners, books, peer = rig
-        peer.then("silent")
+        partners, log, peer = env
+        peer.script_replies("silent")
         partners.send(call("m1"))
-        await peer.came(1)
+        await peer.wait_for_calls(1)
         for _ in range(3):
             partners.cancel("m1", 0)
         partners.cancel("nobody", 0)
-        assert [told.verdict for told in books.of("m1")] == [Verdict.CANCELLED]
+        assert [outcome.verdict for outcome in log.of_message("m1")] == [Verdict.CANCELLED]
         partners.send(call("m2"))
-        await books.first("m2")
-        assert len(books.of("m1")) == 1
-        assert len(books.told) == 2
+        await log.first_of_message("m2")
+        assert len(log.of_message("m1")) == 1
+        assert len(log.outcomes) == 2
 
-    async def test_a_wait_binds_from_its_answer_on(self, rig: tuple[Partners, Books, PartnerPeer]) -> None:
-        partners, books, peer = rig
-        peer.then("wait")
+    async def test_a_retry_after_wait_applies_from_its_response_on(
+        self, env: tuple[Partners, OutcomeLog, PartnerPeer]
+    ) -> None:
+        partners, log, peer = env
+        peer.script_replies("wait")
         partners.send(call("m1"))
-        first = await books.first("m1")
+        first = await log.first_of_message("m1")
         assert first.verdict is Verdict.FULL
         assert first.retry_after_us == 60_000_000
         partners.send(call("m2"))
-        later = await books.first("m2")
+        later = await log.first_of_message("m2")
         assert later.verdict is Verdict.NOT_SENT
         assert 0 < later.retry_after_us <= 60_000_000
         assert peer.calls == [["m1"]]
 
     @pytest.mark.parametrize("listing", [Listing.DRAINING, Listing.GONE])
-    async def test_news_binds_a_call_that_was_decided_before(
-        self, rig: tuple[Partners, Books, PartnerPeer], listing: Listing
+    async def test_a_list_applies_to_calls_that_were_decided_before(
+        self, env: tuple[Partners, OutcomeLog, PartnerPeer], listing: Listing
     ) -> None:
-        partners, books, peer = rig
+        partners, log, peer = env
         partners.send(call("m1"))
         listed(partners, peer.address, listing)
-        assert (await books.first("m1")).verdict.never_ran
+        assert (await log.first_of_message("m1")).verdict.never_ran
         assert peer.calls == []
 
-    async def test_a_call_to_nobody_never_ran(self, rig: tuple[Partners, Books, PartnerPeer]) -> None:
-        partners, books, _ = rig
+    async def test_a_call_to_an_unlisted_host_never_ran(
+        self, env: tuple[Partners, OutcomeLog, PartnerPeer]
+    ) -> None:
+        partners, log, _ = env
         partners.send(Call("h9", [Part("m1", 0, "", b"x", LIMIT_US)], time.monotonic()))
-        assert (await books.first("m1")).verdict.never_ran
+        assert (await log.first_of_message("m1")).verdict.never_ran
         assert partners.zone_of("h9") == ""
 
-    async def test_close_settles_nothing(self, rig: tuple[Partners, Books, PartnerPeer]) -> None:
-        partners, books, peer = rig
-        peer.then("silent")
+    async def test_close_settles_nothing(self, env: tuple[Partners, OutcomeLog, PartnerPeer]) -> None:
+        partners, log, peer = env
+        peer.script_replies("silent")
         partners.send(call("m1"))
-        await peer.came(1)
+        await peer.wait_for_calls(1)
         assert partners.busy
         partners.close()
         while partners.busy:
             await asyncio.sleep(0.01)
-        assert books.told == []
+        assert log.outcomes == []
 
 
 def call(*refs: str) -> Call:
-    """One call to ``h1``."""
+    """Make a call to ``h1``."""
     return Call("h1", [Part(ref, 0, f"key-{ref}", b"x", LIMIT_US) for ref in refs], time.monotonic())
 
 
 def listed(partners: Partners, address: Address, listing: Listing = Listing.READY) -> None:
-    """The endpoint ``h1`` as the directory lists it."""
+    """List the endpoint ``h1``."""
     partners.apply(
         EndpointList(1, False, (ResolvedEndpoint(EndpointEntry("h1", 1, "a", "banks", listing), address),))
     )
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -37,7 +37,7 @@
     """Each destination's connection is kept for the next call until its descriptor is needed."""
     hosts = [await serving() for _ in range(3)]
     calls = Calls(hosts[0].port)
-    calls.hosts._most_open = 2
+    calls.hosts._max_open = 2
     rows = [
         ResolvedEndpoint(EndpointEntry(f"h{n}", n, "a", "banks", Listing.READY), ("127.0.0.1", host.port))
         for n, host in enumerate(hosts)
@@ -61,13 +61,13 @@
     world.sockets = 64
     world.settings["domain"]["calls_out"] = 100
     host = await world.add("h1", silent)
-    world.known = list(world.directory.hosts.values())  # a known host may have many calls at once
+    world.known_hosts = list(world.directory.hosts.values())  # a known host may have many calls at once
     client = await world.run()
     assert world.process is not None
     resource.prlimit(world.process.pid, resource.RLIMIT_NOFILE, (64, 64))
-    await client.insist("m0")
+    await client.submit_until_accepted("m0")
     for number in range(40):
-        assert await client.hand_in(f"n{number}") == b"+OK"
+        assert await client.submit(f"n{number}") == b"+OK"
     calls = split_descriptors(64, 1, False).calls
     # A quarter of the slots is reserved for other hosts.
     await host.until(lambda: len(host.seen) >= calls - 3)
@@ -84,8 +84,8 @@
     host = await world.add("h1")
     hangs = await world.add("h2", silent, block=2)
     first = await world.run()
-    await first.insist("m0")
-    await first.insist("m1", dest=2)
+    await first.submit_until_accepted("m0")
+    await first.submit_until_accepted("m1", dest=2)
     await hangs.call(0)
     assert world.process is not None
     world.directory.lose()
@@ -98,8 +98,8 @@
     world.directory.change("h3", dial=f"127.0.0.1:{host.port}", block=3, **{"class": "lots"})
     await world.directory.until(lambda: len(world.directory.seen) > asked)
     newest = await world.client()
-    assert await newest.hand_in("m2", d=400, dest=2) == b"+OK"
-    await newest.insist("m3", dest=3)
+    assert await newest.submit("m2", d=400, dest=2) == b"+OK"
+    await newest.submit_until_accepted("m3", dest=3)
     await host.until(lambda: any("m3" in request.ids for request in host.seen))
     await world.directory.notice("m2")
     assert len(os.listdir(f"/proc/{world.process.pid}/fd")) <= 64
--- a/tests/test_disabled_hosts.py
+++ b/tests/test_disabled_hosts.py
@@ -14,21 +14,21 @@
 from mossfront.engine import DecisionEngine
 from tests.calls import Calls, serving
 from tests.support import SAFE, SECOND, arrival, ended, entry, roster, sends, settings
-from tests.world import World, called, silent, soon
+from tests.world import World, http_request, silent, soon
 
 DISABLE, ENABLE = "/hosts/disable?name=", "/hosts/enable?name="
 
 
 async def post(console: int, target: str) -> int:
     """Make one call to the console and return its status."""
-    return (await called(console, "POST", target))[0]
+    return (await http_request(console, "POST", target))[0]
 
 
 async def console_with_hosts(world: World, *hosts: str) -> int:
     """Add hosts of one destination that the relay knows at its start; returns the console's port."""
     for host in hosts:
         await world.add(host)
-    world.known = list(world.directory.hosts.values())
+    world.known_hosts = list(world.directory.hosts.values())
     return world.open_console()
 
 
@@ -42,12 +42,12 @@
     client = await world.run()
     assert await post(console, DISABLE + "h1") == 200
     for number in range(12):
-        await client.hand_in(f"m{number}")
+        await client.submit(f"m{number}")
         await world.hosts["h2"].call(number)
     assert messages_at(world, "h1") == []
     assert await post(console, DISABLE + "h2") == 200
     assert await post(console, ENABLE + "h1") == 200
-    await client.hand_in("last")
+    await client.submit("last")
     assert (await world.hosts["h1"].call(0)).ids == ["last"]
     assert len(messages_at(world, "h2")) == 12
 
@@ -56,12 +56,12 @@
     console = await console_with_hosts(world, "h1")
     await world.run()
     assert [await post(console, DISABLE + "h1") for _ in range(2)] == [200, 200]
-    client = await world.again()
+    client = await world.kill_and_restart()
     world.directory.change("h1", health="DELETED")
     world.directory.change("h1", health="SERVING")
-    await client.insist("m1")
+    await client.submit_until_accepted("m1")
     world.directory.change("h2", dial="127.0.0.1:1", block=2)
-    await client.insist("m2", dest=2)  # a later line of the watch has been read
+    await client.submit_until_accepted("m2", dest=2)  # a later line of the watch has been read
     assert messages_at(world, "h1") == []
     assert await post(console, ENABLE + "h1") == 200
     assert (await world.hosts["h1"].call(0)).ids == ["m1"]
@@ -71,7 +71,7 @@
     console = await console_with_hosts(world, "h1")
     client = await world.run()
     await post(console, DISABLE + "h1")
-    assert await client.hand_in("m1", d=300) == b"+OK"
+    assert await client.submit("m1", d=300) == b"+OK"
     assert (await world.directory.notice("m1"))["result"] == "bounced"
     assert messages_at(world, "h1") == []
 
@@ -82,20 +82,20 @@
     await post(console, DISABLE + "h1")
 
     async def reported(line: str) -> None:
-        while line not in (await called(console, "GET", "/metrics"))[1]:
+        while line not in (await http_request(console, "GET", "/metrics"))[1]:
             await asyncio.sleep(0.01)
 
     await soon(reported("relay_cluster_unhealthy 1\n"))
     world.directory.change("h1", health="DELETED")
     await soon(reported("relay_cluster_unhealthy 0\n"))
-    assert "relay_cluster_size 1\n" in (await called(console, "GET", "/metrics"))[1]
+    assert "relay_cluster_size 1\n" in (await http_request(console, "GET", "/metrics"))[1]
 
 
 async def test_call_in_progress_to_a_disabled_host_ends_normally(world: World) -> None:
     console = await console_with_hosts(world, "h1")
     world.hosts["h1"].default = silent
     client = await world.run()
-    await client.hand_in("m1", "unsafe")
+    await client.submit("m1", "unsafe")
     call = await world.hosts["h1"].call(0)
     assert await post(console, DISABLE + "h1") == 200
     call.answer(500)
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -8,7 +8,7 @@
 from prometheus_client.parser import text_string_to_metric_families
 
 from mallowlug.core.metrics import Gauges, Metrics
-from tests.world import Reply, Request, World, called, delivered, enqueue, packed, silent, soon
+from tests.world import Reply, Request, World, delivered, encode_command, enqueue, http_request, silent, soon
 
 Samples = dict[tuple[str, str, str], float]
 LABELS = ("state", "reason", "phase")  # a sample has at most one of them
@@ -51,7 +51,7 @@
 
 async def scrape(port: int) -> Samples:
     """Read the relay's current metrics."""
-    status, text = await called(port, "GET", "/metrics")
+    status, text = await http_request(port, "GET", "/metrics")
     assert status == 200
     return parse(text)
 
@@ -88,22 +88,22 @@
     world.settings["allowed"]["open_cap"] = 12
     first = await world.add("h1")
     bank = await world.add("b1", silent, kind="banks", block=2)
-    world.known = list(world.directory.hosts.values())
-    world.name(3)
+    world.known_hosts = list(world.directory.hosts.values())
+    world.list_unserved_destination(3)
     port = world.open_console()
     client = await world.run()
     first.script.extend(map(failing_reply, (503, 500)))
     for number in range(3):  # the first of them is retried twice
-        assert await client.hand_in(f"s{number}") == b"+OK"
+        assert await client.submit(f"s{number}") == b"+OK"
         await first.call(2 + number)
     first.script.append(failing_reply(500))
-    assert await client.hand_in("u1", "unsafe") == b"+OK"  # in doubt: failed
+    assert await client.submit("u1", "unsafe") == b"+OK"  # in doubt: failed
     assert (await world.directory.notice("u1"))["result"] == "dead"
-    assert await client.hand_in("w1", dest=3, d=60) in (b"+OK", b"-BUSY 2000")
+    assert await client.submit("w1", dest=3, d=60) in (b"+OK", b"-BUSY 2000")
     assert await client.command(b"ENQUEUE", b"0", b"k1", b"c=keyed,d=900,dest=1", b"") == b"-ERR k is missing"
     gone = await world.client()
     gone.writer.close()
-    assert await client.hand_in("x1", "nobody") == b"-ERR unknown class"
+    assert await client.submit("x1", "nobody") == b"-ERR unknown class"
 
     def partly(request: Request) -> None:
         bank.default = delivered
@@ -111,7 +111,7 @@
         request.answer(200, "".join(f"{ref} {end}\r\n" for ref, end in zip(request.ids, ends, strict=True)))
 
     bank.default = partly
-    client.writer.write(b"".join(packed(*enqueue(f"b{n}", "keyed", dest=2)) for n in range(4)))
+    client.writer.write(b"".join(encode_command(*enqueue(f"b{n}", "keyed", dest=2)) for n in range(4)))
     for _ in range(4):
         assert (await soon(client.reader.readline())) == b"+OK\r\n"
     await bank.until(lambda: sum(len(request.ids) for request in bank.seen) == 7)
@@ -145,11 +145,11 @@
 
 
 async def test_recovered_messages_are_counted_by_the_process_that_ends_them(world: World) -> None:
-    world.name(1)
+    world.list_unserved_destination(1)
     port = world.open_console()
     client = await world.run()
     for number in range(3):
-        assert await client.hand_in(f"m{number}") == b"+OK"
+        assert await client.submit(f"m{number}") == b"+OK"
     assert (await scrape(port))["relay_current", "", ""] == 3
     await world.kill()
     host = await world.add("h1")
--- a/tests/test_reasons.py
+++ b/tests/test_reasons.py
@@ -12,7 +12,7 @@
 from mossfront import interface as api
 from tests.support import KEYED, SAFE, SECOND, UNSAFE, arrival, ended, entry, roster, sends, settings
 from tests.test_metrics import scrape
-from tests.world import World, packed, silent, soon
+from tests.world import World, encode_command, silent, soon
 
 
 def test_each_event_is_counted_by_reason_and_summarized_once(caplog: pytest.LogCaptureFixture) -> None:
@@ -78,13 +78,13 @@
 
 async def test_closed_connections_are_counted_by_reason(world: World) -> None:
     host = await world.add("h1", silent)
-    world.name(1)
+    world.list_unserved_destination(1)
     port = world.open_console()
     client = await world.run()
-    assert await client.hand_in("m1", d=3_000) == b"+OK"  # its call times out
+    assert await client.submit("m1", d=3_000) == b"+OK"  # its call times out
     await host.call(0)
     malformed = await world.client()
-    malformed.writer.write(packed(b"NOTHING") * 100)
+    malformed.writer.write(encode_command(b"NOTHING") * 100)
     gone = await world.client()
     gone.writer.close()
 
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -21,14 +21,14 @@
 from mallowlug.system import POSIX
 from mallowlug.upgrade import handover_file
 from tests.test_upgrade import Process, start_relay, start_second_process, wait_until_ready
-from tests.world import CLASSES, TIMES, Client, World, called, silent, soon
+from tests.world import CLASS_DEFAULTS, CLASSES, Client, World, http_request, silent, soon
 
 NEW_CLASS: dict[str, Any] = {
     "name": "new",
     "effect": "unsafe",
     "key_scope": "all",
     "dedup_window_us": 0,
-    **TIMES,
+    **CLASS_DEFAULTS,
 }
 
 
@@ -56,7 +56,7 @@
     """Wait until a process has counted a loaded, or a rejected, file."""
 
     async def counted() -> None:
-        while f"relay_{name} 1\n" not in (await called(console, "GET", "/metrics"))[1]:
+        while f"relay_{name} 1\n" not in (await http_request(console, "GET", "/metrics"))[1]:
             pass
 
     await soon(counted())
@@ -65,7 +65,7 @@
 async def assert_result_at_new_address(world: World, client: Client, ref: str, cls: str = "unsafe") -> None:
     """Check that a failed message's result is sent to the discovery address in force."""
     world.hosts["h1"].default = lambda request: request.reset()
-    assert await client.hand_in(ref, cls) == b"+OK"
+    assert await client.submit(ref, cls) == b"+OK"
     assert await world.directory.notice(ref) == {"ref": ref, "result": "dead"}
 
 
@@ -81,11 +81,11 @@
     client, console = await start_relay(world, "h1")
     host, old = world.hosts["h1"], world.directory
     host.default = silent
-    await client.hand_in("m0", "unsafe")
+    await client.submit("m0", "unsafe")
     await host.call(0)  # an open call delays the handover
     block_sighup_exchange(world)
     process, second = await start_waiting_process(world)
-    await world.move()
+    await world.move_directory()
     world.settings["request_classes"] = [*CLASSES, NEW_CLASS]
     await world.reload()
     resume_first_process(world)
@@ -93,10 +93,10 @@
         await wait_for_metric(console)
         truncate_config(world)
     await wait_until_ready(second)
-    world.former, world.process = world.process, process  # type: ignore[assignment]
-    world.others.append(world.former)
-    world.former.kill()
-    await world.former.wait()
+    world.former_process, world.process = world.process, process  # type: ignore[assignment]
+    world.other_processes.append(world.former_process)
+    world.former_process.kill()
+    await world.former_process.wait()
     await assert_result_at_new_address(world, await world.client(), "m1", "new")
     assert all(notice["ref"] != "m1" for notice in old.notices)
 
@@ -106,7 +106,7 @@
     await start_relay(world, "h1")
     block_sighup_exchange(world)
     process, second = await start_waiting_process(world)
-    await world.move()
+    await world.move_directory()
     world.settings["request_classes"] = [*CLASSES, NEW_CLASS]
     world.environment()
     assert world.process is not None
@@ -135,11 +135,11 @@
     _, console = await start_relay(world, "h1")
     world.hosts["h1"].default = silent
     client = await world.client()
-    await client.hand_in("m0", "unsafe")
+    await client.submit("m0", "unsafe")
     await world.hosts["h1"].call(0)
     process, second = await start_second_process(world)  # waits for the open call, 1.2 s at most
     await wait_until_ready(second, False)
-    await world.move()
+    await world.move_directory()
     world.settings["request_classes"] = [*CLASSES, NEW_CLASS]
     await world.reload()
     await wait_for_metric(console)
@@ -164,7 +164,7 @@
     block_sighup_exchange(world)
     process, second = await start_second_process(world)
     await wait_until_ready(second)
-    await world.move()
+    await world.move_directory()
     world.settings["request_classes"] = [*CLASSES, NEW_CLASS]
     world.environment()
     process.send_signal(signal.SIGHUP)
@@ -176,7 +176,7 @@
         while True:
             try:
                 client = await world.client()
-                if await client.hand_in("m0", "new") == b"+OK":
+                if await client.submit("m0", "new") == b"+OK":
                     return client
             except OSError:  # a connection in the accept queue of the killed process
                 pass
@@ -189,9 +189,9 @@
 async def test_overridden_discovery_is_handed_over_when_it_could_not_be_persisted(world: World) -> None:
     """Both processes have the old discovery address in their environment."""
     (world.state / config.OVERRIDDEN_FILE).mkdir()
-    world.variables["ROUTER_DISCOVERY"] = f"127.0.0.1:{world.directory.port}"
+    world.environment_variables["ROUTER_DISCOVERY"] = f"127.0.0.1:{world.directory.port}"
     _, console = await start_relay(world, "h1")
-    await world.move()
+    await world.move_directory()
     await world.reload()
     await wait_for_metric(console)
     process, second = await start_second_process(world)
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -20,7 +20,7 @@
 from mallowlug.upgrade import handover_file
 from mallowlug.upgrade.locks import Lock, OwnershipLocks
 from mallowlug.upgrade.spool import SpoolReader
-from tests.world import ROOT, Client, World, called, delivered, free_port, silent, soon
+from tests.world import ROOT, Client, World, delivered, free_port, http_request, silent, soon
 
 Process = asyncio.subprocess.Process
 
@@ -32,7 +32,7 @@
     process = await asyncio.create_subprocess_exec(
         sys.executable, "-m", "mallowlug", cwd=ROOT, env=environment
     )
-    world.others.append(process)
+    world.other_processes.append(process)
     return process, console
 
 
@@ -42,7 +42,7 @@
     async def reached() -> None:
         while True:
             try:
-                if ((await called(console, "GET", "/ready"))[0] == 200) is ready:
+                if ((await http_request(console, "GET", "/ready"))[0] == 200) is ready:
                     return
             except (OSError, IndexError):
                 pass
@@ -55,7 +55,7 @@
     """Start a relay with a console and with configured hosts; return a client and the console port."""
     for host in hosts:
         await world.add(host)
-    world.known = list(world.directory.hosts.values())
+    world.known_hosts = list(world.directory.hosts.values())
     console = world.open_console()
     client = await world.run()
     await wait_until_ready(console)
@@ -69,15 +69,15 @@
     await wait_until_ready(console)
     world.process = process
     assert former is not None
-    world.former = former
-    world.others.append(former)
+    world.former_process = former
+    world.other_processes.append(former)
     return console
 
 
 async def stop_former(world: World) -> None:
     """Stop the former process by SIGTERM and check its exit code."""
-    world.former.terminate()
-    assert await soon(world.former.wait()) == 0
+    world.former_process.terminate()
+    assert await soon(world.former_process.wait()) == 0
 
 
 def call_counts(world: World) -> Counter[str]:
@@ -96,13 +96,13 @@
             ref = f"{name}-{number}"
             number += 1
             try:
-                answer = await client.hand_in(ref, "unsafe")
+                answer = await client.submit(ref, "unsafe")
             except OSError:
                 answer = b""
             if not answer:  # closed between two requests: repeat on a new connection
                 retried.append(ref)
                 client = await world.client()
-                answer = await client.hand_in(ref, "unsafe")
+                answer = await client.submit(ref, "unsafe")
             assert answer == b"+OK"
             sent.append(ref)
             await asyncio.sleep(0.01)
@@ -135,13 +135,13 @@
     client, _ = await start_relay(world, "h1")
     host = world.hosts["h1"]
     host.default = silent
-    await client.hand_in("u1", "unsafe")
+    await client.submit("u1", "unsafe")
     call = await host.call(0)
     process, console = await start_second_process(world)
     await asyncio.sleep(0)
     call.answer()
     await wait_until_ready(console)
-    await client.hand_in("u2", "unsafe")  # the former process spools it
+    await client.submit("u2", "unsafe")  # the former process spools it
     await host.call(1)
     assert call_counts(world) == {"u1": 1, "u2": 1}
     assert world.directory.notices == []
@@ -153,9 +153,9 @@
     client, _ = await start_relay(world, "h1")
     host = world.hosts["h1"]
     host.default = silent
-    await client.hand_in("u1", "unsafe")
+    await client.submit("u1", "unsafe")
     await host.call(0)
-    await client.hand_in("s1", "safe")
+    await client.submit("s1", "safe")
     await host.call(1)
     host.default = delivered
     await upgrade(world)
@@ -168,9 +168,9 @@
     client, _ = await start_relay(world, "h1")
     await upgrade(world)
     for number in range(5):
-        assert await client.hand_in(f"m{number}", "unsafe") == b"+OK"
-    assert await client.hand_in("m0", "unsafe") == b"+OK"  # a duplicate
-    assert await client.hand_in("x1", "nobody") == b"-ERR unknown class"
+        assert await client.submit(f"m{number}", "unsafe") == b"+OK"
+    assert await client.submit("m0", "unsafe") == b"+OK"  # a duplicate
+    assert await client.submit("x1", "nobody") == b"-ERR unknown class"
     await world.hosts["h1"].until(lambda: len(call_counts(world)) == 5)
     assert set(call_counts(world).values()) == {1}
     await stop_former(world)
@@ -184,22 +184,22 @@
         os.kill(process.pid, signal.SIGSTOP)  # before it can take over
         process.kill()
         await process.wait()
-        await client.hand_in(f"m{number}", "unsafe")
+        await client.submit(f"m{number}", "unsafe")
         await host.call(number)
     await wait_until_ready(console)
     assert set(call_counts(world).values()) == {1}
 
 
 async def test_former_owner_reclaims_ownership_when_the_new_owner_dies(world: World) -> None:
-    world.name(2)
+    world.list_unserved_destination(2)
     client, console = await start_relay(world, "h1")
-    assert await client.hand_in("held", "unsafe", dest=2) == b"+OK"
+    assert await client.submit("held", "unsafe", dest=2) == b"+OK"
     await upgrade(world)
-    assert await client.hand_in("spooled", "unsafe", dest=2) == b"+OK"
+    assert await client.submit("spooled", "unsafe", dest=2) == b"+OK"
     assert world.process is not None
     world.process.kill()
     await world.process.wait()
-    await client.hand_in("after", "unsafe")
+    await client.submit("after", "unsafe")
     await world.hosts["h1"].until(lambda: call_counts(world)["after"] == 1)
     await wait_until_ready(console)
     new_host = await world.add("h2", block=2)
@@ -207,7 +207,7 @@
     assert set(call_counts(world).values()) == {1}
     again, third = await start_second_process(world)  # the next upgrade works, too
     await wait_until_ready(third)
-    assert await (await world.client()).hand_in("last") == b"+OK"
+    assert await (await world.client()).submit("last") == b"+OK"
     await world.hosts["h1"].until(lambda: call_counts(world)["last"] == 1)
     assert again.returncode is None
 
@@ -215,9 +215,9 @@
 @pytest.mark.parametrize("before", [True, False])
 async def test_former_process_killed_before_or_after_the_handover(world: World, before: bool) -> None:
     """It is killed before the handover, or after it with messages in its spool file."""
-    world.name(2)
+    world.list_unserved_destination(2)
     client, _ = await start_relay(world, "h1")
-    assert await client.hand_in("m1", "unsafe", dest=2) == b"+OK"
+    assert await client.submit("m1", "unsafe", dest=2) == b"+OK"
     process, console = await start_second_process(world)
     assert world.process is not None
     if before:
@@ -226,28 +226,28 @@
     else:
         await wait_until_ready(console)
         os.kill(process.pid, signal.SIGSTOP)  # the owner does not read the spool now
-        assert await client.hand_in("m2", "unsafe", dest=2) == b"+OK"
+        assert await client.submit("m2", "unsafe", dest=2) == b"+OK"
         world.process.kill()
         await world.process.wait()
         os.kill(process.pid, signal.SIGCONT)
     new_host = await world.add("h2", block=2)
     await new_host.until(lambda: len(call_counts(world)) == (1 if before else 2))
-    await called(console, "GET", "/ready")
+    await http_request(console, "GET", "/ready")
     assert set(call_counts(world).values()) == {1}
 
 
 async def test_spooler_and_owner_killed_together(world: World) -> None:
     """A restart reads journal and spool file, and does not adopt a message again."""
-    world.name(2)
+    world.list_unserved_destination(2)
     client, _ = await start_relay(world, "h1")
     await upgrade(world)
-    assert await client.hand_in("adopted", "unsafe") == b"+OK"
+    assert await client.submit("adopted", "unsafe") == b"+OK"
     await world.hosts["h1"].call(0)
-    await world.journaled(b'"over"')
+    await world.wait_for_journal(b'"over"')
     assert world.process is not None
     os.kill(world.process.pid, signal.SIGSTOP)
-    assert await client.hand_in("not-yet", "unsafe") == b"+OK"
-    for process in (world.process, world.former):
+    assert await client.submit("not-yet", "unsafe") == b"+OK"
+    for process in (world.process, world.former_process):
         process.kill()
         await process.wait()
     await world.run()
@@ -258,20 +258,20 @@
 async def test_retry_after_waits_and_drains_are_handed_over(world: World) -> None:
     """The new process applies the former owner's state, not the older list in its configuration."""
     client, _ = await start_relay(world, "h1", "h2")
-    known = list(world.known)
+    known = list(world.known_hosts)
     for name in ("h1", "h2"):
         world.hosts[name].default = lambda request: request.answer(429, X_Retry_In_Ms="60000")
     world.directory.change("h3", dial="127.0.0.1:1", health="DRAINING")
     for number in range(2):
-        await client.hand_in(f"m{number}")
+        await client.submit(f"m{number}")
     await world.hosts["h1"].call(0)
     await world.hosts["h2"].call(0)
-    await world.journaled(b'"not"')
-    world.known = known
+    await world.wait_for_journal(b'"not"')
+    world.known_hosts = known
     world.directory.down = True
     await upgrade(world)
     await stop_former(world)
-    assert await (await world.client()).hand_in("m9", d=500) == b"+OK"
+    assert await (await world.client()).submit("m9", d=500) == b"+OK"
     assert (await world.directory.notice("m9"))["result"] == "bounced"
     for host in (world.hosts["h1"], world.hosts["h2"]):  # only calls that crossed the first answer
         assert all(request.at_s - host.seen[0].at_s < 0.1 for request in host.seen)
@@ -281,10 +281,12 @@
     client, console = await start_relay(world, "h1", "h2")
     process, second = await start_second_process(world)
     os.kill(process.pid, signal.SIGCONT)
-    assert (await called(console, "POST", "/hosts/disable?name=h1"))[0] == 200
+    assert (await http_request(console, "POST", "/hosts/disable?name=h1"))[0] == 200
     await wait_until_ready(second)
-    assert (await called(console, "POST", "/hosts/disable?name=h2"))[0] == 200  # sent to the spooling process
-    assert (await called(second, "POST", "/hosts/enable?name=h1"))[0] == 200
+    assert (await http_request(console, "POST", "/hosts/disable?name=h2"))[
+        0
+    ] == 200  # sent to the spooling process
+    assert (await http_request(second, "POST", "/hosts/enable?name=h1"))[0] == 200
 
     async def applied() -> None:
         while (world.state / "out").read_bytes() != b'"h2"\n':
@@ -293,7 +295,7 @@
     await soon(applied())
     await asyncio.sleep(0.1)  # the rules allow 1 s; the owner polls every 20 ms
     for number in range(4):
-        await client.hand_in(f"m{number}")
+        await client.submit(f"m{number}")
         await world.hosts["h1"].call(number)
     assert world.hosts["h2"].seen == []
 
@@ -304,18 +306,18 @@
     new = {**world.settings["request_classes"][1], "name": "new"}
     world.settings["request_classes"] = [*world.settings["request_classes"], new]
     world.environment()
-    world.former.send_signal(signal.SIGHUP)
+    world.former_process.send_signal(signal.SIGHUP)
     direct = await world.client()
 
     async def class_known(client: Client, name: str) -> None:
         number = 0
-        while await client.hand_in(f"{name}{number}", "new") != b"+OK":
+        while await client.submit(f"{name}{number}", "new") != b"+OK":
             number += 1
             await asyncio.sleep(0.02)
 
     await soon(class_known(client, "door"))
     await soon(class_known(direct, "owner"))
-    text = (await called(second, "GET", "/metrics"))[1]
+    text = (await http_request(second, "GET", "/metrics"))[1]
     assert "relay_conf_loaded_total 0\n" in text  # the other process received the signal
 
 
@@ -327,7 +329,7 @@
     process, console = await start_second_process(world)
 
     async def counted(name: str) -> None:
-        while f"relay_{name} 1\n" not in (await called(console, "GET", "/metrics"))[1]:
+        while f"relay_{name} 1\n" not in (await http_request(console, "GET", "/metrics"))[1]:
             await asyncio.sleep(0.01)
 
     await wait_until_ready(console, False)  # it listens and reports not ready
@@ -344,7 +346,7 @@
     await wait_until_ready(console)
     world.process.kill()
     await world.process.wait()
-    assert await (await world.client()).hand_in("m1", "new") == b"+OK"
+    assert await (await world.client()).submit("m1", "new") == b"+OK"
 
 
 async def test_waiting_processes_become_ready_one_after_the_other(world: World) -> None:
@@ -361,7 +363,7 @@
     await asyncio.wait(watching, return_when=asyncio.FIRST_COMPLETED)
     await soon(asyncio.gather(*watching))  # the third process takes over from the second
     assert len(ready) == 2
-    assert (await called(console, "GET", "/metrics"))[0] == 200
+    assert (await http_request(console, "GET", "/metrics"))[0] == 200
     assert world.process is not None and world.process.returncode is None
     for process in (first, second):
         assert process.returncode is None
