--- a/mallowlug/core/relay.py
+++ b/mallowlug/core/relay.py
@@ -170,7 +170,7 @@
         learned = [
             (e.host, now_us + e.wait_us, e.quota, e.pace, e.rate,
              now_us - e.cold_for_us if e.cold_for_us >= 0 else -1, now_us + e.next_call_in_us)
-            for e in self._module.learned()
+            for e in self._module.endpoint_snapshots()
         ]  # fmt: skip
         waits = {route: now_us + left_us for route, left_us in self._partners.remaining_waits().items()}
         over = list(self._over)[-REMEMBERED_ON:]
@@ -324,8 +324,8 @@
         """What a scrape reads."""
         size, sent = self._listings.hosts, self.sent_before + self._partners.messages_written
         asleep = (host for host in self._outs.hosts if host not in self._module.endpoints)
-        avoided = self._module.avoided() + sum(self._listings.lists(host) for host in asleep)
-        return Gauges(sent, len(self._held), size, min(size, avoided), self._module.phases())
+        avoided = self._module.count_avoided() + sum(self._listings.lists(host) for host in asleep)
+        return Gauges(sent, len(self._held), size, min(size, avoided), self._module.count_phases())
 
     def submit(self, handed: Submission, body: bytes) -> Answer:
         """Take a message on, or say why not; what is not taken on has ended here."""
--- a/tests/sim/test_guards.py
+++ b/tests/sim/test_guards.py
@@ -63,12 +63,12 @@
 
 def turns_for_all(monkey: pytest.MonkeyPatch) -> None:
     """Every message has its turn."""
-    monkey.setattr(engine.DecisionEngine, "_has_turn", lambda self, message: True)
+    monkey.setattr(engine.DecisionEngine, "_allowed_by_key_order", lambda self, message: True)
 
 
 def no_ends(monkey: pytest.MonkeyPatch) -> None:
     """What has no time left is not given up."""
-    monkey.setattr(engine.DecisionEngine, "_expire", lambda self: None)
+    monkey.setattr(engine.DecisionEngine, "_expire_held", lambda self: None)
 
 
 def nothing_runs(monkey: pytest.MonkeyPatch) -> None:
--- a/tests/sim/test_hours.py
+++ b/tests/sim/test_hours.py
@@ -41,7 +41,7 @@
 
 def test_a_leak_is_found_by_its_type(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     """Hosts that are gone are never forgotten."""
-    monkeypatch.setattr(engine.DecisionEngine, "_forget", lambda self: None)
+    monkeypatch.setattr(engine.DecisionEngine, "_forget_gone_hosts", lambda self: None)
     problems = hours.played(HOUR, 4, tmp_path, lull_s=45.0).problems
     assert problems
     assert "DecayingCounter" in problems[-1]
--- a/tests/sim/test_vast.py
+++ b/tests/sim/test_vast.py
@@ -24,6 +24,6 @@
 ) -> None:
     """Planted: no part of what a cold destination bears is another relay's."""
     monkeypatch.setattr(Budget, "credit_per_message", lambda *_: 1e6)
-    monkeypatch.setattr(DecisionEngine, "_beware", lambda *_: None)
+    monkeypatch.setattr(DecisionEngine, "_restore_outage_record", lambda *_: None)
     result = sweep.played(scenario.load(VAST))
     assert result.rules == ("returns",)
--- a/tests/sim/worlds.py
+++ b/tests/sim/worlds.py
@@ -58,14 +58,14 @@
 
 def nothing_learnt(monkey: MonkeyPatch) -> None:
     """Failures teach nothing, so an endpoint that is back gets all that is held."""
-    for name in ("_fail", "_judge"):
+    for name in ("_record_failure", "_adjust_quota"):
         monkey.setattr(engine.DecisionEngine, name, lambda self, *args: None)
-    monkey.setattr(engine.DecisionEngine, "_suspect", lambda self, endpoint: False)
+    monkey.setattr(engine.DecisionEngine, "_has_overdue_call", lambda self, endpoint: False)
 
 
 def all_have_turns(monkey: MonkeyPatch) -> None:
     """Every message has its turn."""
-    monkey.setattr(engine.DecisionEngine, "_has_turn", lambda self, message: True)
+    monkey.setattr(engine.DecisionEngine, "_allowed_by_key_order", lambda self, message: True)
 
 
 def waits_unread(monkey: MonkeyPatch) -> None:
@@ -119,15 +119,15 @@
 
 def window_forgotten(monkey: MonkeyPatch) -> None:
     """A keyed message is sent again past its window."""
-    end_us = engine.DecisionEngine._end_us
+    end_us = engine.DecisionEngine._expiry_us
 
     def ending(self: engine.DecisionEngine, message: Any) -> int:
-        risky, message.risky_us = message.risky_us, -1
+        in_doubt, message.in_doubt_since_us = message.in_doubt_since_us, -1
         found = end_us(self, message)
-        message.risky_us = risky
+        message.in_doubt_since_us = in_doubt
         return found
 
-    monkey.setattr(engine.DecisionEngine, "_end_us", ending)
+    monkey.setattr(engine.DecisionEngine, "_expiry_us", ending)
 
 
 def wake_lost(monkey: MonkeyPatch) -> None:
@@ -160,19 +160,19 @@
 
 def slept_away(monkey: MonkeyPatch) -> None:
     """An idle destination is let go of whatever still binds there."""
-    monkey.setattr(engine.DecisionEngine, "_bound", lambda self, number, dest: False)
+    monkey.setattr(engine.DecisionEngine, "_in_use", lambda self, number, dest: False)
 
 
 def own_time_outs(monkey: MonkeyPatch) -> None:
     """Every message of a call has a time-out of its own, and goes again while others keep the call out."""
 
     def letting(self: engine.DecisionEngine) -> None:
-        for call in self.made:
-            self.actions += [api.Send(m.id, call.endpoint.host, limit_us) for m, limit_us in call.carried]
-            call.carried.clear()
-        self.made.clear()
+        for call in self.new_calls:
+            self.actions += [api.Send(m.id, call.endpoint.host, limit_us) for m, limit_us in call.unsent]
+            call.unsent.clear()
+        self.new_calls.clear()
 
-    monkey.setattr(engine.DecisionEngine, "_let_out", letting)
+    monkey.setattr(engine.DecisionEngine, "_emit_sends", letting)
 
 
 def sync_left_out(monkey: MonkeyPatch) -> None:
--- a/tests/slow_start/outages.py
+++ b/tests/slow_start/outages.py
@@ -298,15 +298,17 @@
         self.relays[number] = self.make(self.set, self.seed * 1000 + number + len(self.relays))
         self._listed(number, at_us)
         for host, endpoint in former.endpoints.items():
-            if endpoint.care_us > at_us:
-                served = endpoint.own.slow.served_share
-                care = api.OutageRecord(host, endpoint.care_us - at_us, endpoint.care_kind, served)
+            if endpoint.outage_record_until_us > at_us:
+                served = endpoint.own_limiter.slow_start.served_share
+                care = api.OutageRecord(
+                    host, endpoint.outage_record_until_us - at_us, endpoint.outage_record_kind, served
+                )
                 self._put(at_us, number, care)
         for message in former.messages.values():
             if message.done or message.deadline_us <= at_us:
                 continue
-            sent = [call.sent_us for call in message.out.values()]
-            risky_us = message.risky_us if message.risky_us >= 0 else min(sent, default=-1)
+            sent = [call.sent_us for call in message.attempts_in_flight.values()]
+            risky_us = message.in_doubt_since_us if message.in_doubt_since_us >= 0 else min(sent, default=-1)
             found = api.Arrival(
                 message.id, message.dest, message.cls.name, message.deadline_us - at_us, "all",
                 attempts=message.attempts, in_doubt_age_us=at_us - risky_us if risky_us >= 0 else -1,
--- a/tests/slow_start/test_decisions.py
+++ b/tests/slow_start/test_decisions.py
@@ -24,7 +24,7 @@
 
 def phase(relay: DecisionEngine, host: str) -> Phase:
     """What the relay takes an endpoint to be."""
-    return relay.endpoints[host].own.slow.phase
+    return relay.endpoints[host].own_limiter.slow_start.phase
 
 
 def failed(
@@ -54,7 +54,7 @@
     relay = relay_with("h1", "h2")
     failed(relay, SECOND, api.Verdict.RESET, took_us=2 * SECOND)
     assert {phase(relay, host) for host in ("h1", "h2")} == {Phase.SUSPECT}
-    assert not any(relay.endpoints[host].own.slow._free(3 * SECOND) for host in ("h1", "h2"))
+    assert not any(relay.endpoints[host].own_limiter.slow_start._free(3 * SECOND) for host in ("h1", "h2"))
 
 
 def frees_a_call(left: float | None) -> bool:
@@ -69,7 +69,7 @@
         if phase(relay, "h1") is not Phase.HEALTHY:
             break
     assert phase(relay, "h1") is Phase.SUSPECT
-    return relay.endpoints["h1"].own.slow._free(at_us + 1000 + SECOND)
+    return relay.endpoints["h1"].own_limiter.slow_start._free(at_us + 1000 + SECOND)
 
 
 def test_a_told_wait_frees_no_call_where_no_limit_is_reported_as_used_up() -> None:
@@ -106,7 +106,7 @@
     relay = relay_with("h1")
     relay.step(SECOND, [api.OutageRecord("h1", 5 * SECOND, kind, 0.5)])
     assert phase(relay, "h1") is known
-    assert relay.endpoints["h1"].own.slow.served_share == 0.5
+    assert relay.endpoints["h1"].own_limiter.slow_start.served_share == 0.5
 
 
 def test_a_limits_refusal_is_a_suspicion_for_a_later_life_until_a_call_is_served() -> None:
--- a/tests/slow_start/test_planted.py
+++ b/tests/slow_start/test_planted.py
@@ -48,10 +48,10 @@
         if care.kind is not OutageRecordKind.SUSPICION:
             beware(relay, endpoint, care)
 
-    beware = DecisionEngine._beware
+    beware = DecisionEngine._restore_outage_record
     monkey.setattr(SlowStart, "on_failure", third)
     monkey.setattr(SlowStart, "on_success", served)
-    monkey.setattr(DecisionEngine, "_beware", careless)
+    monkey.setattr(DecisionEngine, "_restore_outage_record", careless)
 
 
 def weight_not_charged(monkey: pytest.MonkeyPatch) -> None:
@@ -68,7 +68,7 @@
 
 def restart_without_care(monkey: pytest.MonkeyPatch) -> None:
     """A new life does not know what the former one has seen."""
-    monkey.setattr(DecisionEngine, "_beware", lambda *_: None)
+    monkey.setattr(DecisionEngine, "_restore_outage_record", lambda *_: None)
 
 
 def busy(draw: Draw) -> Draw:
--- a/tests/test_backlog.py
+++ b/tests/test_backlog.py
@@ -12,7 +12,7 @@
 
 from mossfront import DecisionEngine
 from mossfront import interface as api
-from mossfront.engine import RISKS, SICK_SHARE
+from mossfront.engine import MAX_FAILING_CALL_SHARE, REPEAT_RISK
 from mossfront.state import Call, Destination, Message
 from tests.support import KEYED, SAFE, SECOND, SETTINGS, TURN, UNSAFE, ZONED, entry, roster, sends, settings
 
@@ -25,34 +25,38 @@
 
     def _dispatch(self) -> None:
         ready: list[tuple[float, float, int, int, Message]] = []
-        short, looked = self.calls_out >= SICK_SHARE * self.set.max_calls, list(self.look)
-        for dest in [self.dests[number] for number in looked]:
-            if dest.held and (rooms := [e for e in dest.ready() if self._room(dest, e)]):
-                ill = any(g.strikes for e in dest.endpoints.values() for g in e.guards)
-                for m in filter(self._has_turn, dest.held.values()):
-                    risk = ill * (RISKS[m.cls.effect] + m.attempts / self.set.max_attempts)
-                    slot_us = min(self._record(m, e).mean_us for e in rooms) if short else 1.0
-                    ready.append((risk, -self._score(m) / slot_us, m.aim_us, m.serial, m))
+        short, checked = (
+            self.calls_in_flight >= MAX_FAILING_CALL_SHARE * self.settings.max_calls,
+            list(self.destinations_to_check),
+        )
+        for dest in [self.destinations[number] for number in checked]:
+            if dest.held and (rooms := [e for e in dest.ready_endpoints() if self._has_capacity(dest, e)]):
+                ill = any(g.consecutive_failures for e in dest.endpoints.values() for g in e.limiters)
+                for m in filter(self._allowed_by_key_order, dest.held.values()):
+                    risk = ill * (REPEAT_RISK[m.cls.effect] + m.attempts / self.settings.max_attempts)
+                    slot_us = min(self._latency(m, e).mean_us for e in rooms) if short else 1.0
+                    ready.append((risk, -self._score(m) / slot_us, m.target_us, m.held_serial, m))
         opened: dict[str, Call] = {}
         for *_, message in sorted(ready):
             self._enter_anyway(message)
-            if spots := self._spots(message, opened):
-                self._send(message, min(spots, key=lambda e: self._cost(message, e)), opened)
-        self._due_again(looked)
+            if spots := self._candidate_endpoints(message, opened):
+                self._send(message, min(spots, key=lambda e: self._endpoint_cost(message, e)), opened)
+        self._schedule_rechecks(checked)
 
     def _enter_anyway(self, message: Message) -> None:
         """The index's own books stay in order: what rested enters with its turn."""
-        if not message.lane:
-            self._enter(self.dests[message.dest], message)
+        if not message.lane_key:
+            self._make_dispatchable(self.destinations[message.dest], message)
 
-    def _ending(self, dest: Destination, start_us: int) -> list[Message]:
+    def _expiring_by(self, dest: Destination, by_us: int) -> list[Message]:
         return sorted(
-            (m for m in dest.held.values() if self._end_us(m) <= start_us), key=lambda m: (m.aim_us, m.serial)
+            (m for m in dest.held.values() if self._expiry_us(m) <= by_us),
+            key=lambda m: (m.target_us, m.held_serial),
         )
 
-    def _worst(self) -> Message | None:
-        held = [m for m in self.messages.values() if not m.done and not m.out]
-        return min(held, key=lambda m: (self._score(m), m.aim_us, m.serial), default=None)
+    def _least_valuable(self) -> Message | None:
+        held = [m for m in self.messages.values() if not m.done and not m.attempts_in_flight]
+        return min(held, key=lambda m: (self._score(m), m.target_us, m.held_serial), default=None)
 
 
 def answer_of(seed: int, ref: str, attempt: int, host: str) -> tuple[api.Verdict, int, int]:
@@ -105,9 +109,9 @@
 
 
 def test_a_wrong_bend_is_noticed(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The comparison can fail: without the bends only a lane's ends are looked at."""
+    """The comparison can fail: without the bends only a lane's ends are checked at."""
     told = settings(worth_halves=True, max_calls=2, max_held_messages=400)
-    monkeypatch.setattr("mossfront.engine.bends", lambda *_args: ())
+    monkeypatch.setattr("mossfront.engine.score_breakpoints", lambda *_args: ())
     pairs = ((DecisionEngine(told, seed), Plain(told, seed), seed) for seed in range(6))
     assert any(played(one, seed, 0.85) != played(other, seed, 0.85) for one, other, seed in pairs)
 
--- a/tests/test_by_hand.py
+++ b/tests/test_by_hand.py
@@ -188,13 +188,15 @@
     relay.step(SECOND, [arrival(f"a{n}") for n in range(10)])
     before = relay.endpoints["h1"]
     relay.step(2 * SECOND, [api.HostOverride("h1", True), *(arrival(f"b{n}") for n in range(10))])
-    assert before.quota > 1 and not relay.dests[1].ready()
-    assert relay.avoided() == 1
+    assert before.quota > 1 and not relay.destinations[1].ready_endpoints()
+    assert relay.count_avoided() == 1
     found = sends(relay.step(3 * SECOND, [api.HostOverride("h1", False)]))
     after = relay.endpoints["h1"]
-    assert len(found) <= 1 and after is not before and after.own.slow.cold_since_us == 3 * SECOND
-    assert after.own.slow.needs_credit(3 * SECOND)
-    assert relay.avoided() == 0
+    assert (
+        len(found) <= 1 and after is not before and after.own_limiter.slow_start.cold_since_us == 3 * SECOND
+    )
+    assert after.own_limiter.slow_start.needs_credit(3 * SECOND)
+    assert relay.count_avoided() == 0
     came = 0
     now = 3 * SECOND
     while now < 6 * SECOND:  # what comes at once after a return is far less than before it
@@ -213,7 +215,7 @@
     relay.step(2 * SECOND, [api.HostOverride("h1", True)])
     relay.step(3 * SECOND, [api.HostOverride("h1", False)])
     relay.step(4 * SECOND, [ended(send)])
-    assert relay.endpoints["h1"].calls == [] and relay.calls_out == 0 and not relay.messages
+    assert relay.endpoints["h1"].calls == [] and relay.calls_in_flight == 0 and not relay.messages
 
 
 @pytest.mark.parametrize(
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -137,7 +137,7 @@
 
     log = drive(checker, 20 * SECOND, steady(160_000), two_at_once)
     assert len({send.id for at_us, send in log if at_us > 10 * SECOND}) >= 55, "the rate goes on"
-    assert checker.relay.endpoints["h1"].own.slow.cold_since_us < 0
+    assert checker.relay.endpoints["h1"].own_limiter.slow_start.cold_since_us < 0
 
 
 def test_one_flooding_tenant_goes_last() -> None:
@@ -174,7 +174,7 @@
     assert len([at_us for at_us in resets if at_us > 20 * SECOND]) <= 4, "most are spared once it is learned"
     assert len(log) >= 45
     endpoint = checker.relay.endpoints["h1"]
-    assert endpoint.quota == endpoint.start and endpoint.own.slow.phase is Phase.HEALTHY
+    assert endpoint.quota == endpoint.max_quota and endpoint.own_limiter.slow_start.phase is Phase.HEALTHY
 
 
 def test_a_fast_refusing_endpoint_at_the_floor_gets_few_calls() -> None:
--- a/tests/test_group.py
+++ b/tests/test_group.py
@@ -51,7 +51,7 @@
         [send] = sends(relay.step(0, [roster(entry("h1")), arrival("m1")]))
         told = api.Outcome("m1", 0, send.host, api.Verdict.OK, 1000, True, 0, left, 20.0)
         relay.step(1000, [told])
-        return relay.endpoints["h1"].limit.pace
+        return relay.endpoints["h1"].rate_limiter.send_rate
 
     assert pace(0.01) < pace(0.3) < 0.5 < pace(0.9), "around an equal part, the first guess"
     assert pace(7.0) == pace(-1.0) == pace(None), "a share out of range counts as not told"
@@ -85,13 +85,13 @@
     relay = DecisionEngine(settings(), seed=1)
     relay.step(0, [roster(*(entry(f"h{n}", dest=n) for n in range(dests)))])
     seen: list[str] = []
-    room = relay._room
+    room = relay._has_capacity
 
     def counted(dest: Destination, endpoint: Endpoint) -> bool:
         seen.append(endpoint.host)
         return room(dest, endpoint)
 
-    relay._room = counted  # type: ignore[method-assign]
+    relay._has_capacity = counted  # type: ignore[method-assign]
     [send] = sends(relay.step(20_000, [arrival("m1", dest=1)]))
     relay.step(120_000, [ended(send)])
     return len(seen)
@@ -111,7 +111,7 @@
 class Pressing(DecisionEngine):
     """Planted: each takes the whole limit for itself, and nothing that is told of the others slows it."""
 
-    def _equal(self, parts: float) -> float:
+    def _equal_share(self, count: float) -> float:
         return 1.0
 
     def _suspect_outage(self, *_: object) -> None:
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -8,7 +8,7 @@
 from mallowlug.partners.http_calls import Hosts
 from mallowlug.system import POSIX
 from mossfront import interface as api
-from mossfront.engine import FORGET_US, DecisionEngine
+from mossfront.engine import FORGET_GONE_HOST_US, DecisionEngine
 from tests.support import SAFE, SECOND, entry, roster, sends, settings
 
 
@@ -36,13 +36,13 @@
 def test_hosts_and_destinations_that_are_gone_are_forgotten() -> None:
     relay = DecisionEngine(settings(), 1)
     replaced(relay, 400)
-    kept = FORGET_US // SECOND + 2
+    kept = FORGET_GONE_HOST_US // SECOND + 2
     assert len(relay.endpoints) <= kept
-    assert len(relay.dests) <= 6
-    assert sum(len(dest.endpoints) for dest in relay.dests.values()) == len(relay.endpoints)
+    assert len(relay.destinations) <= 6
+    assert sum(len(dest.endpoints) for dest in relay.destinations.values()) == len(relay.endpoints)
     assert relay.messages == {}
-    assert len(relay.ends) <= 66
-    assert len(relay.due) <= kept
+    assert len(relay.expiry_queue) <= 66
+    assert len(relay.recheck_queue) <= kept
 
 
 def test_what_binds_outlasts_the_listing() -> None:
@@ -80,7 +80,7 @@
     relay.step(2000, [api.Outcome(send.id, 0, "h1", api.Verdict.FULL, 1000, retry_after_us=500 * SECOND)])
     for number in range(1, 30):
         relay.step(2000 + number * 1000, [arrival(f"m{number}")])
-    assert len(relay.due) <= 2
+    assert len(relay.recheck_queue) <= 2
 
 
 async def test_waits_that_are_over_are_forgotten_with_the_next_news() -> None:
--- a/tests/test_listings.py
+++ b/tests/test_listings.py
@@ -199,7 +199,7 @@
     relay = DecisionEngine(settings(), 1)
     bind(relay)
     assert api.DestinationDeactivated(1) not in relay.step(100 * SECOND, [api.DestinationIdle(1)])
-    assert 1 in relay.dests
+    assert 1 in relay.destinations
 
 
 def test_a_message_that_comes_with_the_question_keeps_its_destination() -> None:
@@ -216,10 +216,10 @@
     relay = DecisionEngine(settings(), 1)
     told(relay, api.Verdict.OK)
     assert api.DestinationDeactivated(1) in relay.step(100 * SECOND, [api.DestinationIdle(1)])
-    assert (relay.dests, relay.endpoints) == ({}, {})
+    assert (relay.destinations, relay.endpoints) == ({}, {})
     relay.step(101 * SECOND, [api.EndpointUpdate(KIND.REACTIVATED, (entry("h1"),))])
     relay.step(101 * SECOND, [api.EndpointUpdate(KIND.REACTIVATED, (entry("h2"),), added_later=True)])
-    assert relay.endpoints["h1"].quota == relay.endpoints["h1"].start > 1
+    assert relay.endpoints["h1"].quota == relay.endpoints["h1"].max_quota > 1
     assert relay.endpoints["h2"].quota == 1
 
 
--- a/tests/test_pushed.py
+++ b/tests/test_pushed.py
@@ -42,8 +42,8 @@
     asks(relay, 0, roster(entry("h1"), kind=api.EndpointUpdateKind.CACHED))
     for _ in range(6):  # also while discovery stays down: its return is told at once
         asks(relay, now_us, api.EndpointUpdate(api.EndpointUpdateKind.FAILED))
-        assert relay.ask_us - now_us <= GRACE_US // 2
-        now_us = relay.ask_us
+        assert relay.subscribe_at_us - now_us <= GRACE_US // 2
+        now_us = relay.subscribe_at_us
         assert asks(relay, now_us, api.TimerDue())
 
 
--- a/tests/test_returns.py
+++ b/tests/test_returns.py
@@ -12,7 +12,7 @@
 from mallowlug.rig.judge import cold
 from mossfront import DecisionEngine
 from mossfront import interface as api
-from mossfront.engine import FURTHER_WEIGHT
+from mossfront.engine import EXTRA_MESSAGE_WEIGHT
 from tests.fleet import Fleet, Host
 from tests.support import SAFE, SECOND, arrival, entry, roster, sends
 from tests.support import settings as usual
@@ -50,7 +50,7 @@
         assert isinstance(host, Returning)
         if OUT_US <= at_us < host.until_us:
             self.seen.add(relay)
-        self.calls.append((at_us, cold.work_of(len(sends), FURTHER_WEIGHT), relay))
+        self.calls.append((at_us, cold.work_of(len(sends), EXTRA_MESSAGE_WEIGHT), relay))
         super()._call(at_us, relay, host, sends)
 
 
@@ -100,7 +100,7 @@
     st.integers(0, 10**6),
 )  # fmt: skip
 # Relays that share nothing can't time their calls against each other.
-ONE_CALL = cold.work_of(10, FURTHER_WEIGHT)
+ONE_CALL = cold.work_of(10, EXTRA_MESSAGE_WEIGHT)
 
 
 @settings(max_examples=150, deadline=None, derandomize=True, database=None)
--- a/tests/test_sequences.py
+++ b/tests/test_sequences.py
@@ -141,7 +141,7 @@
     """The process's clock and the loop's differ: a held message was answered with the next event."""
     relay = DecisionEngine(settings(), seed=1)
     relay.step(0, [roster(entry("h1", listing=api.Listing.DRAINING)), arrival("m1")])
-    [end_us] = [at_us for at_us, *_ in relay.ends]
+    [end_us] = [at_us for at_us, *_ in relay.expiry_queue]
     early = relay.step(end_us - 1, [api.TimerDue()])
     [wake] = [action for action in early if isinstance(action, api.SetTimer)]
     late = relay.step(end_us - 1 + wake.delay_us, [api.TimerDue()])
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -219,4 +219,4 @@
     for number in range(1000):
         cls = api.MessageClass(f"c{number}", api.Effect.SAFE, SECOND, 6 * SECOND)
         relay.step(number, [api.SettingsChanged(settings(classes=(cls,)))])
-    assert len(relay.manners) <= 66
+    assert len(relay.compiled_rules) <= 66
--- a/tests/test_told.py
+++ b/tests/test_told.py
@@ -11,7 +11,7 @@
 from mallowlug.directory.discovery import FIRST_S, QUIET_S
 from mossfront import DecisionEngine
 from mossfront import interface as api
-from mossfront.engine import LISTED_US
+from mossfront.engine import LIST_CHANGE_KNOWN_US
 from tests.support import SECOND, entry, roster, settings
 from tests.world import Request, World, delivered
 
@@ -54,11 +54,11 @@
     for seed in range(20):
         asking = Asking(size, seed)
         begun_us = asking.first_us()
-        assert begun_us <= LISTED_US - ANSWER_US
+        assert begun_us <= LIST_CHANGE_KNOWN_US - ANSWER_US
         for took_us in rng.choices(ENDS_US, k=12):
             asking.step(begun_us + took_us, api.EndpointUpdate(api.EndpointUpdateKind.FAILED))
             again_us = asking.next_us()
-            assert again_us - begun_us <= LISTED_US - ANSWER_US + TICK_US
+            assert again_us - begun_us <= LIST_CHANGE_KNOWN_US - ANSWER_US + TICK_US
             begun_us = again_us
 
 
@@ -72,7 +72,7 @@
         silent_us = begun_us + 60 * SECOND
         found_us = silent_us + int(QUIET_S * 1e6)
         asking.step(found_us, api.EndpointUpdate(api.EndpointUpdateKind.FAILED))
-        assert asking.next_us() + ANSWER_US // 2 <= silent_us + LISTED_US
+        assert asking.next_us() + ANSWER_US // 2 <= silent_us + LIST_CHANGE_KNOWN_US
 
 
 def returned(relays: int, capacity: int, seed: int) -> tuple[list[float], int]:
@@ -108,15 +108,15 @@
     """It can take a call of each in 4 s: all have heard within 6 s, by little more than one call each."""
     heard, calls = returned(relays, relays // 4, 1)
     assert len(heard) == relays
-    assert heard[-1] <= LISTED_US / 1e6
+    assert heard[-1] <= LIST_CHANGE_KNOWN_US / 1e6
     assert calls <= 1.5 * relays
 
 
 def test_a_directory_that_cannot_take_all_in_time_is_kept_at_work_and_not_jammed() -> None:
     """One that needs 8 s for a call of each: not all can hear in time, but nearly all of its time is used."""
     heard, _ = returned(230, 230 // 8, 1)
-    in_time = sum(at_s <= LISTED_US / 1e6 for at_s in heard)
-    assert in_time >= 0.9 * (LISTED_US / 1e6) * (230 // 8)
+    in_time = sum(at_s <= LIST_CHANGE_KNOWN_US / 1e6 for at_s in heard)
+    assert in_time >= 0.9 * (LIST_CHANGE_KNOWN_US / 1e6) * (230 // 8)
     assert len(heard) == 230
 
 
@@ -156,7 +156,7 @@
     directory.change("h1", health="DRAINING")
     back_s, directory.default = loop.time(), usual
     await directory.until(lambda: directory._watches)
-    assert loop.time() - back_s <= LISTED_US / 1e6
+    assert loop.time() - back_s <= LIST_CHANGE_KNOWN_US / 1e6
     assert all(later - sooner <= 4.5 for sooner, later in itertools.pairwise(asked))
     seen = len(host.seen)
     other = await world.add("h2", delivered)
