--- a/mossfront/__init__.py
+++ b/mossfront/__init__.py
@@ -1,4 +1,4 @@
-"""mossfront: the decisions of a relay that delivers webhooks and other calls to many destinations."""
+"""mossfront: the decision engine of a relay that delivers webhooks and other calls to many destinations."""
 
 from mossfront.engine import DecisionEngine
 
--- a/mossfront/backlog.py
+++ b/mossfront/backlog.py
@@ -1,10 +1,10 @@
-"""What is held, in an order from which the best and the worst are found without looking at the rest.
+"""Held messages, indexed so that the best and the worst are found without scanning all of them.
 
-Messages of one set of rules, worth, number of attempts and bound zone form a lane, those that a restart has
-found untried apart. In a lane the score is a function of the time left to the aim alone, and it is known at
-which times that function may bend (``bends``): between two bends it only rises or only falls. So the best
-and the worst stand beside a bend or at an end, and each bend is found by bisection: O(log n), however much
-is held.
+Messages with the same rules, worth, number of attempts and required zone form a lane; those that a restart
+recovered untried have lanes of their own. Within a lane the score is a function of the time left to the
+target time alone. Its breakpoints are known (``score_breakpoints``): between two of them it only rises or
+only falls. So the best and the worst message are next to a breakpoint or at an end of the lane, and each
+breakpoint is found by bisection in O(log n), however many messages are held.
 """
 
 from __future__ import annotations
@@ -21,10 +21,10 @@
 
 
 def score_breakpoints(cls: MessageClass, worth_halves: bool, ahead_us: int) -> tuple[int, ...]:
-    """How late (us after the aim; negative: early) a message is where its score may bend.
+    """Return the breakpoints of a class's score, in us after the target time (negative: before it).
 
-    The score weighs the worth at a time and ``ahead_us`` later. The worth bends at the aim, at the deadline
-    and, where it halves, where it comes to its least.
+    The score combines the worth at a time and ``ahead_us`` later. The worth changes its slope at the target
+    time, at the deadline and, if it decays by halves, where it reaches its minimum.
     """
     late_us = [0, cls.deadline_us - cls.aim_us]
     if worth_halves and 0 < cls.late_worth < 1:
@@ -35,23 +35,23 @@
 
 
 class Lane:
-    """Messages whose score differs by their aim alone, in order of it, then of when they were held."""
+    """Messages whose scores differ by target time alone, ordered by that and then by when they were held."""
 
     def __init__(self) -> None:
         self.entries: list[tuple[int, int, Message]] = []
 
     def add(self, message: Message) -> None:
-        """Take a message in."""
+        """Insert a message."""
         insort(self.entries, (message.target_us, message.held_serial, message))
 
     def remove(self, message: Message) -> None:
-        """Let a message go that is in it."""
+        """Remove a message that is in the lane."""
         del self.entries[bisect_left(self.entries, (message.target_us, message.held_serial))]
 
     def extreme_candidates(self, at_us: float, breakpoints_us: Iterable[int]) -> Iterator[Message]:
-        """The messages next to each bend at that time, and at both ends; some of them twice."""
+        """Yield the messages next to each breakpoint and at both ends, some of them more than once."""
         entries = self.entries
-        if len(entries) <= 8:  # fewer than there would be places
+        if len(entries) <= 8:  # fewer than the places below
             yield from (message for *_, message in entries)
             return
         yield entries[0][2]
@@ -66,7 +66,7 @@
     def lowest_cost(
         self, at_us: float, breakpoints_us: Iterable[int], cost: ScoreFunction
     ) -> tuple[float, int, int, Message]:
-        """Cost, aim, serial and message of the one that costs least, and of equals of the oldest."""
+        """Return cost, target time, serial and message of the cheapest message, the oldest among equals."""
         if len(self.entries) == 1:
             only = self.entries[0]
             return cost(only[2]), *only
@@ -77,7 +77,10 @@
 
 
 def required_zone(message: Message) -> str | None:
-    """Where alone a repeat is dropped, once a try may have run; None where it may go anywhere."""
+    """Return the zone that a message is bound to, or None.
+
+    A repeat of an in-doubt message whose key is known per zone is dropped only in the zone of its attempt.
+    """
     zone_bound = (
         message.in_doubt_since_us >= 0 and message.cls.effect is Effect.KEYED and message.cls.scope_is_zone
     )
@@ -85,7 +88,7 @@
 
 
 def add_to_lane(lanes: Lanes, message: Message) -> None:
-    """Hold a message in the lane of its like."""
+    """Add a held message to its lane."""
     in_doubt = message.in_doubt_since_us >= 0
     common = message.compiled_rules.number, message.worth, message.attempts
     message.lane_key = (*common, in_doubt, required_zone(message), message.recovered_untried)
@@ -93,7 +96,7 @@
 
 
 def remove_from_lane(lanes: Lanes, message: Message) -> None:
-    """Hold it no more."""
+    """Remove a message from its lane, and the lane once it is empty."""
     lane = lanes[message.lane_key]
     lane.remove(message)
     if not lane.entries:
--- a/mossfront/engine.py
+++ b/mossfront/engine.py
@@ -1,9 +1,11 @@
-"""Every decision of the relay. Its types, events and actions are in ``mossfront/interface.py``, what it
-remembers in ``mossfront/state.py``, and what failures tell it in ``mossfront/outages.py``.
+"""The relay's decisions; their types are in ``mossfront/interface.py``.
 
-The ordinary path is fetches-per-server of the FRNOG 25 BIND9 notes: each endpoint has a quota of calls in
-flight that shrinks while its failure ratio is high and regrows while it is low; a message over quota is held.
-A step takes in a batch, answers what is out of time, then dispatches once, at destinations touched or due.
+The state is in ``mossfront/state.py``, the interpretation of failures in ``mossfront/outages.py``.
+
+The normal case follows fetches-per-server of the FRNOG 25 BIND9 notes: each endpoint has a quota of calls in
+flight that shrinks while its failure ratio is high and grows back while it is low. Messages over the quota
+are held. A step processes a batch of events, answers messages that have run out of time, then dispatches
+once, at the destinations that an event touched or that are due for a recheck.
 """
 
 from __future__ import annotations
@@ -60,136 +62,112 @@
     Message,
 )
 
-MAX_CALL_SHARE, MAX_FAILING_CALL_SHARE = (
-    0.75,
-    0.5,
-)  # of slots: calls to one healthy, one failing or slow destination
-FORGET_GONE_HOST_US = (
-    20_000_000  # us after which a host that is gone is forgotten, if nothing binds it any more
-)
-FORGET_INTERVAL_US = 1_000_000  # us between looks for such hosts
-MIN_QUOTA_SHARE = 0.02  # of the starting quota: what a server that never answers keeps (the notes' 2%)
-NEWEST_CALL_WEIGHT = 0.15  # of the newest call in ratios and latencies: about seven calls of memory
-EVIDENCE_DECAY_US = 10_000_000  # us in which evidence fades to a third: ratios, own demand, a slowed pace
-HIGH_FAILURE_RATIO, LOW_FAILURE_RATIO = (
-    0.3,
-    0.1,
-)  # failure ratio: above, the quota steps down; below, it steps up
-QUOTA_DECREASE_FACTOR, QUOTA_INCREASE_SHARE = (
-    0.7,
-    0.1,
-)  # quota factor for a step down; share of the start for a step up
-MIN_RETRY_PAUSE_US, MAX_RETRY_PAUSE_US = (
-    200_000,
-    3_000_000,
-)  # us between trials where this relay's part is large
-RATE_BURST_US = 400_000  # us of its rate that a paced limit may take at once
-OVERDUE_SPREADS = (
-    4.0  # spreads over the mean: a call older than this is overdue (about 1 in 50 if exponential)
-)
-TIMEOUT_OVERDUE_MULTIPLE = 2.5  # time-out of a call that may be repeated, in times of the overdue age
-UNUSED_LIMIT_FACTOR = (
-    2.0  # the least pace of one that is served is the first guess while more than one in so many is left
-)
-REFUSED_RATE_FACTOR, SERVED_RATE_FACTOR, UNLIMITED_RATE_FACTOR = (
-    0.8,
-    1.03,
-    2.0,
-)  # pace factors: refused, served, no limit named
-RATE_GROWTH_US = 6_000_000  # us in which the pace of one alone grows by a factor of e by itself
-INITIAL_EQUAL_SHARES, MIN_EQUAL_SHARES, MAX_EQUAL_SHARES = (
-    1.0,
-    0.5,
-    2.0,
-)  # equal parts of a told rate: at first, least, by demand
-UNREPORTED_EQUAL_SHARES = (
-    2.0  # at first where nothing tells what the others use, times the root of the group's size
-)
-TARGET_SHARE_LEFT, SHARE_LEFT_GAIN_PER_S, MAX_REPORT_INTERVAL_US = (
-    0.5,
-    2.0,
-    1_500_000,
-)  # share left that keeps a pace; 1/s; longest step, us
-IDLE_AGE_LOSS_FACTOR, IDLE_AGE_GROWTH_FACTOR = (
-    0.5,
-    1.005,
-)  # factors of the trusted idle age: a reused connection cut; any other end
-SUBSCRIBE_RETRY_US, SUBSCRIBE_SPREAD_PER_RELAY_US = (
-    500_000,
-    100_000,
-)  # us before a failed ask is repeated, at first; for each relay
-LIST_CHANGE_KNOWN_US = (
-    6_000_000  # us after which a change counts as told, once the directory has it and can be reached
-)
-EXTRA_MESSAGE_WEIGHT = 0.2  # weight of a further message within a call
-MAX_LIMIT_REFUSALS = 1  # refusals in a row that are the limit's, where a report says that it is used up
+# Largest share of the call slots for one destination: while it is healthy; while it is failing or slow.
+MAX_CALL_SHARE, MAX_FAILING_CALL_SHARE = 0.75, 0.5
+FORGET_GONE_HOST_US = 20_000_000  # us after which a host that left the list is forgotten, if unused
+FORGET_INTERVAL_US = 1_000_000  # us between searches for such hosts
+MIN_QUOTA_SHARE = 0.02  # of the maximum quota: kept by a server that never answers (2% in the BIND9 notes)
+NEWEST_CALL_WEIGHT = 0.15  # of the newest call in ratios and latencies: a memory of about seven calls
+EVIDENCE_DECAY_US = 10_000_000  # us in which failure ratios, demand and a reduced send rate decay to 1/e
+HIGH_FAILURE_RATIO, LOW_FAILURE_RATIO = 0.3, 0.1  # above: the quota decreases; below: it increases
+QUOTA_DECREASE_FACTOR, QUOTA_INCREASE_SHARE = 0.7, 0.1  # factor; share of the maximum quota
+# us between trial calls to a failing endpoint, where this relay's share of the traffic is large.
+MIN_RETRY_PAUSE_US, MAX_RETRY_PAUSE_US = 200_000, 3_000_000
+RATE_BURST_US = 400_000  # us worth of its send rate that a rate-limited endpoint may be sent at once
+# A call older than the mean latency plus this many spreads is overdue: about 1 in 50 if exponential.
+OVERDUE_SPREADS = 4.0
+TIMEOUT_OVERDUE_MULTIPLE = 2.5  # time-out of a repeatable call, as a multiple of its overdue age
+# While more than 1/UNUSED_LIMIT_FACTOR of a limit is left, a relay that is served keeps at least its
+# initial send rate.
+UNUSED_LIMIT_FACTOR = 2.0
+# Factors of the send rate: after a refusal; after a success; after an answer that announces no limit.
+REFUSED_RATE_FACTOR, SERVED_RATE_FACTOR, UNLIMITED_RATE_FACTOR = 0.8, 1.03, 2.0
+RATE_GROWTH_US = 6_000_000  # us in which the send rate of a relay without peers grows by a factor of e
+# Send rate in equal shares of an announced limit: at first, at least, and at most by own demand.
+INITIAL_EQUAL_SHARES, MIN_EQUAL_SHARES, MAX_EQUAL_SHARES = 1.0, 0.5, 2.0
+# Initial equal shares, times the square root of the group size, where the share left is not reported.
+UNREPORTED_EQUAL_SHARES = 2.0
+# Share left of a limit at which the send rate stays; gain in 1/s; longest interval between reports, us.
+TARGET_SHARE_LEFT, SHARE_LEFT_GAIN_PER_S, MAX_REPORT_INTERVAL_US = 0.5, 2.0, 1_500_000
+# Factors of the trusted idle age: when a reused connection is lost; at the end of any call.
+IDLE_AGE_LOSS_FACTOR, IDLE_AGE_GROWTH_FACTOR = 0.5, 1.005
+# us before a failed subscription is first retried; us for each relay over which a group spreads retries.
+SUBSCRIBE_RETRY_US, SUBSCRIBE_SPREAD_PER_RELAY_US = 500_000, 100_000
+# us after which a relay is held to know a list change, once the directory has it and can be reached.
+LIST_CHANGE_KNOWN_US = 6_000_000
+EXTRA_MESSAGE_WEIGHT = 0.2  # weight of each message after the first in a call, in calls
+MAX_LIMIT_REFUSALS = 1  # consecutive refusals put down to a limit that is reported as used up
 FAR_FUTURE_US = 1 << 62
-URGENCY_HORIZON_US, WORTH_WEIGHT = (
-    1_500_000,
-    0.2,
-)  # us ahead in which waiting loses worth; weight of the worth beside
+# us of waiting whose loss of worth counts in a message's score; weight of the worth itself beside it.
+URGENCY_HORIZON_US, WORTH_WEIGHT = 1_500_000, 0.2
 
-# Whether it is no find of a restart, risk; cost, aim, serial, ..., slot_us.
+# Heap of the best message of each lane: priority (False for a message that a restart recovered untried,
+# which goes first; risk of a repeat), cost, target time in us, held serial, message, its lane, slot time.
 DispatchQueue = list[tuple[tuple[bool, float], float, int, int, Message, Lane, float]]
-REPEAT_RISK = {effect: float(order) for order, effect in enumerate(Effect)}  # by what a repeat does
+# The later an effect stands in the enum, the worse a repeat.
+REPEAT_RISK = {effect: float(order) for order, effect in enumerate(Effect)}
 
 
 class DecisionEngine(OutageTracking):
-    """One sender. Feed it batches of events in order of time; carry out what it returns."""
+    """Decides for one relay what is sent where and when, without I/O or a clock of its own.
+
+    The caller passes batches of events in order of time to ``step`` and carries out the returned actions.
+    """
 
     def __init__(self, settings: Settings, seed: int) -> None:
         self.settings, self.rng, self.now_us, self.actions = settings, random.Random(seed), 0, list[Action]()
         self.compiled_rules, self.dispatch_paused = dict[DeliveryRules, CompiledRules](), False
         self.tenant_usage: dict[str, tuple[float, DecayingCounter]] = {}
-        self.all_held_lanes: Lanes = {}  # over all destinations, by class and worth
+        # Held messages of all destinations, by rules, worth and whether a restart recovered them untried.
+        self.all_held_lanes: Lanes = {}
         self.messages, self.endpoints = dict[str, Message](), dict[str, Endpoint]()
-        self.destinations, self.disabled_hosts = (
-            dict[int, Destination](),
-            set[str](),
-        )  # out: hosts that staff leave out
-        self.key_queues = dict[str, list[Message]]()  # by key: messages in order of arrival
-        self.key_free_at_us = dict[str, int]()  # by key: when an attempt that may still run has died down
-        self.attempts_on_wire = dict[
-            tuple[str, int], str
-        ]()  # attempts whose call is on the wire still, and their keys
+        # Destinations by number; hosts that an operator disabled.
+        self.destinations, self.disabled_hosts = dict[int, Destination](), set[str]()
+        self.key_queues = dict[str, list[Message]]()  # by ordering key: messages in order of arrival
+        # By ordering key: when an earlier attempt that may still run is taken to have ended.
+        self.key_free_at_us = dict[str, int]()
+        # By message id and attempt, for settled attempts whose call is still on the wire: the ordering key.
+        self.attempts_on_wire = dict[tuple[str, int], str]()
         self.class_latency: dict[str, LatencyStats] = {}  # by class: latency over all endpoints
         self.arrivals = DecayingCounter(EVIDENCE_DECAY_US)
-        # Calls lost on connections that had been idle, and on others; the idle age that is trusted.
+        # Calls lost on connections that had been idle, and on others.
         self.idle_connection_losses, self.fresh_connection_losses = (
             DecayingCounter(EVIDENCE_DECAY_US, 1 - NEWEST_CALL_WEIGHT),
             DecayingCounter(EVIDENCE_DECAY_US, 1 - NEWEST_CALL_WEIGHT),
         )
-        # Crowd: no connection.
+        # Idle age up to which a connection is reused; share of calls refused a connection by a live endpoint.
         self.trusted_idle_us, self.connect_refusals = (
             float(settings.keepalive_us),
             DecayingCounter(EVIDENCE_DECAY_US),
         )
-        # Failed, refused again.
+        # Share of trial calls that fail: after a failure, and after a refusal.
         self.trial_failures = (
             DecayingCounter(EVIDENCE_DECAY_US, 1 - NEWEST_CALL_WEIGHT),
             DecayingCounter(EVIDENCE_DECAY_US, 1 - NEWEST_CALL_WEIGHT),
         )
         self.open_messages, self.calls_in_flight, self.timer_due_us, self.last_serial = 0, 0, -1, 0
-        self.new_calls = list[Call]()  # in this step, and not let out yet
+        self.new_calls = list[Call]()  # calls of this step whose sends are not emitted yet
         self._apply_settings(settings)
-        # Next ask; its gap; when the last one was made; from one to the next, at most.
+        # When to subscribe to the directory next (-1: not planned); the gap after a failure.
         self.subscribe_at_us, self.subscribe_gap_us = (
             (0 if settings.must_subscribe else -1),
             self.min_subscribe_gap_us,
         )
+        # When the last subscription was sent; longest time from one to the next.
         self.last_subscribe_us, self.max_subscribe_gap_us = (
             -LIST_CHANGE_KNOWN_US,
             LIST_CHANGE_KNOWN_US * 2 // 3,
         )
-        self.next_forget_us = 0  # when to look next for what is gone
-        self.destinations_to_check: dict[int, None] = {}  # destinations that an event or a due time touched
-        self.recheck_queue: list[tuple[int, int]] = []  # heap: when to look at a destination again
-        self.expiry_queue: list[tuple[int, int, Message]] = []  # heap: when to answer a held message
-        # Heap: when a message that a restart found earns credit, and at which destination.
+        self.next_forget_us = 0  # when to search next for hosts to forget
+        # Destinations that an event or a due recheck touched, in that order.
+        self.destinations_to_check: dict[int, None] = {}
+        self.recheck_queue: list[tuple[int, int]] = []  # heap: time of the recheck, destination
+        self.expiry_queue: list[tuple[int, int, Message]] = []  # heap: expiry time, serial, held message
+        # Heap: when a message that a restart recovered untried earns credit, and its destination.
         self.recovered_credit_queue: list[tuple[int, int]] = []
 
     def _apply_settings(self, settings: Settings) -> None:
-        """Go by these settings; what came under others, and what was learned, stays as it is."""
+        """Apply new settings; messages accepted under earlier ones and all learned state stay as they are."""
         self.settings = settings
         self.kinds = {kind.name: kind for kind in settings.kinds}
         rules_by_name = {cls.name: DeliveryRules(cls, settings.max_attempts) for cls in settings.classes}
@@ -204,23 +182,25 @@
             settings.group_size, settings.fall_multiple, settings.fall_us,
             settings.cold_from, settings.warm_within_us,
         )  # fmt: skip
-        # The more share a limit, the less often each hears of it: paces move the slower.
+        # The more relays share a limit, the fewer reports each receives: send rates change more slowly.
         self.group_size_root = settings.group_size**0.5
-        # A group's asks wait for each other: all at once are all late, and those given up are worked off too.
+        # The directory serves a group's subscriptions one by one, abandoned ones included: if all relays
+        # subscribe at once, all are answered late.
         self.subscribe_spread_us = max(
             0, SUBSCRIBE_SPREAD_PER_RELAY_US * settings.group_size - SUBSCRIBE_RETRY_US
         )
         self.min_subscribe_gap_us = SUBSCRIBE_RETRY_US
         if settings.list_is_pushed:
-            # Nobody else asks the agent, and what it has counts as told whether a watch is open or not: with
-            # an ask that gets no answer for as long (``directory``), half of a drain's grace may go by.
+            # No other relay asks this relay's agent. A list that the agent has counts as received even when
+            # no watch is open, and a subscription without an answer (``directory``) takes as long again: half
+            # of a drain's grace may go by.
             self.subscribe_spread_us, self.min_subscribe_gap_us = (
                 0,
                 max(settings.round_us, settings.drain_grace_us // 4),
             )
 
     def _compile_rules(self, rules: DeliveryRules) -> CompiledRules:
-        """What follows from a set of rules; one for all messages that came under it."""
+        """Return the compiled form of a set of rules, shared by all messages accepted under them."""
         if (compiled := self.compiled_rules.get(rules)) is None:
             self.last_serial += 1
             rules_in_use = (
@@ -228,7 +208,7 @@
                 if len(self.compiled_rules) > 64
                 else None
             )
-            if rules_in_use is not None:  # settings that change all day must not grow the process
+            if rules_in_use is not None:  # frequent settings changes must not grow memory
                 self.compiled_rules = {
                     rule: compiled_entry
                     for rule, compiled_entry in self.compiled_rules.items()
@@ -243,7 +223,7 @@
         return compiled
 
     def step(self, now_us: int, events: Iterable[Event]) -> list[Action]:
-        """Take in every event of the batch, then answer and dispatch once."""
+        """Process every event of the batch, then answer expired messages and dispatch once."""
         self.now_us, self.actions = now_us, []
         idle_destinations: list[int] = []
         for event in events:
@@ -258,7 +238,7 @@
             elif isinstance(event, CallEnded):
                 self._release_key(event)
             elif isinstance(event, TimerDue) and self.timer_due_us <= now_us + self.settings.round_us:
-                self.timer_due_us = -1  # it has come, be it a little early: no other would
+                self.timer_due_us = -1  # also if a little early, as no other timer will fire
             elif isinstance(event, DestinationIdle):
                 idle_destinations.append(event.dest)
             elif isinstance(event, EndpointSnapshot) and event.host in self.endpoints:
@@ -278,16 +258,14 @@
         while self.recovered_credit_queue and self.recovered_credit_queue[0][0] <= now_us:
             self._credit_recovered(heapq.heappop(self.recovered_credit_queue)[1])
         self._expire_held()
-        if (
-            self.calls_in_flight < self.settings.max_calls and not self.dispatch_paused
-        ):  # else what is held is looked at later
+        # Otherwise held messages are checked in a later step.
+        if self.calls_in_flight < self.settings.max_calls and not self.dispatch_paused:
             self._dispatch()
             self._emit_sends()
-        for number in idle_destinations:  # last: what has come for it meanwhile binds it
+        for number in idle_destinations:  # last: events of this step may have put it to use again
             self._deactivate_destination(number)
-        if (
-            0 <= self.subscribe_at_us <= now_us
-        ):  # a directory that only answers; an unanswered ask is made again
+        # A directory that must be asked; an unanswered subscription is repeated.
+        if 0 <= self.subscribe_at_us <= now_us:
             self.actions.append(Subscribe())
             self.last_subscribe_us = now_us
             self.subscribe_at_us = now_us + max(2_000_000, self.settings.ask_within_us // 2)
@@ -303,15 +281,15 @@
         return self.actions
 
     def _update_endpoints(self, event: EndpointUpdate) -> None:
-        """Follow the directory; where it must be asked, a failed or broken watch is asked for again."""
+        """Apply a directory update; after a failed or broken watch, schedule the next subscription."""
         if event.kind is EndpointUpdateKind.FAILED:
             if self.settings.must_subscribe:
                 gap_us = (
                     self.subscribe_gap_us * self.rng.uniform(0.7, 1.3)
                     + self.subscribe_spread_us * self.rng.random()
                 )
-                # It may be back this very moment, whatever has become of the call before: the next one begins
-                # within two thirds of the time in which a change counts as told, the rest is for its answer.
+                # The directory may be reachable again right now, however the last call ended. So the next one
+                # starts within two thirds of LIST_CHANGE_KNOWN_US; the rest is for its answer.
                 max_gap_us = max(
                     self.last_subscribe_us + self.max_subscribe_gap_us - self.now_us,
                     self.max_subscribe_gap_us // 3,
@@ -330,7 +308,7 @@
             return
         if event.kind in (EndpointUpdateKind.CHANGES, EndpointUpdateKind.FULL):
             self.subscribe_at_us, self.subscribe_gap_us = -1, self.min_subscribe_gap_us
-        elif self.subscribe_at_us == 0:  # the first list, perhaps an old one: many may have started just now
+        elif self.subscribe_at_us == 0:  # first list, perhaps outdated: many relays may be starting now
             self.subscribe_at_us = self.now_us + int(
                 min(self.subscribe_spread_us, self.max_subscribe_gap_us) * self.rng.random()
             )
@@ -341,7 +319,7 @@
                 endpoint.update_listing(Listing.GONE, self.now_us)
                 self.destinations[endpoint.dest].clear_ready_cache()
         initial_quota = max(1, int(MAX_CALL_SHARE * self.settings.max_calls))
-        # Until an answer tells of a limit: what the members may ask of all, spread evenly.
+        # Send rate until an answer announces a limit: the tenants' total quota, spread evenly.
         new_destinations = {entry.dest for entry in event.entries if entry.dest not in self.destinations}
         even_rate = (
             self.total_quota_per_s
@@ -357,13 +335,14 @@
             )
             current, kind = self.endpoints.get(entry.host), self.kinds.get(entry.kind, Kind(entry.kind))
             if current is None or (current.dest, current.kind) != (entry.dest, kind):
-                if current is not None:  # the host moved: calls out are settled with the old endpoint
+                if current is not None:  # the host moved: calls in flight settle on the old endpoint
                     del self.destinations[current.dest].endpoints[entry.host]
                     self.destinations[current.dest].clear_ready_cache()
-                # One that comes later may be new and cold: its quota grows from one call with its successes.
+                # An endpoint added later may be a new, cold process: its quota starts at one call and grows
+                # with its successes.
                 current = self._add_endpoint(entry, kind, 1 if added_later else initial_quota, even_rate)
             elif current.listing is Listing.GONE and entry.listing is Listing.READY:
-                # All hear of it in one moment, and nobody knows what it did meanwhile.
+                # All relays receive this at the same moment, and none knows its state in the meantime.
                 self._suspect_endpoint(current, "listed again", confirms=False)
             current.update_listing(entry.listing, self.now_us)
             dest.clear_ready_cache()
@@ -376,7 +355,7 @@
             self._forget_gone_hosts()
 
     def _add_endpoint(self, entry: EndpointEntry, kind: Kind, quota: int, send_rate: float) -> Endpoint:
-        """An endpoint of which nothing is known yet."""
+        """Add an endpoint without history; ``quota`` in calls, ``send_rate`` in calls/s (0: unlimited)."""
         dest = self.destinations[entry.dest]
         endpoint = Endpoint(
             entry,
@@ -396,13 +375,13 @@
         return endpoint
 
     def _override_host(self, host: str, disabled: bool) -> None:
-        """Nothing new goes to what is out. What is back is a new process: cold, nothing is known of it."""
+        """Stop sending to a host that an operator disables; treat a re-enabled one as a new, cold process."""
         was_disabled, old_endpoint = host in self.disabled_hosts, self.endpoints.get(host)
         (self.disabled_hosts.add if disabled else self.disabled_hosts.discard)(host)
         if old_endpoint is None or was_disabled == disabled:
             return
         old_endpoint.disabled = disabled
-        if not disabled:  # calls out are settled with the old endpoint
+        if not disabled:  # calls in flight settle on the old endpoint
             entry = EndpointEntry(
                 host, old_endpoint.dest, old_endpoint.zone, old_endpoint.kind.name, old_endpoint.listing
             )
@@ -426,7 +405,7 @@
         self.destinations_to_check[old_endpoint.dest] = None
 
     def endpoint_snapshots(self) -> list[EndpointSnapshot]:
-        """What a successor may go on from."""
+        """Return what is known of each listed endpoint, for the process that takes over."""
         return [
             EndpointSnapshot(
                 e.host, max(0, e.rate_limiter.retry_after_until_us - self.now_us), e.quota,
@@ -442,25 +421,24 @@
         ]  # fmt: skip
 
     def _resume_from_snapshot(self, endpoint: Endpoint, snapshot: EndpointSnapshot) -> None:
-        """The process before this one had come so far here."""
+        """Continue from the state that the previous process had reached for an endpoint."""
         limiter = endpoint.rate_limiter
         limiter.retry_after_until_us = max(limiter.retry_after_until_us, self.now_us + snapshot.wait_us)
         endpoint.quota = max(MIN_QUOTA_SHARE * endpoint.max_quota, min(endpoint.max_quota, snapshot.quota))
         limiter.announced_rate = snapshot.rate
         if snapshot.pace:
             limiter.send_rate, limiter.send_rate_at_us = snapshot.pace, self.now_us
-        if (
-            snapshot.cold_for_us >= 0
-        ):  # its budget goes on from where it was, and no second trial begins it anew
+        # A slow start goes on from where it was, without a new trial call.
+        if snapshot.cold_for_us >= 0:
             endpoint.own_limiter.slow_start.resume(
                 self.now_us, self.budget, snapshot.cold_for_us, snapshot.next_call_in_us
             )
             endpoint.own_limiter.consecutive_failures, endpoint.own_limiter.pause_until_us = 0, self.now_us
 
     def _forget_gone_hosts(self) -> None:
-        """Let go of hosts that are gone and of destinations that nothing speaks of: ids are ever new.
+        """Forget hosts that left the list and unused destinations: ids are always new, so tables would grow.
 
-        What binds stays: open calls, a wait, the pause or cold return of a host that may be listed again.
+        A host with calls in flight, a wait, a pause or a slow start stays, as it may be listed again.
         """
         self.next_forget_us = self.now_us + FORGET_INTERVAL_US
         for host, endpoint in [pair for pair in self.endpoints.items() if pair[1].listing is Listing.GONE]:
@@ -478,7 +456,7 @@
                     self.destinations_to_check.pop(number, None)
 
     def _deactivate_destination(self, number: int) -> None:
-        """Forget an idle destination, unless something of it still binds; an outage does until it is over."""
+        """Forget an idle destination unless it is still in use; an outage keeps it until it is over."""
         if (dest := self.destinations.get(number)) is not None:
             if self._in_use(number, dest):
                 return
@@ -489,14 +467,14 @@
         self.actions.append(DestinationDeactivated(number))
 
     def count_avoided(self) -> int:
-        """Listed endpoints that nothing new is sent to now: out by hand, draining, or paused by an outage."""
+        """Count the listed endpoints that are avoided: disabled by an operator, draining or failing."""
         listed_endpoints = [e for e in self.endpoints.values() if e.listing is not Listing.GONE]
         return sum(
             e.disabled or e.listing is Listing.DRAINING or self._is_failing(e) for e in listed_endpoints
         )
 
     def count_phases(self) -> dict[str, int]:
-        """Listed endpoints by what they are taken to be."""
+        """Count the listed endpoints by phase of their slow start."""
         counts = dict.fromkeys((phase.value for phase in Phase), 0)
         for endpoint in self.endpoints.values():
             if endpoint.listing is not Listing.GONE:
@@ -504,14 +482,14 @@
         return counts
 
     def _restricted_until_us(self, endpoint: Endpoint) -> int:
-        """When no wait, pause or cold return binds there any more."""
+        """Return when the endpoint's last wait, pause or slow start is over, by the step clock."""
         return max(
             max(g.blocked_until_us, g.slow_start.cold_since_us + self.settings.warm_within_us)
             for g in endpoint.limiters
         )
 
     def _in_use(self, number: int, dest: Destination) -> bool:
-        """Whether a message, a call, a wait, a pause, an outage or a cold return there still binds."""
+        """Return whether the destination has a message, call, wait, pause, outage record or slow start."""
         for endpoint in dest.endpoints.values():
             has_failures = any(g.consecutive_failures for g in endpoint.limiters)
             if (
@@ -520,7 +498,7 @@
                 or self.now_us <= max(self._restricted_until_us(endpoint), endpoint.outage_record_until_us)
             ):
                 return True
-        # A call may be out at an endpoint that has moved: its message is all that is left of it here.
+        # A call may be in flight at an endpoint that has moved: only its message still refers to it.
         return bool(self.attempts_on_wire) or any(
             message.dest == number for message in self.messages.values()
         )
@@ -528,20 +506,20 @@
     def _apply_announced_rate(
         self, limiter: CallLimiter, rate: float | None, share_left: float | None = None
     ) -> None:
-        """A rate told for all relays bounds the pace; the share of it that is left shows what others use.
+        """Bound the send rate by a limit announced for all relays, and steer it by the share left of it.
 
-        All that share the limit are told alike. So each moves its pace from its equal part by the same factor
-        for the same news, and the sum of them settles where some of the limit is left.
+        ``rate`` is in calls/s. All relays that share the limit receive the same reports. Each changes its
+        send rate from its equal share by the same factor for the same report, so that their sum settles
+        where some of the limit is left.
         """
         if not (rate and 0 < rate < math.inf):
-            if not limiter.announced_rate:  # an answer that names no limit: there may be none
+            if not limiter.announced_rate:  # no limit announced: there may be none
                 limiter.send_rate = self._send_rate(limiter) * UNLIMITED_RATE_FACTOR
             return
         if share_left is not None and not 0 <= share_left <= 1:
             share_left = None
-        if (
-            not limiter.announced_rate
-        ):  # where nothing tells what the others use, one that is busy may take more
+        # Without a report of what the others use, a busy relay may take more than its equal share.
+        if not limiter.announced_rate:
             equal_shares = (
                 self._initial_equal_shares(share_left)
                 if share_left is not None
@@ -549,7 +527,7 @@
             )
             limiter.send_rate, limiter.send_rate_at_us = rate * self._equal_share(equal_shares), self.now_us
         limiter.announced_rate = rate
-        if share_left is not None and (rate, share_left) != limiter.last_report:  # fresh news only
+        if share_left is not None and (rate, share_left) != limiter.last_report:  # new reports only
             interval_s = (
                 min(self.now_us - limiter.last_report_us, MAX_REPORT_INTERVAL_US) / 1e6
                 if limiter.last_report_us > 0
@@ -565,7 +543,7 @@
             limiter.last_report, limiter.last_report_us = (rate, share_left), self.now_us
 
     def _initial_equal_shares(self, share_left: float) -> float:
-        """Equal parts of a limit that one which is served begins with; of two relays, one may have it all."""
+        """Return the equal shares of a limit that a relay starts with; one of two may use all of it."""
         size = self.settings.group_size
         return max(
             MIN_EQUAL_SHARES,
@@ -573,10 +551,11 @@
         )
 
     def _equal_share(self, count: float) -> float:
-        """So many equal parts of what the group shares, and at most the whole."""
+        """Return ``count`` equal shares of what the group shares, as a fraction of at most 1."""
         return min(1.0, count / self.settings.group_size)
 
     def _accept_message(self, event: Arrival) -> None:
+        """Register a new or recovered message, reduce its worth if its tenant is over quota, and hold it."""
         compiled_rules = (
             self._compile_rules(event.rules) if event.rules else self.rules_by_class.get(event.cls)
         )
@@ -584,9 +563,8 @@
             return
         worth = compiled_rules.rules.cls.worth
         self.arrivals.add(False, self.now_us)
-        if (
-            event.tenant in self.tenant_usage
-        ):  # beyond its part of this relay's own traffic it is worth little
+        # Beyond the tenant's share of this relay's traffic, a message is worth less.
+        if event.tenant in self.tenant_usage:
             quota, usage = self.tenant_usage[event.tenant]
             usage.add(False, self.now_us)
             fair_rate = self.arrivals.rate_per_s(self.now_us) * quota / max(quota, self.total_quota_per_s)
@@ -602,21 +580,22 @@
         for limiter in (limiters := {id(e.rate_limiter): e.rate_limiter for e in ready}).values():
             limiter.demand.add(False, self.now_us, 1 / len(limiters))
         if event.recovered_untried:
-            # All relays may have been restarted together; what they found came over a while, and does again.
+            # All relays may have restarted together. The recovered messages had arrived over some time, so
+            # their credit is spread over time again.
             credit_at_us = self.now_us + int(self.rng.random() * message.cls.deadline_us)
             if credit_at_us < message.deadline_us:
                 heapq.heappush(self.recovered_credit_queue, (credit_at_us, event.dest))
-        elif not event.attempts:  # what was tried before a restart was reckoned with before it
+        elif not event.attempts:  # a message tried before a restart earned its credit then
             dest.traffic.add(False, self.now_us)
             self._add_credit(dest, ready)
         if message.key:
             self.key_queues.setdefault(message.key, []).append(message)
-            if message.in_doubt_since_us >= 0:  # a try of a former life may still run
+            if message.in_doubt_since_us >= 0:  # an attempt from before the restart may still run
                 self.key_free_at_us[message.key] = self.now_us + self.settings.order_pause_us
         self._hold(message)
 
     def _hold(self, message: Message) -> None:
-        """Keep it for the dispatch, and note when it has to be answered."""
+        """Hold a message for dispatch and schedule its expiry."""
         dest = self.destinations[message.dest]
         dest.held[message.id], self.destinations_to_check[message.dest] = message, None
         self.last_serial += 1
@@ -625,22 +604,22 @@
         self._make_dispatchable(dest, message)
         self._schedule_expiry(message)
 
+    # Key of ``all_held_lanes``: messages that differ in score by their target time only.
     _held_lane_key = staticmethod(
         lambda message: (message.compiled_rules.number, message.worth, message.recovered_untried)
     )
 
     def _schedule_expiry(self, message: Message) -> None:
-        """Look at a held message again when its time is over."""
+        """Queue a held message to be checked at its expiry time."""
         self.last_serial += 1
         heapq.heappush(self.expiry_queue, (self._expiry_us(message), self.last_serial, message))
-        if (
-            len(self.expiry_queue) > 2 * len(self.messages) + 64
-        ):  # most messages are over long before their time is
+        # Most messages are done long before they expire: drop them to bound the queue.
+        if len(self.expiry_queue) > 2 * len(self.messages) + 64:
             self.expiry_queue = [item for item in self.expiry_queue if not item[2].done]
             heapq.heapify(self.expiry_queue)
 
     def _make_dispatchable(self, dest: Destination, message: Message) -> None:
-        """Put a held message where the dispatch finds it, once order by key lets it go."""
+        """Add a held message to its lane if key order allows it; else the first of its key waits."""
         if self._allowed_by_key_order(message):
             dest.waiting_for_key.pop(message.id, None)
             add_to_lane(dest.lanes, message)
@@ -648,7 +627,7 @@
             dest.waiting_for_key[message.id] = message
 
     def _remove_from_backlog(self, message: Message) -> None:
-        """It is on its way, or over."""
+        """Remove a message from the backlog, since it is being sent or done."""
         dest = self.destinations[message.dest]
         if dest.held.pop(message.id, None) is None:
             return
@@ -661,7 +640,7 @@
             remove_from_lane(dest.lanes, message)
 
     def _expiry_us(self, message: Message) -> int:
-        """When its time or window covers no further call."""
+        """Return when too little is left of the deadline or key window for a further call."""
         cls, in_doubt = message.cls, message.in_doubt_since_us >= 0
         if message.attempts >= message.max_attempts or (in_doubt and cls.effect is Effect.UNSAFE):
             return self.now_us
@@ -675,11 +654,11 @@
         )
 
     def _key_known_until_us(self, message: Message) -> int:
-        """Until when the key of a message that may have run is known, so that a repeat is dropped."""
+        """Return until when endpoints know the key of an in-doubt message, so that they drop a repeat."""
         return message.in_doubt_since_us + message.cls.window_us - self.settings.round_us
 
     def _settle_attempt(self, event: Outcome) -> None:
-        """Settle one attempt: its call, the endpoint's figures, then the message."""
+        """Settle one attempt: its call, the endpoint's statistics, then the message."""
         message = self.messages.get(event.id)
         if message is None or (call := message.attempts_in_flight.pop(event.attempt, None)) is None:
             return
@@ -697,8 +676,8 @@
             self._apply_announced_rate(endpoint.rate_limiter, event.limit_per_s, event.limit_remaining)
             if verdict not in (Verdict.CANCELLED, Verdict.NOT_SENT):
                 self._learn_from_call(call, message, event)
-            # Many relays' idle connections fill a small table: close one that will hardly serve again.
-            # What has never served, or keeps failing, is down, and its table is not full.
+            # Idle connections of many relays fill a small connection table: close one that is unlikely to be
+            # reused. An endpoint that never served or keeps failing is down; its table is not full.
             own_limiter, refused = endpoint.own_limiter, verdict is Verdict.CONNECT_FAILED
             self.connect_refusals.add(
                 refused and own_limiter.last_success_us >= 0 and own_limiter.consecutive_failures < 2,
@@ -718,9 +697,8 @@
             message.timeouts += verdict is Verdict.TIMEOUT
             if message.key and event.call_continues:
                 self.attempts_on_wire[event.id, event.attempt] = message.key
-            if (
-                message.key in self.attempts_on_wire.values()
-            ):  # an earlier attempt's call may be on the wire still
+            # The call of an earlier attempt may still be on the wire.
+            if message.key in self.attempts_on_wire.values():
                 self.key_free_at_us[message.key] = FAR_FUTURE_US
             elif message.key and verdict is not Verdict.ERROR:
                 self.key_free_at_us[message.key] = self.now_us + self.settings.order_pause_us
@@ -728,13 +706,12 @@
             if verdict is Verdict.OK:
                 self.destinations[message.dest].traffic.count_served()
             self._close_message(message)
-        elif (
-            not message.attempts_in_flight
-        ):  # held again; what may not be repeated is answered after the whole batch
+        # Hold it again; one that may not be repeated is answered after the whole batch.
+        elif not message.attempts_in_flight:
             self._hold(message)
 
     def _release_key(self, event: CallEnded) -> None:
-        """The last byte of an attempt is accounted for: from now its key only rests."""
+        """Start the pause of an ordering key once no earlier attempt of it is on the wire."""
         key = self.attempts_on_wire.pop((event.id, event.attempt), "")
         if key and key not in self.attempts_on_wire.values():
             self.key_free_at_us[key] = self.now_us + self.settings.order_pause_us
@@ -743,7 +720,7 @@
             )
 
     def _learn_from_call(self, call: Call, message: Message, event: Outcome) -> None:
-        """What the end of a call says of its connection, its class there, its endpoint and its limit."""
+        """Update the statistics of connection, class, endpoint and limit from the end of a call."""
         endpoint, verdict, class_name = call.endpoint, event.verdict, message.cls.name
         usual_latency_us, failed = self._latency(message, endpoint).mean_us, verdict is not Verdict.OK
         connection_lost = verdict in (Verdict.RESET, Verdict.TIMEOUT)
@@ -757,13 +734,14 @@
             and self.idle_connection_losses.hit_share(self.now_us)
             > 2 * self.fresh_connection_losses.hit_share(self.now_us)
         ):
-            # Calls on connections that were idle are lost far more often: something cuts them. Close sooner.
+            # Calls on idle connections are lost far more often than others: something drops idle
+            # connections, so close them sooner.
             self.trusted_idle_us = max(
                 IDLE_AGE_LOSS_FACTOR * self.trusted_idle_us,
                 min(self.trusted_idle_us, 0.8 * call.connection_idle_us),
             )
             if verdict is Verdict.RESET and event.elapsed_us < usual_latency_us / 2:
-                # Most likely no failure of the endpoint; but one that goes down cuts idle connections too.
+                # Probably no failure of the endpoint, but one that goes down resets idle connections, too.
                 self._suspect_outage(endpoint, endpoint.own_limiter, call, message, event)
                 self._after_failure(endpoint, endpoint.own_limiter, event)
                 return
@@ -801,7 +779,7 @@
         endpoint.rate_limiter.send_rate = self._send_rate(endpoint.rate_limiter) * SERVED_RATE_FACTOR
 
     def _adjust_quota(self, endpoint: Endpoint, failed: bool) -> None:
-        """The notes' rule: average the failure ratio and step the quota by its marks."""
+        """Update the failure ratio and step the quota at its thresholds, as the BIND9 notes do."""
         endpoint.failure_ratio.add(failed, self.now_us)
         if failed and endpoint.failure_ratio.hit_share(self.now_us) > HIGH_FAILURE_RATIO:
             endpoint.quota = max(MIN_QUOTA_SHARE * endpoint.max_quota, endpoint.quota * QUOTA_DECREASE_FACTOR)
@@ -811,7 +789,7 @@
             )
 
     def _has_overdue_call(self, endpoint: Endpoint) -> bool:
-        """Whether a call is overdue and no answer came since: a hang, seen before its time-outs."""
+        """Return whether a call is overdue without a success since: a hang, noticed before the time-out."""
         last_success_us = endpoint.rate_limiter.last_success_us
         for call in endpoint.calls:
             if self.now_us - call.sent_us > call.overdue_after_us >= last_success_us - call.sent_us:
@@ -819,6 +797,7 @@
         return False
 
     def _is_failing(self, endpoint: Endpoint) -> bool:
+        """Return whether an endpoint failed repeatedly, or once while trial calls mostly fail."""
         for limiter in endpoint.limiters:
             if limiter.consecutive_failures > 1:
                 return True
@@ -833,7 +812,7 @@
     def _record_failure(
         self, endpoint: Endpoint, limiter: CallLimiter, call: Call, message: Message, event: Outcome
     ) -> None:
-        """A strike, a pause before the next trial, and what it says of an outage."""
+        """Count a failure, pause before the next trial call, and report a possible outage."""
         verdict, refused = event.verdict, event.verdict is Verdict.FULL
         recently_served = self.now_us - limiter.last_success_us < RECENT_US
         if (
@@ -842,9 +821,8 @@
             or limiter.consecutive_failures >= MAX_LIMIT_REFUSALS
         ):
             self._suspect_outage(endpoint, limiter, call, message, event)
-        if (
-            recently_served and verdict is Verdict.CONNECT_FAILED
-        ):  # a connection limit: the quota shrinks, no strike
+        # A connection limit: the quota shrinks, and it is not counted as a failure.
+        if recently_served and verdict is Verdict.CONNECT_FAILED:
             limiter.pause_until_us = max(limiter.pause_until_us, self.now_us + MIN_RETRY_PAUSE_US)
             return
         if limiter.consecutive_failures and call.sent_us > limiter.last_failure_us:
@@ -855,7 +833,8 @@
                 self.now_us,
                 refused,
             )
-            if refused:  # a told rate may hold no more, or others use it up: fall to half of what is served
+            # The announced rate may be outdated or used up by others: drop to half of the served rate.
+            if refused:
                 min_rate = min(
                     1e6 / MAX_RETRY_PAUSE_US,
                     MIN_EQUAL_SHARES * limiter.announced_rate * self._equal_share(1) or math.inf,
@@ -864,13 +843,14 @@
                     self._send_rate(limiter), self._own_share_per_s(endpoint, limiter)
                 )
                 limiter.send_rate = max(send_rate, 0.5 * limiter.served.rate_per_s(self.now_us), min_rate)
-        if verdict is Verdict.ERROR:  # it answers: the next may be served, and at once
+        if verdict is Verdict.ERROR:  # it answers: the next call may succeed, without a pause
             return
         retry_pause_us = min(
             MIN_RETRY_PAUSE_US * 2.0 ** min(limiter.consecutive_failures - 1, 10), MAX_RETRY_PAUSE_US
         )
         if limiter.slow_start.needs_credit(self.now_us):
-            # Credit spreads the calls of all relays. Behind a told wait, which ends for all, it is alone.
+            # Credit spreads the calls of all relays. After a Retry-After wait, which ends for all relays at
+            # once, it alone does.
             if limiter.retry_after_until_us <= self.now_us:
                 pause_us = int(retry_pause_us * self.rng.uniform(0.3, 1.3))
                 limiter.pause_until_us = max(limiter.pause_until_us, self.now_us + pause_us)
@@ -878,8 +858,8 @@
             return
         wait_end_us = max(self.now_us, limiter.retry_after_until_us)
         if refused and limiter.last_report_us > 0:
-            # What a limit refuses uses it up too: all that come back at their waits' ends keep it used up. At
-            # its lowered pace, and no two alike, each comes back late enough for the group to fit.
+            # Refused calls use up the limit, too: if all relays return when their waits end, they keep it
+            # used up. With a random pause at the reduced send rate the group fits into the limit.
             limiter.pause_until_us = max(
                 limiter.pause_until_us, wait_end_us + int(2e6 / limiter.send_rate * self.rng.random())
             )
@@ -887,13 +867,13 @@
             limiter.pause_until_us = max(
                 limiter.pause_until_us, wait_end_us + int(retry_pause_us * self.rng.uniform(0.3, 1.3))
             )
-        else:  # all that were told to wait would come back at once
+        else:  # without a random pause, all relays would return when the wait ends
             limiter.pause_until_us = max(
                 limiter.pause_until_us, wait_end_us + int((wait_end_us - self.now_us) * self.rng.random())
             )
 
     def _send_rate(self, limiter: CallLimiter) -> float:
-        """This relay's pace at a limit; it grows with time, and faster with successes."""
+        """Return this relay's send rate in calls/s, after its growth over time since the last update."""
         growth_us = RATE_GROWTH_US * self.group_size_root if limiter.last_report_us > 0 else EVIDENCE_DECAY_US
         grown_rate = limiter.send_rate * math.exp(
             min(50.0, (self.now_us - limiter.send_rate_at_us) / growth_us)
@@ -905,21 +885,21 @@
         return limiter.send_rate
 
     def _own_share_per_s(self, endpoint: Endpoint, limiter: CallLimiter) -> float:
-        """This relay's part of the calls a second there: an equal one, or by its own demand."""
+        """Return this relay's share of the calls/s there: the equal share, or more by its own demand."""
         rate_limiter = endpoint.rate_limiter
         share_per_s = max(
             rate_limiter.announced_rate * self._equal_share(1),
             rate_limiter.demand.rate_per_s(self.now_us),
             1e-3,
         )
-        if rate_limiter.announced_rate:  # what all ask for together may be far more than there is
+        if rate_limiter.announced_rate:  # the total demand may be far above the limit
             share_per_s = min(share_per_s, rate_limiter.announced_rate * self._equal_share(MAX_EQUAL_SHARES))
         return share_per_s / (
             1 if limiter is rate_limiter else max(1, len(self.destinations[endpoint.dest].ready_endpoints()))
         )
 
     def _expiry_reason(self, message: Message) -> GiveUpReason:
-        """Why no further call is made for a message whose end has come."""
+        """Return why no further call is made for an expired message."""
         if message.attempts >= message.max_attempts:
             return GiveUpReason.NO_ATTEMPTS_LEFT
         if message.in_doubt_since_us < 0 or message.cls.effect is Effect.SAFE:
@@ -933,10 +913,10 @@
         )
 
     def _give_up(self, message: Message, reason: GiveUpReason) -> None:
-        """Answer for good: a refusal where a retry is harmless, else a failure."""
+        """Give the final answer: a refusal where the client may safely retry, else a failure."""
         keyed_anywhere = message.cls.effect is Effect.KEYED and not message.cls.scope_is_zone
         harmless = message.cls.effect is Effect.SAFE or message.in_doubt_since_us < 0 or keyed_anywhere
-        # One figure for all would bring their clients back together.
+        # The same wait for all would bring all clients back at once.
         wait_us = int(
             self.settings.max_retry_after_us * self.settings.advise_retry * self.rng.uniform(0.5, 1.0)
         )
@@ -945,7 +925,7 @@
         self._close_message(message)
 
     def _close_message(self, message: Message) -> None:
-        """The message is over; it stays known while attempts are out."""
+        """Close a message; it is forgotten once no attempt is in flight."""
         self.open_messages -= not message.done
         message.done = True
         self._remove_from_backlog(message)
@@ -966,7 +946,10 @@
             }
 
     def _latency(self, message: Message, endpoint: Endpoint | None = None) -> LatencyStats:
-        """What a call takes there, else anywhere, else a guess: a quarter of the aim, spread as wide."""
+        """Return latency statistics of the class at the endpoint, else anywhere, else a guess.
+
+        The guess for mean and spread is a quarter of the class's target time.
+        """
         endpoint_stats = endpoint.latency_by_class.get(message.cls.name) if endpoint else None
         return (
             endpoint_stats
@@ -979,10 +962,10 @@
     )
 
     def _expire_held(self) -> None:
-        """Answer held messages whose time or window covers no call, and the least worthy over the bound."""
+        """Answer held messages that have expired, and the least valuable ones over the backlog bound."""
         while self.expiry_queue and self.expiry_queue[0][0] <= self.now_us:
             message = heapq.heappop(self.expiry_queue)[2]
-            # What a call takes may have changed since.
+            # The latency on which the expiry time depends may have changed since it was queued.
             if not message.done and message.id in self.destinations[message.dest].held:
                 if self._expiry_us(message) > self.now_us:
                     self._schedule_expiry(message)
@@ -994,7 +977,7 @@
                 if dest.held
                 else 0
             )
-            if wait_end_us > self.now_us:  # told to wait past the message's time: answer now
+            if wait_end_us > self.now_us:  # a wait beyond a message's expiry: answer it now
                 for message in self._expiring_by(dest, wait_end_us):
                     self._give_up(message, GiveUpReason.WAIT_EXCEEDS_DEADLINE)
         for _ in range(self.open_messages - max(1, self.settings.max_held_messages - 1)):
@@ -1002,8 +985,8 @@
                 self._give_up(least_valuable, GiveUpReason.BACKLOG_FULL)
 
     def _least_valuable(self) -> Message | None:
-        """The least worthy of all that is held."""
-        # What a restart has found untried was taken on before, and is given up last.
+        """Return the held message with the lowest score."""
+        # Messages that a restart recovered untried were accepted earlier and are given up last.
         lanes = [lane for lane in self.all_held_lanes.values() if not lane.entries[0][2].recovered_untried]
         lanes = lanes or list(self.all_held_lanes.values())
         return (
@@ -1013,27 +996,26 @@
         )
 
     def _expiring_by(self, dest: Destination, by_us: int) -> list[Message]:
-        """What is held there and whose time is over by then; of a lane that never ran the oldest go first."""
-        without_turn = (
-            [m for m in dest.held.values() if not m.lane_key] if self.key_queues else []
-        )  # without a turn
+        """Return the held messages that expire by then; lanes not in doubt are scanned from their oldest."""
+        # Messages behind another one of their ordering key are in no lane.
+        without_turn = [m for m in dest.held.values() if not m.lane_key] if self.key_queues else []
         expiring = [m for m in without_turn if self._expiry_us(m) <= by_us]
         for lane in dest.lanes.values():
             in_doubt = lane.entries[0][2].in_doubt_since_us >= 0
             for _, _, message in lane.entries:
                 if self._expiry_us(message) <= by_us:
                     expiring.append(message)
-                elif not in_doubt:  # the others have more time
+                elif not in_doubt:  # the rest of the lane expires later
                     break
         return sorted(expiring, key=lambda m: (m.target_us, m.held_serial))
 
     def _delivery_time(self, lane: Lane) -> tuple[float, tuple[int, ...]]:
-        """When a lane's messages would be delivered if sent now, and where their score may bend."""
+        """Return when a lane's messages would be delivered if sent now, and their score breakpoints."""
         message = lane.entries[0][2]
         return self.now_us + self._latency(message).mean_us, message.compiled_rules.score_breakpoints
 
     def _worth_at(self, message: Message, at_us: float) -> float:
-        """What the message earns if delivered at that time."""
+        """Return the worth of the message if it is delivered at that time."""
         if at_us >= message.deadline_us:
             return 0.0
         if (late_us := at_us - message.target_us) <= 0:
@@ -1044,14 +1026,17 @@
         return message.worth * (1 - (1 - cls.late_worth) * late_us / max(1, cls.deadline_us - cls.aim_us))
 
     def _score(self, message: Message, at_us: float | None = None) -> float:
-        """Worth lost by waiting a while longer, and a part of the worth itself, if it is there then."""
+        """Return the worth lost by waiting URGENCY_HORIZON_US longer, plus a part of the worth itself.
+
+        ``at_us`` is the time of delivery if sent now; by default it is estimated.
+        """
         if at_us is None:
             at_us = self.now_us + self._latency(message).mean_us
         worth_now = self._worth_at(message, at_us)
         return worth_now - self._worth_at(message, at_us + URGENCY_HORIZON_US) + WORTH_WEIGHT * worth_now
 
     def _dispatch(self) -> None:
-        """One pass over what is held at the destinations to look at, best first."""
+        """Send held messages of the destinations to check, best first, in one pass."""
         queue: DispatchQueue = []
         slots_short, checked = (
             self.calls_in_flight >= MAX_FAILING_CALL_SHARE * self.settings.max_calls,
@@ -1066,11 +1051,12 @@
                 has_failures = any(
                     g.consecutive_failures for e in dest.endpoints.values() for g in e.limiters
                 )
-                slots_us = dict[str, float]()  # by class: alike for all that are held here
+                slots_us = dict[str, float]()  # by class: expected time in a slot at this destination
                 for lane in dest.lanes.values():
                     message = lane.entries[0][2]
-                    # Trials of what fails cost least with what may be repeated, and take turns. With slots
-                    # short, worth counts by time in a slot, or crawling destinations take them all.
+                    # Trial calls to failing endpoints cost least with repeatable messages, and messages take
+                    # turns in them. If slots are short, worth is divided by the time in a slot: otherwise
+                    # slow destinations would take all slots.
                     attempts_used = message.attempts / message.max_attempts
                     risk = has_failures * (REPEAT_RISK[message.cls.effect] + attempts_used)
                     if (slot_us := slots_us.get(message.cls.name)) is None:
@@ -1082,9 +1068,8 @@
         new_calls_by_host: dict[str, Call] = {}
         while queue:
             priority, _, _, _, message, lane, slot_us = heapq.heappop(queue)
-            if candidates := self._candidate_endpoints(
-                message, new_calls_by_host
-            ):  # else there is none for any other of its lane
+            # Without a candidate for this message there is none for the rest of its lane.
+            if candidates := self._candidate_endpoints(message, new_calls_by_host):
                 self._send(
                     message, min(candidates, key=lambda e: self._endpoint_cost(message, e)), new_calls_by_host
                 )
@@ -1093,44 +1078,42 @@
         self._schedule_rechecks(checked)
 
     def _emit_sends(self) -> None:
-        """What travels together has one time-out, the longest; only a message's own end may come before it.
+        """Emit the sends of new calls, with the longest time-out of a call's messages for all of them.
 
-        With one of its own, a message would be tried again while the call that carries it is still out.
+        Only a message's own deadline may shorten it. With a time-out of its own, a message would be retried
+        while the call that carries it is still in flight.
         """
         for call in self.new_calls:
             longest_timeout_us = max(limit_us for _, limit_us in call.unsent)
             for message, _ in call.unsent:
                 timeout_us = min(longest_timeout_us, max(1, message.deadline_us - self.now_us))
                 start_within_us = 0
-                if (
-                    message.cls.effect is Effect.KEYED and message.in_doubt_since_us >= 0
-                ):  # it may connect for long
+                # Connecting may take long: the call must start while the key of the first attempt is known.
+                if message.cls.effect is Effect.KEYED and message.in_doubt_since_us >= 0:
                     start_within_us = max(1, self._key_known_until_us(message) - self.now_us)
                 self.actions.append(Send(message.id, call.endpoint.host, timeout_us, start_within_us))
             call.unsent.clear()
         self.new_calls.clear()
 
     def _schedule_rechecks(self, checked: list[int]) -> None:
-        """When to look at these destinations again, where something is held."""
-        if (
-            self.calls_in_flight < self.settings.max_calls
-        ):  # else what is held waits for a slot and is looked at again
+        """Schedule the next check of these destinations where messages are held."""
+        # Without a free slot, held messages stay marked and are checked again in the next step.
+        if self.calls_in_flight < self.settings.max_calls:
             self.destinations_to_check = {}
         for number in checked:
             if (dest := self.destinations[number]).held:
                 times = [e.unblocked_at_us(self.now_us, self.budget) for e in dest.ready_endpoints()]
                 times += [self.key_free_at_us.get(m.key, 0) for m in dest.waiting_for_key.values()]
                 next_time_us = min((at_us for at_us in times if at_us > self.now_us), default=0)
-                if (
-                    next_time_us and not self.now_us < dest.recheck_at_us <= next_time_us
-                ):  # one that is noted brings us here again
+                # An earlier recheck that is already queued leads here again.
+                if next_time_us and not self.now_us < dest.recheck_at_us <= next_time_us:
                     dest.recheck_at_us = next_time_us
                     heapq.heappush(self.recheck_queue, (next_time_us, number))
 
     def _queue_best(
         self, queue: DispatchQueue, lane: Lane, priority: tuple[bool, float], slot_us: float
     ) -> None:
-        """A lane's best message, before all that are worse; of what a restart found whose time ends first."""
+        """Queue a lane's best message; of those recovered untried, the one with the earliest deadline."""
         if (first_entry := lane.entries[0])[2].recovered_untried:
             heapq.heappush(queue, (priority, float(first_entry[2].deadline_us), *first_entry, lane, slot_us))
             return
@@ -1141,7 +1124,7 @@
         heapq.heappush(queue, (priority, cost / slot_us, target_us, held_serial, message, lane, slot_us))
 
     def _candidate_endpoints(self, message: Message, new_calls_by_host: dict[str, Call]) -> list[Endpoint]:
-        """Endpoints that take the message now: in a call of this pass, else in one more."""
+        """Return the endpoints that can take the message now: in a call of this pass, else in a new one."""
         dest, zone = self.destinations[message.dest], required_zone(message)
         candidates = [e for e in dest.ready_endpoints() if zone is None or e.zone == zone]
         joinable = [
@@ -1150,7 +1133,8 @@
             if e.host in new_calls_by_host
             and new_calls_by_host[e.host].message_count < new_calls_by_host[e.host].max_messages
         ]
-        # Sends of one step to one endpoint share a call as far as its kind allows, whatever is meant here.
+        # Sends of one step to one endpoint share a call up to the batch size of its kind, even if this
+        # engine intends separate calls.
         candidates = [
             e
             for e in candidates
@@ -1159,12 +1143,12 @@
         return joinable or [e for e in candidates if self._has_capacity(dest, e)]
 
     def _allowed_by_key_order(self, message: Message) -> bool:
-        """Whether order by key lets the message go now; the one that has the turn may be repeated at once."""
+        """Return whether key order allows a send now; the first of its key may be retried without a pause."""
         is_first = not message.key or self.key_queues[message.key][0] is message
         return is_first and (message.attempts > 0 or self.now_us >= self.key_free_at_us.get(message.key, 0))
 
     def _has_capacity(self, dest: Destination, endpoint: Endpoint) -> bool:
-        """Whether one more call to the endpoint is within slots, cap, quota, wait, pace and suspicion."""
+        """Return whether slots, quota, waits, rate, failures and the destination's share allow a call."""
         if self.calls_in_flight >= self.settings.max_calls or len(endpoint.calls) >= max(
             1, int(endpoint.quota)
         ):
@@ -1179,9 +1163,8 @@
         calls_in_flight = 0
         for other in others:
             calls_in_flight += len(other.calls)
-        if calls_in_flight < max(
-            1, int(MAX_FAILING_CALL_SHARE * self.settings.max_calls)
-        ):  # within the lower cap nobody asks which one binds
+        # Below the lower of the two bounds, either allows the call.
+        if calls_in_flight < max(1, int(MAX_FAILING_CALL_SHARE * self.settings.max_calls)):
             return True
         any_failing = any(
             e.failure_ratio.hit_share(self.now_us) > HIGH_FAILURE_RATIO
@@ -1192,7 +1175,7 @@
         return not any_failing and calls_in_flight < max(1, int(MAX_CALL_SHARE * self.settings.max_calls))
 
     def _endpoint_cost(self, message: Message, endpoint: Endpoint) -> float:
-        """Time to be served there, with its failures and its fee turned into time."""
+        """Return the expected time to be served there in us, with failures and zone fee converted to time."""
         stats, fee = self._latency(message, endpoint), self.settings.zone_fees.get(endpoint.zone, 0.0)
         failure_share = max(
             stats.failures.hit_share(self.now_us), endpoint.failure_ratio.hit_share(self.now_us)
@@ -1203,9 +1186,10 @@
         )
 
     def _send(self, message: Message, endpoint: Endpoint, new_calls_by_host: dict[str, Call]) -> None:
+        """Add the message to the endpoint's call of this pass, or to a new call."""
         stats, timeout_us = self._latency(message, endpoint), message.deadline_us - self.now_us
         overdue_after_us = stats.mean_us + OVERDUE_SPREADS * max(stats.spread_us, stats.mean_us / 2)
-        if message.cls.effect is not Effect.UNSAFE:  # one that times out is lost: it runs on
+        if message.cls.effect is not Effect.UNSAFE:  # unsafe ones are lost by a time-out
             timeout_us = min(
                 timeout_us, int(TIMEOUT_OVERDUE_MULTIPLE * overdue_after_us) << min(message.timeouts, 8)
             )
@@ -1227,18 +1211,20 @@
             self.new_calls.append(call)
             self.calls_in_flight += 1
             rate_limiter = endpoint.rate_limiter
-            rate_limited = not rate_limiter.slow_start.needs_credit(self.now_us)  # else credit is the pace
+            rate_limited = not rate_limiter.slow_start.needs_credit(
+                self.now_us
+            )  # else credit paces the calls
             if rate_limited and (send_rate := self._send_rate(rate_limiter)) < math.inf:
-                gap_us = int(1e6 / send_rate * self.rng.uniform(0.5, 1.5))  # not back together
+                gap_us = int(1e6 / send_rate * self.rng.uniform(0.5, 1.5))  # keeps relays apart
                 rate_limiter.pause_until_us = (
                     max(rate_limiter.pause_until_us, self.now_us - RATE_BURST_US) + gap_us
                 )
         is_first = call.message_count == 0
-        # What travels with others weighs a part of a call.
+        # Messages after the first weigh only a part of a call.
         endpoint.slow_start.spend(
             self.now_us, self.budget, 1.0 if is_first else EXTRA_MESSAGE_WEIGHT, first=is_first
         )
-        self._remove_from_backlog(message)  # before its tries and what they may have done say another lane
+        self._remove_from_backlog(message)  # before changes to the message that would change its lane
         message.recovered_untried = False
         call.message_count, call.pending_count = call.message_count + 1, call.pending_count + 1
         message.attempts_in_flight[message.attempts], message.attempts = call, message.attempts + 1
--- a/mossfront/state.py
+++ b/mossfront/state.py
@@ -1,4 +1,4 @@
-"""What a relay remembers: plain records that ``mossfront/engine.py`` fills and judges; it decides nothing."""
+"""The decision engine's state: plain records that ``mossfront/engine.py`` updates and evaluates."""
 
 from __future__ import annotations
 
@@ -13,29 +13,35 @@
 
 
 class DecayingCounter:
-    """Events and how many of them count; they fade over ``memory_us`` and, by ``keep``, with each event."""
+    """Counts events, and the hits among them, with decay.
+
+    Earlier events decay exponentially over ``decay_us`` and by ``keep_factor`` with each new event.
+    """
 
     def __init__(self, decay_us: int, keep_factor: float = 1.0) -> None:
         self.decay_us, self.keep_factor = decay_us, keep_factor
         self.hits, self.total, self.updated_us = 0.0, 0.0, 0
 
     def add(self, hit: bool, now_us: int, weight: float = 1.0) -> None:
-        """Take in an event; what came before fades."""
+        """Count an event of the given weight, after the decay of the earlier ones."""
         fade = self.keep_factor * math.exp((self.updated_us - now_us) / self.decay_us)
         self.hits, self.total, self.updated_us = self.hits * fade + hit, self.total * fade + weight, now_us
 
     def hit_share(self, now_us: int) -> float:
-        """The share that counts; one event that does not is taken as known from the start."""
+        """Return the share of hits, as if one event that is no hit had always been counted."""
         fade = math.exp((self.updated_us - now_us) / self.decay_us)
         return self.hits * fade / (self.total * fade + 1)
 
     def rate_per_s(self, now_us: int) -> float:
-        """Events a second, where all are kept: right in the sum over relays, however few each one sees."""
+        """Return events per second, for a ``keep_factor`` of 1.
+
+        Summed over all relays it is correct, however few events each of them sees.
+        """
         return self.total * math.exp((self.updated_us - now_us) / self.decay_us) * 1e6 / self.decay_us
 
 
 class TrafficRate(DecayingCounter):
-    """How many new messages a second come, right also in the first seconds of a count."""
+    """Rate of new messages of a destination, correct also in the first seconds of the count."""
 
     DECAY_US = 30_000_000
 
@@ -44,60 +50,59 @@
         self._started_us = now_us
 
     def count_served(self) -> None:
-        """One of the messages was delivered."""
+        """Count a delivered message."""
         self.hits += 1
 
     @property
     def served_share(self) -> float:
-        """The share that was delivered, one that is still out or has just failed left out of account."""
+        """Share of messages that was delivered; one in flight or just failed is not counted against it."""
         return min(1.0, (self.hits + 1) / max(1.0, self.total))
 
     def per_s(self, now_us: int) -> float:
-        """The rate so far; a count that has just begun takes a second at least."""
+        """Return the rate so far in messages/s, over at least one second."""
         age_us = max(1_000_000, now_us - self._started_us)
         return self.rate_per_s(now_us) / -math.expm1(-age_us / self.DECAY_US)
 
 
 class LatencyStats:
-    """How a class of message fares, at an endpoint or anywhere: answer times, and failures of its own."""
+    """Response times and failures of a message class, at one endpoint or at all."""
 
     def __init__(self, initial_us: float, failures: DecayingCounter) -> None:
         self.mean_us, self.spread_us, self.failures = initial_us, initial_us, failures
 
     def learn(self, took_us: float, weight: float) -> None:
-        """Move mean and spread towards the newest answer."""
+        """Move mean and spread towards the newest response time, both in us."""
         self.spread_us += weight * (abs(took_us - self.mean_us) - self.spread_us)
         self.mean_us += weight * (took_us - self.mean_us)
 
 
 class CallLimiter:
-    """What bounds calls to an endpoint, or to all that share a limit: failures, pauses, pace, slow start."""
+    """Limits calls to one endpoint, or to all endpoints of a destination that share a limit.
+
+    It holds consecutive failures, waits and pauses, the send rate and the slow start.
+    """
 
     def __init__(self, decay_us: int) -> None:
-        self.consecutive_failures, self.last_failure_us, self.last_was_refusal = (
-            0,
-            0,
-            False,
-        )  # failures in a row; of the last
+        # Count; time of the last one; whether the last one was a refusal.
+        self.consecutive_failures, self.last_failure_us, self.last_was_refusal = 0, 0, False
         self.slow_start = SlowStart()
-        self.retry_after_until_us, self.pause_until_us = 0, NEVER_US  # told to wait until; own pause until
-        self.announced_rate, self.send_rate, self.send_rate_at_us = (
-            0.0,
-            math.inf,
-            0,
-        )  # calls/s: told for all (0: not); own pace
-        self.last_report, self.last_report_us = (0.0, 0.0), NEVER_US  # rate and share left as told last; when
-        # Own messages that came, own successes.
+        # End of the Retry-After wait; end of the pause that this relay chose.
+        self.retry_after_until_us, self.pause_until_us = 0, NEVER_US
+        # Calls/s announced for all relays (0: none); calls/s of this relay, and when that was updated.
+        self.announced_rate, self.send_rate, self.send_rate_at_us = 0.0, math.inf, 0
+        # Rate and share left of the limit as last reported; time of that report.
+        self.last_report, self.last_report_us = (0.0, 0.0), NEVER_US
+        # Messages that arrived for it and successful calls, of this relay alone.
         self.demand, self.served = DecayingCounter(decay_us), DecayingCounter(decay_us)
 
     @property
     def last_success_us(self) -> int:
-        """When a call was served last."""
+        """Time of the last successful call."""
         return self.slow_start.last_success_us
 
     @property
     def blocked_until_us(self) -> int:
-        """When neither a told wait nor an own pause holds back a call any more."""
+        """When both the Retry-After wait and this relay's own pause have ended."""
         return (
             self.retry_after_until_us
             if self.retry_after_until_us > self.pause_until_us
@@ -106,7 +111,11 @@
 
 
 class Endpoint:
-    """One address: its calls in flight, quota, failure ratio and records by class."""
+    """One endpoint: its calls in flight, quota, failure ratio and latency by class.
+
+    ``own_limiter`` is for the endpoint alone; ``rate_limiter`` is the one that a limit applies to: its own if
+    the endpoints of its kind are separate routes, else the one shared by the destination.
+    """
 
     def __init__(
         self,
@@ -117,32 +126,33 @@
         failure_ratio: DecayingCounter,
     ) -> None:
         self.host, self.dest, self.zone, self.kind = entry.host, entry.dest, entry.zone, kind
+        # disabled: by an operator.
         self.listing, self.failure_ratio, self.own_limiter, self.disabled = (
             entry.listing,
             failure_ratio,
             own_limiter,
             False,
-        )  # out: by hand
+        )
         self.rate_limiter = own_limiter if kind.separate_routes else shared_limiter
         self.limiters = (own_limiter,) if kind.separate_routes else (own_limiter, shared_limiter)
         for limiter in self.limiters:
             limiter.slow_start.batched = kind.batch_size > 1
         self.calls: list[Call] = []
         self.latency_by_class: dict[str, LatencyStats] = {}
-        self.quota, self.max_quota = 0.0, 0.0  # calls in flight allowed now, and at most
-        self.last_call_ended_us = 0  # when a call last ended (0: no connection is left)
-        self.gone_since_us = 0  # when it was heard that it is gone
-        self.outage_record_until_us = 0  # until when a later life was told to take care
+        self.quota, self.max_quota = 0.0, 0.0  # calls in flight allowed: now, and at most
+        self.last_call_ended_us = 0  # end of the last call (0: no connection is open)
+        self.gone_since_us = 0  # when the directory was seen to list it as gone
+        self.outage_record_until_us = 0  # end of the outage record that was last journaled
         self.outage_record_kind = OutageRecordKind.OUTAGE
 
     @property
     def slow_start(self) -> SlowStart:
-        """The slow start whose credit a call needs: that of the shared limit goes before the own one."""
+        """The slow start whose credit a call needs: that of the rate limiter first, then its own."""
         shared_slow_start = self.rate_limiter.slow_start
         return self.own_limiter.slow_start if shared_slow_start.phase is Phase.HEALTHY else shared_slow_start
 
     def unblocked_at_us(self, now_us: int, budget: Budget) -> int:
-        """When nothing here holds back a call any more, if no new message comes."""
+        """Return when waits, pauses and slow start allow a call, if no new message arrives before."""
         unblocked_at_us, limited = NEVER_US, False
         for limiter in self.limiters:
             unblocked_at_us = max(unblocked_at_us, limiter.retry_after_until_us, limiter.pause_until_us)
@@ -152,14 +162,14 @@
         )
 
     def update_listing(self, listing: Listing, now_us: int) -> None:
-        """Follow the directory."""
+        """Apply the directory's listing and note when it turned to gone."""
         if listing is Listing.GONE and self.listing is not listing:
             self.gone_since_us = now_us
         self.listing = listing
 
 
 class Call:
-    """One call out: a slot, an endpoint and the messages that share its fate."""
+    """One call in flight: it takes a slot and carries one or more messages to an endpoint."""
 
     def __init__(
         self, endpoint: Endpoint, now_us: int, overdue_after_us: float, connection_idle_us: int
@@ -170,23 +180,20 @@
             overdue_after_us,
             connection_idle_us,
         )
-        self.message_count, self.pending_count, self.max_messages = (
-            0,
-            0,
-            endpoint.kind.batch_size,
-        )  # most: that it may carry
-        self.unsent: list[tuple[Message, int]] = []  # until it is let out, with the time-out (us) of each
+        # Messages that it carries; those without an outcome yet; most messages that it may carry.
+        self.message_count, self.pending_count, self.max_messages = 0, 0, endpoint.kind.batch_size
+        self.unsent: list[tuple[Message, int]] = []  # messages not emitted yet, with their time-outs in us
 
 
 class CompiledRules:
-    """One set of rules with what follows from it; messages of equal rules share it."""
+    """Delivery rules with values derived from them; messages with equal rules share one object."""
 
     def __init__(self, rules: DeliveryRules, number: int, score_breakpoints: tuple[int, ...]) -> None:
         self.rules, self.number, self.score_breakpoints = rules, number, score_breakpoints
 
 
 class Message:
-    """A message taken in and what is known of its attempts."""
+    """An accepted message and the state of its attempts."""
 
     def __init__(self, event: Arrival, compiled_rules: CompiledRules, now_us: int, worth: float) -> None:
         cls, received_us = compiled_rules.rules.cls, now_us if event.received_us < 0 else event.received_us
@@ -196,14 +203,12 @@
         self.target_us = self.deadline_us - cls.deadline_us + cls.aim_us
         self.attempts_in_flight: dict[int, Call] = {}
         self.attempts, self.timeouts, self.done = event.attempts, 0, False
-        self.held_serial = 0  # when it was held last
-        self.recovered_untried = event.recovered_untried  # a restart has found it, and it was not tried yet
-        self.lane_key: tuple[object, ...] = ()  # where it is held, if it may go
-        self.in_doubt_since_us, self.in_doubt_zone = (
-            -1,
-            "",
-        )  # first attempt that may have run: when sent, and its zone
-        if event.in_doubt_age_us >= 0:  # made in a former life of this relay
+        self.held_serial = 0  # order in which it was last held
+        self.recovered_untried = event.recovered_untried  # by a restart
+        self.lane_key: tuple[object, ...] = ()  # the destination's lane that it is in; (): none
+        # When the first in-doubt attempt was sent (-1: there is none), and its zone.
+        self.in_doubt_since_us, self.in_doubt_zone = -1, ""
+        if event.in_doubt_age_us >= 0:  # attempt from before a restart
             self.in_doubt_since_us, self.in_doubt_zone = (
                 max(0, received_us - event.in_doubt_age_us),
                 event.in_doubt_zone,
@@ -211,24 +216,24 @@
 
 
 class Destination:
-    """A partner: its endpoints, the messages held for it, and the limit that its endpoints share."""
+    """A destination: its endpoints, the messages held for it and the limiter that its endpoints share."""
 
     def __init__(self, shared_limiter: CallLimiter, now_us: int) -> None:
         self.shared_limiter = shared_limiter
         self.traffic = TrafficRate(now_us)
         self.endpoints: dict[str, Endpoint] = {}
         self.held: dict[str, Message] = {}
-        self.lanes: dict[tuple[object, ...], Lane] = {}  # those of them that may go
-        self.waiting_for_key: dict[str, Message] = {}  # those whose turn it is and whose key rests
-        self.recheck_at_us = 0  # when it is noted to be looked at again
+        self.lanes: dict[tuple[object, ...], Lane] = {}  # held messages that may be sent
+        self.waiting_for_key: dict[str, Message] = {}  # first of their key, which is not free yet
+        self.recheck_at_us = 0  # time of the queued recheck (0: none)
         self._ready_cache: list[Endpoint] | None = None
 
     def clear_ready_cache(self) -> None:
-        """Its endpoints, or how they are listed, have changed."""
+        """Drop the cached ready endpoints after a change of endpoints or listings."""
         self._ready_cache = None
 
     def ready_endpoints(self) -> list[Endpoint]:
-        """Endpoints that the directory lists as ready and that nobody has put out."""
+        """Return the endpoints that are listed as ready and not disabled by an operator."""
         if self._ready_cache is None:
             self._ready_cache = [
                 e for e in self.endpoints.values() if e.listing is Listing.READY and not e.disabled
--- a/tests/slow_start/test_decisions.py
+++ b/tests/slow_start/test_decisions.py
@@ -154,7 +154,7 @@
     relay = relay_with("h1")
     [send] = sends(relay.step(SECOND, [arrival("m1", SAFE)]))
     lines = relay.step(2 * SECOND, [ended(send, api.Verdict.FULL, wait_us=9 * SECOND)])
-    assert api.Log("h1 healthy -> down: full, told to wait 9.0 s (message m1)") in lines
+    assert api.Log("h1 healthy -> down: full, Retry-After 9.0 s (message m1)") in lines
 
 
 def test_what_a_restart_found_earns_credit_over_its_time_and_not_at_once() -> None:
