--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -1,4 +1,4 @@
-"""What is kept of hosts, destinations, keys and messages under churn: sizes of tables, not of memory."""
+"""Tables of hosts, destinations and messages stay bounded under churn (entries, not memory)."""
 
 from __future__ import annotations
 
@@ -13,54 +13,54 @@
 
 
 def changes(*entries: api.EndpointEntry) -> api.EndpointUpdate:
-    """What changed on the list."""
+    """Return an endpoint list change."""
     return api.EndpointUpdate(api.EndpointUpdateKind.CHANGES, entries)
 
 
 def arrival(ref: str, dest: int = 1, left_us: int = 3600 * SECOND) -> api.Arrival:
-    """A message with an hour to go."""
+    """Return a message, by default with an hour left."""
     return api.Arrival(ref, dest, SAFE.name, left_us)
 
 
-def replaced(relay: DecisionEngine, rounds: int) -> None:
-    """Hosts are replaced under new ids, each with a delivery, some at a new destination."""
+def replace_hosts(engine: DecisionEngine, rounds: int) -> None:
+    """Replace hosts under new ids, each with one delivery, some at a new destination."""
     for number in range(rounds):
         now, dest = number * SECOND, 1 + number % 3 + (number // 100) * 3
-        relay.step(now, [changes(entry(f"h{number}", dest=dest))])
-        [send] = sends(relay.step(now + 1000, [arrival(f"m{number}", dest)]))
+        engine.step(now, [changes(entry(f"h{number}", dest=dest))])
+        [send] = sends(engine.step(now + 1000, [arrival(f"m{number}", dest)]))
         done = api.Outcome(send.id, 0, send.host, api.Verdict.OK, 1000, True)
         gone = entry(f"h{number}", dest=dest, listing=api.Listing.GONE)
-        relay.step(now + 2000, [done, changes(gone)])
+        engine.step(now + 2000, [done, changes(gone)])
 
 
-def test_hosts_and_destinations_that_are_gone_are_forgotten() -> None:
+def test_removed_hosts_and_destinations_are_forgotten() -> None:
     relay = DecisionEngine(settings(), 1)
-    replaced(relay, 400)
-    kept = FORGET_GONE_HOST_US // SECOND + 2
-    assert len(relay.endpoints) <= kept
+    replace_hosts(relay, 400)
+    max_hosts = FORGET_GONE_HOST_US // SECOND + 2
+    assert len(relay.endpoints) <= max_hosts
     assert len(relay.destinations) <= 6
     assert sum(len(dest.endpoints) for dest in relay.destinations.values()) == len(relay.endpoints)
     assert relay.messages == {}
     assert len(relay.expiry_queue) <= 66
-    assert len(relay.recheck_queue) <= kept
+    assert len(relay.recheck_queue) <= max_hosts
 
 
-def test_what_binds_outlasts_the_listing() -> None:
-    """A wait holds for the host, also if it is listed again under its id long after."""
+def test_a_wait_outlasts_the_listing_of_its_host() -> None:
+    """A wait applies to the host even if it is listed again under its id much later."""
     relay = DecisionEngine(settings(), 1)
     relay.step(0, [roster(entry("h1"))])
     [send] = sends(relay.step(1000, [arrival("m1")]))
-    told = api.Outcome(send.id, 0, "h1", api.Verdict.FULL, 1000, retry_after_us=500 * SECOND)
-    relay.step(2000, [told, changes(entry("h1", listing=api.Listing.GONE))])
+    refusal = api.Outcome(send.id, 0, "h1", api.Verdict.FULL, 1000, retry_after_us=500 * SECOND)
+    relay.step(2000, [refusal, changes(entry("h1", listing=api.Listing.GONE))])
     relay.step(100 * SECOND, [changes(entry("h2", dest=2))])
     assert sends(relay.step(101 * SECOND, [changes(entry("h1"))])) == []
     relay.step(502 * SECOND, [changes(entry("h3", dest=3))])
-    within_a_unit = range(502 * SECOND, 502 * SECOND + relay.budget.time_per_call_us, SECOND // 10)
-    found = [send.host for at_us in within_a_unit for send in sends(relay.step(at_us, [api.TimerDue()]))]
-    assert found == ["h1"], "its one call is earned by time"
+    credit_times_us = range(502 * SECOND, 502 * SECOND + relay.budget.time_per_call_us, SECOND // 10)
+    hosts = [send.host for at_us in credit_times_us for send in sends(relay.step(at_us, [api.TimerDue()]))]
+    assert hosts == ["h1"], "its only call is earned by time"
 
 
-def test_an_open_call_keeps_its_host() -> None:
+def test_a_call_in_flight_keeps_its_host() -> None:
     relay = DecisionEngine(settings(), 1)
     relay.step(0, [roster(entry("h1"))])
     [send] = sends(relay.step(1000, [arrival("m1")]))
@@ -72,8 +72,8 @@
     assert "h1" not in relay.endpoints
 
 
-def test_a_held_message_is_noted_once_for_a_wait() -> None:
-    """Each arrival looks at its destination: one note each would grow for as long as the wait lasts."""
+def test_a_wait_queues_one_recheck_of_its_destination() -> None:
+    """Each arrival checks its destination: a queued recheck for each would add up while the wait lasts."""
     relay = DecisionEngine(settings(), 1)
     relay.step(0, [roster(entry("h1"))])
     [send] = sends(relay.step(1000, [arrival("m0")]))
@@ -83,9 +83,9 @@
     assert len(relay.recheck_queue) <= 2
 
 
-async def test_waits_that_are_over_are_forgotten_with_the_next_news() -> None:
-    ends: Any = {"settled": lambda *_: None, "released": lambda _part: None}
-    hosts = Hosts([], 15_000_000, 1_000_000, 10, **ends, system=POSIX)
+async def test_expired_waits_are_dropped_at_the_next_list_change() -> None:
+    callbacks: Any = {"settled": lambda *_: None, "released": lambda _part: None}
+    hosts = Hosts([], 15_000_000, 1_000_000, 10, **callbacks, system=POSIX)
     hosts._waits = {f"h{number}": 0.0 for number in range(100)}
     hosts._waits["h100"] = float("inf")
     hosts.apply(EndpointList(1, False, (ResolvedEndpoint(entry("h1"), ("127.0.0.1", 1)),)))
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -1,4 +1,4 @@
-"""The bounds on the decision module that its readers rely on, and its settings' checks."""
+"""Size limits of the decision engine's source, and the validation of its settings."""
 
 from __future__ import annotations
 
@@ -11,21 +11,21 @@
 from tests.support import SAFE, settings
 
 ROOT = Path(__file__).resolve().parent.parent
-ENGINE = (ROOT / "mossfront" / "engine.py").read_text(encoding="utf-8")
+ENGINE_SOURCE = (ROOT / "mossfront" / "engine.py").read_text(encoding="utf-8")
 
 
-def test_the_module_can_be_read_whole() -> None:
-    assert sum(1 for line in ENGINE.splitlines() if line.strip()) < 1200
+def test_the_engine_module_stays_short() -> None:
+    assert sum(1 for line in ENGINE_SOURCE.splitlines() if line.strip()) < 1200
 
 
-def test_no_line_is_too_wide() -> None:
+def test_lines_fit_the_line_length() -> None:
     for path in sorted([*ROOT.glob("m*/*.py"), *ROOT.glob("tests/*.py")]):
         for line in path.read_text(encoding="utf-8").splitlines():
             assert len(line) <= 110, f"{path.name}: {line}"
 
 
-def test_the_interface_is_named_at_the_modules_head() -> None:
-    assert "mossfront/interface.py" in ENGINE.splitlines()[0] + ENGINE.splitlines()[1]
+def test_the_module_docstring_names_the_interface() -> None:
+    assert "mossfront/interface.py" in ENGINE_SOURCE.splitlines()[0] + ENGINE_SOURCE.splitlines()[1]
 
 
 @pytest.mark.parametrize(
@@ -44,16 +44,16 @@
         ("classes", ()),
     ],
 )
-def test_settings_that_cannot_work_name_their_field(field: str, value: object) -> None:
+def test_invalid_settings_name_their_field(field: str, value: object) -> None:
     with pytest.raises(ValueError, match=field):
         settings(**{field: value})
 
 
-def test_a_class_with_an_unknown_effect_is_refused() -> None:
+def test_a_class_with_an_unknown_effect_is_rejected() -> None:
     with pytest.raises(ValueError, match="effect"):
         settings(classes=(replace(SAFE, effect="sometimes"),))  # type: ignore[arg-type]
 
 
-def test_a_kind_with_no_room_in_a_call_is_refused() -> None:
+def test_a_kind_without_batch_capacity_is_rejected() -> None:
     with pytest.raises(ValueError, match="batch_size"):
         settings(kinds=(api.Kind("plain", batch_size=0),))
--- a/tests/test_shared_calls.py
+++ b/tests/test_shared_calls.py
@@ -1,4 +1,4 @@
-"""Messages that travel in one call: one time-out for all, and nothing of it is out when one goes again."""
+"""Messages in one call: one time-out for all, and none is retried while the call is in flight."""
 
 from __future__ import annotations
 
@@ -15,36 +15,41 @@
 from tests.world import Request, World, enqueue, packed, settings_json, silent
 
 
-def together(*ours: api.Arrival, cls: tuple[api.MessageClass, ...] = (KEYED, UNSAFE)) -> list[api.Send]:
-    """What goes out in one call of three to an endpoint of which nothing is known."""
+def sends_in_one_call(
+    *arrivals: api.Arrival, cls: tuple[api.MessageClass, ...] = (KEYED, UNSAFE)
+) -> list[api.Send]:
+    """Return the sends of one call to an endpoint without history."""
     relay = DecisionEngine(settings(classes=cls, may_duplicate=False), 1)
     relay.step(0, [roster(entry("h1", kind="split"))])
-    return sends(relay.step(SECOND, [api.TimerDue(), *ours]))
+    return sends(relay.step(SECOND, [api.TimerDue(), *arrivals]))
 
 
-def test_a_call_has_one_time_out_the_longest() -> None:
-    """With one of its own, a message goes again while the call that carries it is out: a second copy."""
-    alone = {send.id: send.timeout_us for ref in ("k", "u") for send in together(one(ref))}
+def test_a_call_has_one_time_out_for_all_messages() -> None:
+    """With its own time-out a message is retried while its call is in flight, and so duplicated."""
+    alone = {send.id: send.timeout_us for ref in ("k", "u") for send in sends_in_one_call(one_arrival(ref))}
     assert alone["k"] < alone["u"]
-    sent = together(one("k"), one("u"))
+    sent = sends_in_one_call(one_arrival("k"), one_arrival("u"))
     assert {send.id for send in sent} == {"u", "k"}
     assert {send.timeout_us for send in sent} == {alone["u"]}
 
 
-def one(ref: str, left_us: int | None = None) -> api.Arrival:
-    """A keyed message, or one that may not be repeated, by its first letter."""
+def one_arrival(ref: str, left_us: int | None = None) -> api.Arrival:
+    """Return a keyed message for an id that starts with k, else an unsafe one."""
     return arrival(ref, KEYED if ref.startswith("k") else UNSAFE, left_us=left_us)
 
 
-def test_a_message_whose_time_is_up_before_the_calls_ends_by_itself() -> None:
-    limits = {send.id: send.timeout_us for send in together(one("k1", 2 * SECOND), one("k2"))}
+def test_a_message_with_an_earlier_deadline_times_out_alone() -> None:
+    limits = {
+        send.id: send.timeout_us
+        for send in sends_in_one_call(one_arrival("k1", 2 * SECOND), one_arrival("k2"))
+    }
     assert limits["k1"] == 2 * SECOND < limits["k2"]
 
 
-async def test_in_a_call_the_part_that_lasts_longest_goes_first_of_those_that_still_go() -> None:
-    """A host that reckons a call's time by its first message must not take it for over before the others.
+async def test_the_pending_part_with_the_longest_time_out_is_written_first() -> None:
+    """A host that derives a call's time from its first message must not end it before the others expire.
 
-    Also where the longest is not let out, or has ended, before the call is written.
+    A part that is settled before the call is written is left out, even if its time-out is the longest.
     """
     host = await serving(silent)
     calls = Calls(host.port)
@@ -57,7 +62,7 @@
     host.stop()
 
 
-def test_what_is_not_let_out_in_one_step_does_not_stay_for_the_next() -> None:
+def test_sends_of_one_step_are_not_repeated_in_the_next() -> None:
     relay = DecisionEngine(settings(), 1)
     relay.step(0, [roster(entry("h1"), entry("h2", 2))])
     first = sends(relay.step(SECOND, [arrival("a")]))
@@ -66,33 +71,33 @@
     assert [send.id for send in again] == ["b"]
 
 
-class Watched(Calls):
-    """Notes, for each part that is settled, whether its call was off the wire by then."""
+class WireStateCalls(Calls):
+    """Records for each settled part whether its call was already off the wire."""
 
     def __init__(self, port: int) -> None:
         super().__init__(port)
-        self.off: list[bool] = []
+        self.off_wire: list[bool] = []
 
-    def _settled(self, call: Call, part: Part, told: PartOutcome) -> None:
+    def _settled(self, call: Call, part: Part, outcome: PartOutcome) -> None:
         out = [e.connection for e in self.hosts.exchanges if e.call is call and e.connection is not None]
-        self.off.append(all(connection.sock.fileno() < 0 for connection in out))
-        super()._settled(call, part, told)
+        self.off_wire.append(all(connection.sock.fileno() < 0 for connection in out))
+        super()._settled(call, part, outcome)
 
 
-async def test_a_call_that_times_out_is_off_the_wire_before_its_parts_are_told() -> None:
+async def test_a_timed_out_call_is_off_the_wire_before_its_parts_are_settled() -> None:
     host = await serving(silent)
-    calls = Watched(host.port)
+    calls = WireStateCalls(host.port)
     calls.send("m1", "m2", "m3", limit_us=200_000)
     for ref in ("m1", "m2", "m3"):
         assert await calls.outcome(ref) == PartOutcome(Verdict.TIMEOUT)
-    assert calls.off == [True, True, True]
+    assert calls.off_wire == [True, True, True]
     host.stop()
 
 
-async def test_an_answer_read_only_behind_the_calls_time_delivers_nothing() -> None:
-    """Time-out and answer in one turn of the loop, as the process stood still: who knows when it came?
+async def test_a_response_read_after_the_time_out_delivers_nothing() -> None:
+    """A blocked process sees the time-out and the response in one iteration of the event loop.
 
-    It may have been written behind the messages' time; then they are owed their end all the same.
+    The response may have been written after the messages' time-out, so it must not count as a delivery.
     """
     host = await serving(silent)
     calls = Calls(host.port)
@@ -100,14 +105,14 @@
     request = await host.call(0)
     request.answer(200, "m1 delivered\r\nm2 refused\r\n")
     while asyncio.get_running_loop().time() < exchange.until_s:
-        time.sleep(0.01)  # this one thread is host and relay: it stands still with the answer written
+        time.sleep(0.01)  # host and relay share this thread: it blocks with the response written
     for ref in ("m1", "m2"):
-        told = await calls.outcome(ref)
-        assert (told.verdict, told.complete) == (Verdict.TIMEOUT, False)
+        outcome = await calls.outcome(ref)
+        assert (outcome.verdict, outcome.complete) == (Verdict.TIMEOUT, False)
     host.stop()
 
 
-async def test_an_answer_without_end_is_given_up_with_its_time() -> None:
+async def test_an_incomplete_response_ends_at_the_time_out() -> None:
     begun = b"HTTP/1.1 200 X\r\nContent-Length: 9\r\n\r\nm"
     host = await serving(lambda request: request.writer.write(begun))
     calls = Calls(host.port)
@@ -116,8 +121,8 @@
     host.stop()
 
 
-async def test_x_remaining_tells_what_is_left_once_the_connection_is_up() -> None:
-    """Connecting took time, which the host must not count on any more."""
+async def test_x_remaining_is_the_time_left_after_connecting() -> None:
+    """Time spent on connecting is no longer available to the host."""
     host = await serving(silent)
     calls = Calls(host.port)
     exchange = calls.send("m1", limit_us=5_000_000)
@@ -129,24 +134,24 @@
     host.stop()
 
 
-async def test_no_second_copy_while_the_call_that_carried_the_first_is_out(world: World) -> None:
-    """Two classes with time-outs of their own in one call to a host that hangs; a site allows no copies.
+async def test_no_retry_while_the_first_call_is_in_flight(world: World) -> None:
+    """Two classes with different time-outs share a call to a host that hangs, and no duplicates are allowed.
 
-    Where the shorter one's time-out came by itself, its message went again beside the call that carried it.
+    When the shorter time-out applied alone, its message was retried while the first call was in flight.
     """
     world.settings = settings_json(may_duplicate=False)
     keyed, *others = world.settings["request_classes"]
     world.settings["request_classes"] = [keyed | {"aim_us": 80_000}, *others]  # a time-out of 250 ms
-    open_then: list[tuple[list[str], int]] = []  # by request: its messages, and the connections
+    requests: list[tuple[list[str], int]] = []  # by request: its message ids, and the open connections
 
     def hang(request: Request) -> None:
-        open_then.append((request.ids, len(host.writers)))
+        requests.append((request.ids, len(host.writers)))
 
     host = await world.add("h1", hang, kind="banks")
     client = await world.run()
     both = (packed(*enqueue("k1", "keyed")), packed(*enqueue("u1", "unsafe", 1500)))
-    client.writer.write(b"".join(both))  # in one piece: they come to one step
+    client.writer.write(b"".join(both))  # in one write: both arrive in one step
     await host.until(lambda: sum("k1" in request.ids for request in host.seen) > 1)
-    first, again = open_then[0], next(told for told in open_then[1:] if "k1" in told[0])
+    first, retry = requests[0], next(request for request in requests[1:] if "k1" in request[0])
     assert sorted(first[0]) == ["k1", "u1"]
-    assert again[1] == 1, "the call that carried it first is still out"
+    assert retry[1] == 1, "the first call is still in flight"
