--- a/mossfront/outages.py
+++ b/mossfront/outages.py
@@ -170,11 +170,11 @@
         pause_us = max(0, limiter.blocked_until_us - self.now_us)
         # Unless a limit is reported as used up, a Retry-After wait may be due to an outage, and it ends for
         # all relays at once.
-        may_be_outage_wait = _connection_hung(event) or (
+        ends_for_all_relays = _connection_hung(event) or (
             event.retry_after_us > 0 and not self._limit_used_up(limiter, event)
         )
         # After a longer time than that, an outage might have passed in the meantime.
-        if not may_be_outage_wait and max(pause_us, event.elapsed_us) <= RECENT_US:
+        if not ends_for_all_relays and max(pause_us, event.elapsed_us) <= RECENT_US:
             limiter.slow_start.confirm_by(self.now_us + pause_us + CONFIRM_US)
 
     @staticmethod
