--- a/mallowlug/core/relay.py
+++ b/mallowlug/core/relay.py
@@ -175,7 +175,7 @@
         learned = [
             (e.host, now_us + e.wait_us, e.quota, e.pace, e.rate,
              now_us - e.cold_for_us if e.cold_for_us >= 0 else -1, now_us + e.next_call_in_us)
-            for e in self._engine.learned()
+            for e in self._engine.endpoint_snapshots()
         ]  # fmt: skip
         waits = {route: now_us + left_us for route, left_us in self._partners.remaining_waits().items()}
         completed_ids = list(self._completed)[-MAX_HANDED_OVER_IDS:]
@@ -344,9 +344,13 @@
         """The current values of the gauges, read at each scrape."""
         listed_hosts, sent = self._listings.hosts, self.sent_by_former_core + self._partners.messages_written
         inactive = (host for host in self._disabled_hosts.hosts if host not in self._engine.endpoints)
-        avoided = self._engine.avoided() + sum(self._listings.is_listed(host) for host in inactive)
+        avoided = self._engine.count_avoided() + sum(self._listings.is_listed(host) for host in inactive)
         return Gauges(
-            sent, len(self._held_messages), listed_hosts, min(listed_hosts, avoided), self._engine.phases()
+            sent,
+            len(self._held_messages),
+            listed_hosts,
+            min(listed_hosts, avoided),
+            self._engine.count_phases(),
         )
 
     def submit(self, submission: Submission, body: bytes) -> Answer:
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -137,7 +137,7 @@
 
     log = drive(checker, 20 * SECOND, steady_load(160_000), two_at_once)
     assert len({send.id for at_us, send in log if at_us > 10 * SECOND}) >= 55, "the call rate must not drop"
-    assert checker.relay.endpoints["h1"].own.slow.cold_since_us < 0
+    assert checker.relay.endpoints["h1"].own_limiter.slow_start.cold_since_us < 0
 
 
 def test_a_flooding_tenant_is_served_last() -> None:
@@ -176,7 +176,7 @@
     )
     assert len(log) >= 45
     endpoint = checker.relay.endpoints["h1"]
-    assert endpoint.quota == endpoint.start and endpoint.own.slow.phase is Phase.HEALTHY
+    assert endpoint.quota == endpoint.max_quota and endpoint.own_limiter.slow_start.phase is Phase.HEALTHY
 
 
 def test_an_endpoint_that_refuses_quickly_gets_few_calls() -> None:
--- a/tests/test_listings.py
+++ b/tests/test_listings.py
@@ -211,7 +211,7 @@
     relay = DecisionEngine(settings(), 1)
     set_up(relay)
     assert api.DestinationDeactivated(1) not in relay.step(100 * SECOND, [api.DestinationIdle(1)])
-    assert 1 in relay.dests
+    assert 1 in relay.destinations
 
 
 def test_message_in_the_same_step_keeps_its_destination_active() -> None:
@@ -228,10 +228,10 @@
     relay = DecisionEngine(settings(), 1)
     run_one_message(relay, api.Verdict.OK)
     assert api.DestinationDeactivated(1) in relay.step(100 * SECOND, [api.DestinationIdle(1)])
-    assert (relay.dests, relay.endpoints) == ({}, {})
+    assert (relay.destinations, relay.endpoints) == ({}, {})
     relay.step(101 * SECOND, [api.EndpointUpdate(KIND.REACTIVATED, (entry("h1"),))])
     relay.step(101 * SECOND, [api.EndpointUpdate(KIND.REACTIVATED, (entry("h2"),), added_later=True)])
-    assert relay.endpoints["h1"].quota == relay.endpoints["h1"].start > 1
+    assert relay.endpoints["h1"].quota == relay.endpoints["h1"].max_quota > 1
     assert relay.endpoints["h2"].quota == 1
 
 
--- a/tests/test_pushed_lists.py
+++ b/tests/test_pushed_lists.py
@@ -44,8 +44,8 @@
     subscribes(relay, 0, roster(entry("h1"), kind=api.EndpointUpdateKind.CACHED))
     for _ in range(6):  # also while discovery stays down: its return counts as known at once
         subscribes(relay, now_us, api.EndpointUpdate(api.EndpointUpdateKind.FAILED))
-        assert relay.ask_us - now_us <= GRACE_US // 2
-        now_us = relay.ask_us
+        assert relay.subscribe_at_us - now_us <= GRACE_US // 2
+        now_us = relay.subscribe_at_us
         assert subscribes(relay, now_us, api.TimerDue())
 
 
--- a/tests/test_sequences.py
+++ b/tests/test_sequences.py
@@ -143,7 +143,7 @@
     """The clocks of process and loop differ: a held message was answered only with the next event."""
     relay = DecisionEngine(settings(), seed=1)
     relay.step(0, [roster(entry("h1", listing=api.Listing.DRAINING)), arrival("m1")])
-    [end_us] = [at_us for at_us, *_ in relay.ends]
+    [end_us] = [at_us for at_us, *_ in relay.expiry_queue]
     early = relay.step(end_us - 1, [api.TimerDue()])
     [wake] = [action for action in early if isinstance(action, api.SetTimer)]
     late = relay.step(end_us - 1 + wake.delay_us, [api.TimerDue()])
--- a/tests/test_subscription_timing.py
+++ b/tests/test_subscription_timing.py
@@ -14,7 +14,7 @@
 from mallowlug.directory.discovery import FIRST_LINE_TIMEOUT_S, SILENCE_TIMEOUT_S
 from mossfront import DecisionEngine
 from mossfront import interface as api
-from mossfront.engine import LISTED_US
+from mossfront.engine import LIST_CHANGE_KNOWN_US
 from tests.support import SECOND, entry, roster, settings
 from tests.world import Request, World, delivered
 
@@ -61,11 +61,11 @@
     for seed in range(20):
         subscriber = Subscriber(size, seed)
         started_us = subscriber.first_subscription_us()
-        assert started_us <= LISTED_US - MAX_RESPONSE_US
+        assert started_us <= LIST_CHANGE_KNOWN_US - MAX_RESPONSE_US
         for took_us in rng.choices(FAILURE_DURATIONS_US, k=12):
             subscriber.step(started_us + took_us, api.EndpointUpdate(api.EndpointUpdateKind.FAILED))
             again_us = subscriber.next_subscription_us()
-            assert again_us - started_us <= LISTED_US - MAX_RESPONSE_US + TICK_US
+            assert again_us - started_us <= LIST_CHANGE_KNOWN_US - MAX_RESPONSE_US + TICK_US
             started_us = again_us
 
 
@@ -79,7 +79,7 @@
         silent_us = started_us + 60 * SECOND
         detected_us = silent_us + int(SILENCE_TIMEOUT_S * 1e6)
         subscriber.step(detected_us, api.EndpointUpdate(api.EndpointUpdateKind.FAILED))
-        assert subscriber.next_subscription_us() + MAX_RESPONSE_US // 2 <= silent_us + LISTED_US
+        assert subscriber.next_subscription_us() + MAX_RESPONSE_US // 2 <= silent_us + LIST_CHANGE_KNOWN_US
 
 
 def simulate_directory_return(relays: int, capacity: int, seed: int) -> tuple[list[float], int]:
@@ -116,15 +116,15 @@
     """It can serve a call of each relay in 4 s: all get the list within 6 s, with few extra calls."""
     received_s, calls = simulate_directory_return(relays, relays // 4, 1)
     assert len(received_s) == relays
-    assert received_s[-1] <= LISTED_US / 1e6
+    assert received_s[-1] <= LIST_CHANGE_KNOWN_US / 1e6
     assert calls <= 1.5 * relays
 
 
 def test_a_directory_too_slow_for_the_group_is_kept_busy_and_not_overloaded() -> None:
     """It needs 8 s for a call of each relay: not all are served in time, but it is nearly always busy."""
     received_s, _ = simulate_directory_return(230, 230 // 8, 1)
-    in_time = sum(at_s <= LISTED_US / 1e6 for at_s in received_s)
-    assert in_time >= 0.9 * (LISTED_US / 1e6) * (230 // 8)
+    in_time = sum(at_s <= LIST_CHANGE_KNOWN_US / 1e6 for at_s in received_s)
+    assert in_time >= 0.9 * (LIST_CHANGE_KNOWN_US / 1e6) * (230 // 8)
     assert len(received_s) == 230
 
 
@@ -164,7 +164,7 @@
     directory.change("h1", health="DRAINING")
     return_s, directory.default = loop.time(), usual
     await directory.until(lambda: directory._watches)
-    assert loop.time() - return_s <= LISTED_US / 1e6
+    assert loop.time() - return_s <= LIST_CHANGE_KNOWN_US / 1e6
     assert all(later - sooner <= 4.5 for sooner, later in itertools.pairwise(asked))
     seen = len(host.seen)
     other = await world.add("h2", delivered)
