--- a/mallowlug/config.py
+++ b/mallowlug/config.py
@@ -14,7 +14,7 @@
 from mallowlug.directory.discovery import read_list
 from mallowlug.system import Disk, System, save
 from mossfront.interface import Settings
-from mossfront.settings import settings_of, whole
+from mossfront.settings import int_field, parse_settings
 
 LOG = logging.getLogger(__name__)
 OVERRULED = "overruled"  # file in the lasting folder: the ROUTER_DISCOVERY that a reload has put aside
@@ -256,8 +256,8 @@
             state=Path(environ["ROUTER_STATE"]),
             seed=seed_of(raw.get("seed", 0)),
             # On sockets the directory answers only when asked, whatever the simulator's site says.
-            settings=replace(settings_of(pairs), must_subscribe=True),
-            connect_timeout_us=whole(pairs, "allowed.connect_timeout_us", 1_000_000),
+            settings=replace(parse_settings(pairs), must_subscribe=True),
+            connect_timeout_us=int_field(pairs, "allowed.connect_timeout_us", 1_000_000),
             disk_bytes=int(float(limits.get("disk_mb", 3)) * 1_000_000),
             memory_bytes=int(float(limits.get("memory_mb", 64)) * 1_000_000),
             sockets=int(limits.get("sockets", 1024)),
--- a/mallowlug/core/relay.py
+++ b/mallowlug/core/relay.py
@@ -168,7 +168,7 @@
         """What binds a successor beside the journal."""
         now_us = self.clock()
         learned = [
-            (e.host, now_us + e.wait_us, e.quota, e.pace, e.rate,
+            (e.host, now_us + e.wait_us, e.quota, e.send_rate_per_s, e.announced_rate_per_s,
              now_us - e.cold_for_us if e.cold_for_us >= 0 else -1, now_us + e.next_call_in_us)
             for e in self._module.learned()
         ]  # fmt: skip
--- a/mossfront/call_credit.py
+++ b/mossfront/call_credit.py
@@ -14,7 +14,7 @@
 
 from collections import deque
 
-LAPSE_PART = 0.1  # of the time of a fall: for so long a whole call can be made
+LAPSE_FRACTION = 0.1  # of the time of a fall: for so long a whole call can be made
 
 
 class CallCredit:
@@ -29,9 +29,9 @@
 
     __slots__ = (
         "_call_weight",
-        "_counted_us",
+        "_credited_until_us",
         "_fraction",
-        "_lapse_at_us",
+        "_lapse_times_us",
         "_lapse_us",
         "_paused_until_us",
     )
@@ -40,16 +40,16 @@
         self._lapse_us = 0  # for so long a whole call is kept
         self._call_weight = 1.0  # of which a whole call has the credit
         self._fraction = 0.0  # of a call; below 0 where a call weighed more than the credit for it
-        self._counted_us = 0  # until when time has been credited
+        self._credited_until_us = 0  # until when time has been credited
         self._paused_until_us = 0
-        self._lapse_at_us: deque[int] = deque()  # of each whole call
+        self._lapse_times_us: deque[int] = deque()  # of each whole call
 
-    def begin(self, now_us: int, fraction: float, fall_us: int, call_weight: float = 1.0) -> None:
+    def begin(self, now_us: int, fraction: float, collapse_window_us: int, call_weight: float = 1.0) -> None:
         """Forget what was earned; ``fraction`` of such a call is drawn at random by the caller."""
-        self._lapse_us, self._call_weight = int(LAPSE_PART * fall_us), call_weight
-        self._fraction, self._counted_us, self._paused_until_us = fraction, now_us, 0
-        self._lapse_at_us.clear()
-        self._add_whole(now_us, one=True)
+        self._lapse_us, self._call_weight = int(LAPSE_FRACTION * collapse_window_us), call_weight
+        self._fraction, self._credited_until_us, self._paused_until_us = fraction, now_us, 0
+        self._lapse_times_us.clear()
+        self._collect_whole_calls(now_us, keep_one=True)
 
     def pause(self, until_us: int) -> None:
         """The sender makes no call until then, a time of its own choice: it keeps one call beyond that.
@@ -58,52 +58,52 @@
         """
         self._paused_until_us = until_us
 
-    def earn(self, now_us: int, calls: float, unit_us: int, *, one: bool) -> None:
+    def earn(self, now_us: int, calls: float, time_per_call_us: int, *, keep_one: bool) -> None:
         """So many calls of weight 1, or a part of one, are earned just now. ``one``: one at most is kept."""
-        self._advance(now_us, unit_us)
+        self._advance(now_us, time_per_call_us)
         self._fraction += calls / self._call_weight
-        self._add_whole(now_us, one=one)
+        self._collect_whole_calls(now_us, keep_one=keep_one)
 
-    def give_back(self, now_us: int, part: float, unit_us: int) -> None:
+    def ensure_at_least(self, now_us: int, fraction: float, time_per_call_us: int) -> None:
         """At least this part of a call is there."""
-        self._advance(now_us, unit_us)
-        if not self._lapse_at_us:
-            self._fraction = max(self._fraction, part)
-            self._add_whole(now_us, one=True)
+        self._advance(now_us, time_per_call_us)
+        if not self._lapse_times_us:
+            self._fraction = max(self._fraction, fraction)
+            self._collect_whole_calls(now_us, keep_one=True)
 
-    def spend(self, now_us: int, weight: float, unit_us: int) -> None:
+    def spend(self, now_us: int, weight: float, time_per_call_us: int) -> None:
         """A call of this weight is made, or so much is added to it (below 1); what it lacks is owed."""
-        self._advance(now_us, unit_us)
-        if weight >= 1 and self._lapse_at_us:
-            self._lapse_at_us.popleft()
+        self._advance(now_us, time_per_call_us)
+        if weight >= 1 and self._lapse_times_us:
+            self._lapse_times_us.popleft()
             weight -= self._call_weight
         self._fraction -= weight / self._call_weight
 
-    def next_call_us(self, now_us: int, unit_us: int) -> int:
+    def next_call_us(self, now_us: int, time_per_call_us: int) -> int:
         """When a call may be made if nothing more is earned but by time: now, or later."""
-        self._advance(now_us, unit_us)
-        if self._lapse_at_us:
+        self._advance(now_us, time_per_call_us)
+        if self._lapse_times_us:
             return now_us
-        return now_us + max(1, int((1 - self._fraction) * unit_us * self._call_weight))
+        return now_us + max(1, int((1 - self._fraction) * time_per_call_us * self._call_weight))
 
-    def _advance(self, now_us: int, unit_us: int) -> None:
+    def _advance(self, now_us: int, time_per_call_us: int) -> None:
         """Credit the time that has passed, and let lapse what has not been used."""
-        if now_us > self._counted_us:
-            call_us = unit_us * self._call_weight
-            self._fraction += (now_us - self._counted_us) / call_us
-            self._counted_us = now_us
+        if now_us > self._credited_until_us:
+            weighted_call_us = time_per_call_us * self._call_weight
+            self._fraction += (now_us - self._credited_until_us) / weighted_call_us
+            self._credited_until_us = now_us
             if self._fraction >= 1:  # of many calls that time earned, the last one alone may not have lapsed
                 self._fraction %= 1
-                self._add_lapsing(now_us - int(self._fraction * call_us), one=True)
-        while self._lapse_at_us and self._lapse_at_us[0] < now_us:
-            self._lapse_at_us.popleft()
+                self._add_call(now_us - int(self._fraction * weighted_call_us), keep_one=True)
+        while self._lapse_times_us and self._lapse_times_us[0] < now_us:
+            self._lapse_times_us.popleft()
 
-    def _add_whole(self, now_us: int, *, one: bool) -> None:
-        one = one or now_us < self._paused_until_us
+    def _collect_whole_calls(self, now_us: int, *, keep_one: bool) -> None:
+        keep_one = keep_one or now_us < self._paused_until_us
         while self._fraction >= 1:
             self._fraction -= 1
-            self._add_lapsing(now_us, one=one)
+            self._add_call(now_us, keep_one=keep_one)
 
-    def _add_lapsing(self, earned_us: int, *, one: bool) -> None:
-        if not (one and self._lapse_at_us):
-            self._lapse_at_us.append(max(earned_us, self._paused_until_us) + self._lapse_us)
+    def _add_call(self, earned_us: int, *, keep_one: bool) -> None:
+        if not (keep_one and self._lapse_times_us):
+            self._lapse_times_us.append(max(earned_us, self._paused_until_us) + self._lapse_us)
--- a/mossfront/engine.py
+++ b/mossfront/engine.py
@@ -48,7 +48,7 @@
     Verdict,
 )
 from mossfront.outages import OUTAGE_MARK, Outages
-from mossfront.slow_start import RECENT_US, Budget, Phase
+from mossfront.slow_start import RECENT_SUCCESS_US, Budget, Phase
 from mossfront.state import (
     Call,
     CallLimiter,
@@ -319,9 +319,9 @@
         limit = endpoint.limit
         limit.wait_us = max(limit.wait_us, self.now + event.wait_us)
         endpoint.quota = max(FLOOR_SHARE * endpoint.start, min(endpoint.start, event.quota))
-        limit.rate = event.rate
-        if event.pace:
-            limit.pace, limit.pace_us = event.pace, self.now
+        limit.rate = event.announced_rate_per_s
+        if event.send_rate_per_s:
+            limit.pace, limit.pace_us = event.send_rate_per_s, self.now
         if event.cold_for_us >= 0:  # its budget goes on from where it was, and no second trial begins it anew
             endpoint.own.slow.resume(self.now, self.budget, event.cold_for_us, event.next_call_in_us)
             endpoint.own.strikes, endpoint.own.next_us = 0, self.now
@@ -617,7 +617,7 @@
     ) -> None:
         """A strike, a pause before the next trial, and what it says of an outage."""
         verdict, refused = event.verdict, event.verdict is Verdict.FULL
-        beside = self.now - guard.ok_us < RECENT_US
+        beside = self.now - guard.ok_us < RECENT_SUCCESS_US
         if not refused or not self._limit_used_up(guard, event) or guard.strikes >= LIMIT_STRIKES:
             self._suspect_outage(endpoint, guard, call, message, event)
         if beside and verdict is Verdict.CONNECT_FAILED:  # a connection limit: the quota shrinks, no strike
--- a/mossfront/interface.py
+++ b/mossfront/interface.py
@@ -247,7 +247,7 @@
     host: str
     verdict: Verdict
     elapsed_us: int
-    limit_left: float | None = None
+    limit_remaining: float | None = None
     limit_per_s: float | None = None
 
 
@@ -314,8 +314,8 @@
     host: str
     wait_us: int  # how long it is still to be left alone
     quota: float
-    pace: float  # own calls/s; 0: none
-    rate: float  # calls/s told for all; 0: not told
+    send_rate_per_s: float  # own calls/s; 0: none
+    announced_rate_per_s: float  # calls/s told for all; 0: not told
     cold_for_us: int = -1  # how long ago its cold return began; -1: it is warm, or out
     next_call_in_us: int = 0  # how long until a cold one bears the next call
 
--- a/mossfront/outages.py
+++ b/mossfront/outages.py
@@ -10,7 +10,14 @@
 from dataclasses import replace
 
 from mossfront.interface import Action, Log, OutageRecord, OutageRecordKind, Outcome, Settings, Verdict
-from mossfront.slow_start import CONFIRM_US, RECENT_US, Budget, EndpointTraffic, Phase, PhaseChange
+from mossfront.slow_start import (
+    CONFIRMATION_WINDOW_US,
+    RECENT_SUCCESS_US,
+    Budget,
+    EndpointTraffic,
+    Phase,
+    PhaseChange,
+)
 from mossfront.state import Call, CallLimiter, Destination, Endpoint, Message
 
 CARE_US = 300_000_000  # us for which an outage is told to a later life
@@ -115,7 +122,7 @@
         if slow.phase is not Phase.DOWN and not hung:
             return
         # Endpoints of a destination mostly fail together.
-        confirms = not hung and event.elapsed_us <= RECENT_US
+        confirms = not hung and event.elapsed_us <= RECENT_SUCCESS_US
         for sibling in self.dests[endpoint.dest].ready():
             if sibling is not endpoint:
                 self._doubt(sibling, f"{endpoint.host} failed", confirms=confirms)
@@ -129,7 +136,7 @@
         self._report(endpoint, change)
         self._care(endpoint, CARE_US, OutageRecordKind.SUSPICION)
         if confirms:
-            endpoint.own.slow.confirm_by(self.now + CONFIRM_US)
+            endpoint.own.slow.confirm_by(self.now + CONFIRMATION_WINDOW_US)
 
     def _follow_up(self, endpoint: Endpoint, guard: CallLimiter, event: Outcome) -> None:
         """Behind a failure: what a later life has to know, and until when a second call may tell more."""
@@ -144,8 +151,8 @@
         # Unless a limit is reported as used up, a wait may be an outage's, which ends for all in one moment.
         common = _hung(event) or (event.retry_after_us > 0 and not self._limit_used_up(guard, event))
         # Behind more than that an outage might have passed meanwhile.
-        if not common and max(pause_us, event.elapsed_us) <= RECENT_US:
-            guard.slow.confirm_by(self.now + pause_us + CONFIRM_US)
+        if not common and max(pause_us, event.elapsed_us) <= RECENT_SUCCESS_US:
+            guard.slow.confirm_by(self.now + pause_us + CONFIRMATION_WINDOW_US)
 
     @staticmethod
     def _limit_used_up(guard: CallLimiter, event: Outcome) -> bool:
--- a/tests/calls.py
+++ b/tests/calls.py
@@ -15,40 +15,40 @@
 KIND = Kind("banks", separate_routes=True, batch_size=10)
 
 
-class Calls:
+class HostCalls:
     """Hosts with one host on the list, and the outcomes that came of it."""
 
     def __init__(self, port: int, connect_us: int = 10_000_000) -> None:
-        self.told: dict[str, PartOutcome] = {}
-        self.ended = asyncio.Event()
+        self.outcomes: dict[str, PartOutcome] = {}
+        self.outcome_received = asyncio.Event()
         self.released: list[Part] = []
-        ends: Any = {"settled": self._settled, "released": self.released.append}
-        self.hosts = Hosts([KIND], 15_000_000, connect_us, 10, **ends, system=POSIX)
-        self.list(port)
+        callbacks: Any = {"settled": self._settled, "released": self.released.append}
+        self.hosts = Hosts([KIND], 15_000_000, connect_us, 10, **callbacks, system=POSIX)
+        self.apply_listing(port)
 
-    def list(self, port: int, listing: Listing = Listing.READY) -> None:
+    def apply_listing(self, port: int, listing: Listing = Listing.READY) -> None:
         """The host as the directory lists it."""
         entry = EndpointEntry("h1", 1, "a", "banks", listing)
         self.hosts.apply(EndpointList(1, False, (ResolvedEndpoint(entry, ("127.0.0.1", port)),)))
 
-    def _settled(self, _call: Call, part: Part, told: PartOutcome) -> None:
-        self.told[part.id] = told
-        self.ended.set()
+    def _settled(self, _call: Call, part: Part, outcome: PartOutcome) -> None:
+        self.outcomes[part.id] = outcome
+        self.outcome_received.set()
 
-    def send(self, *refs: str, limit_us: int = 60_000_000, body: bytes = b"x") -> Exchange:
+    def send(self, *refs: str, timeout_us: int = 60_000_000, body: bytes = b"x") -> Exchange:
         """One call; its limit lies behind the bound of all tests, so no test passes by it."""
-        call = Call("h1", [Part(ref, 0, "", body, limit_us) for ref in refs], time.monotonic())
+        call = Call("h1", [Part(ref, 0, "", body, timeout_us) for ref in refs], time.monotonic())
         return self.hosts.send(call)
 
     async def outcome(self, ref: str) -> PartOutcome:
         """How a message's attempt ended."""
-        while ref not in self.told:
-            self.ended.clear()
-            await soon(self.ended.wait())
-        return self.told[ref]
+        while ref not in self.outcomes:
+            self.outcome_received.clear()
+            await soon(self.outcome_received.wait())
+        return self.outcomes[ref]
 
 
-async def serving(reply: object = delivered) -> HttpServer:
+async def start_host(reply: object = delivered) -> HttpServer:
     """A host that answers so."""
     host = HttpServer(reply)  # type: ignore[arg-type]
     await host.start()
--- a/tests/checker.py
+++ b/tests/checker.py
@@ -21,24 +21,24 @@
     sent_us: int
     expires_us: int
     open: bool = True
-    may_run: bool = True
+    may_have_run: bool = True
 
 
 @dataclass
-class Case:
+class MessageState:
     """One message as the checker saw it."""
 
     event: api.Arrival
     cls: api.MessageClass
     deadline_us: int
-    number: int
+    arrival_order: int
     attempts: list[Attempt] = field(default_factory=list)
-    over: bool = False
+    finished: bool = False
     answers: int = 0
 
-    def risky(self) -> list[Attempt]:
+    def in_doubt_attempts(self) -> list[Attempt]:
         """Attempts that are out or may have run."""
-        return [a for a in self.attempts if a.open or a.may_run]
+        return [a for a in self.attempts if a.open or a.may_have_run]
 
 
 class Checker:
@@ -48,85 +48,87 @@
         """Start a relay under audit."""
         self.settings, self.relay, self.now_us = settings, DecisionEngine(settings, seed), 0
         self.classes = {cls.name: cls for cls in settings.classes}
-        self.apart = {kind.name: kind.separate_routes for kind in settings.kinds}
-        self.batch = {kind.name: kind.batch_size for kind in settings.kinds}
-        self.cases: dict[str, Case] = {}
+        self.separate_routes = {kind.name: kind.separate_routes for kind in settings.kinds}
+        self.batch_sizes = {kind.name: kind.batch_size for kind in settings.kinds}
+        self.messages: dict[str, MessageState] = {}
         self.entries: dict[str, api.EndpointEntry] = {}
-        self.listed: dict[str, tuple[api.Listing, int]] = {}
-        self.waits: dict[str, int] = {}
-        self.rests: dict[str, int] = {}
-        self.calls: list[tuple[str, list[Attempt]]] = []
-        self.trace: list[api.Action] = []
+        self.listings: dict[str, tuple[api.Listing, int]] = {}
+        self.blocked_until_us: dict[str, int] = {}
+        self.key_paused_until_us: dict[str, int] = {}
+        self.open_calls: list[tuple[str, list[Attempt]]] = []
+        self.actions: list[api.Action] = []
 
-    def route(self, host: str) -> str:
+    def route_name(self, host: str) -> str:
         """The name of what shares waits with this host."""
         entry = self.entries[host]
-        return host if self.apart.get(entry.kind, False) else f"dest {entry.dest}"
+        return host if self.separate_routes.get(entry.kind, False) else f"dest {entry.dest}"
 
     def step(self, now_us: int, events: Sequence[api.Event] = ()) -> list[api.Action]:
         """One batch through the relay, audited."""
         assert now_us >= self.now_us, "the clock only advances"
         self.now_us = now_us
         for event in events:
-            self._told(event)
+            self._record_event(event)
         actions = self.relay.step(now_us, events)
-        fresh: dict[str, list[Attempt]] = {}
+        new_calls: dict[str, list[Attempt]] = {}
         for action in actions:
-            self._did(action, fresh)
-        self.calls = [(h, parts) for h, parts in self.calls if any(a.open for a in parts)]
-        assert len(self.calls) <= self.settings.max_calls, "slots: more calls out than slots"
-        for case in self.cases.values():
+            self._check_action(action, new_calls)
+        self.open_calls = [(h, parts) for h, parts in self.open_calls if any(a.open for a in parts)]
+        assert len(self.open_calls) <= self.settings.max_calls, "slots: more calls out than slots"
+        for case in self.messages.values():
             slack = self.settings.answer_slack_us + self.settings.round_us
-            assert case.over or now_us <= case.deadline_us + slack, f"lost message: {case.event.id}"
-        self.trace += actions
+            assert case.finished or now_us <= case.deadline_us + slack, f"lost message: {case.event.id}"
+        self.actions += actions
         return actions
 
-    def _told(self, event: api.Event) -> None:
+    def _record_event(self, event: api.Event) -> None:
         if isinstance(event, api.EndpointUpdate) and event.kind is not api.EndpointUpdateKind.FAILED:
             named = {entry.host for entry in event.entries}
             if event.kind is not api.EndpointUpdateKind.CHANGES:
-                for host in self.listed:
-                    if host not in named and self.listed[host][0] is not api.Listing.GONE:
-                        self.listed[host] = (api.Listing.GONE, self.now_us)
+                for host in self.listings:
+                    if host not in named and self.listings[host][0] is not api.Listing.GONE:
+                        self.listings[host] = (api.Listing.GONE, self.now_us)
             for entry in event.entries:
                 self.entries[entry.host] = entry
-                if self.listed.get(entry.host, (None, 0))[0] is not entry.listing:
-                    self.listed[entry.host] = (entry.listing, self.now_us)
+                if self.listings.get(entry.host, (None, 0))[0] is not entry.listing:
+                    self.listings[entry.host] = (entry.listing, self.now_us)
         elif isinstance(event, api.Arrival):
-            self.cases[event.id] = Case(
-                event, self.classes[event.cls], self.now_us + event.time_left_us, len(self.cases)
+            self.messages[event.id] = MessageState(
+                event, self.classes[event.cls], self.now_us + event.time_left_us, len(self.messages)
             )
-        elif isinstance(event, api.MessageWithdrawn) and event.id in self.cases:
-            self.cases[event.id].over = True
+        elif isinstance(event, api.MessageWithdrawn) and event.id in self.messages:
+            self.messages[event.id].finished = True
         elif isinstance(event, api.Outcome):
-            self._ended(event)
+            self._record_outcome(event)
 
-    def _ended(self, event: api.Outcome) -> None:
-        case = self.cases[event.id]
+    def _record_outcome(self, event: api.Outcome) -> None:
+        case = self.messages[event.id]
         attempt = case.attempts[event.attempt]
-        attempt.open, attempt.may_run = False, not event.verdict.never_ran
+        attempt.open, attempt.may_have_run = False, not event.verdict.never_ran
         if event.complete:
-            case.over = True
+            case.finished = True
         if event.retry_after_us:
-            name = self.route(event.host)
-            self.waits[name] = max(self.waits.get(name, 0), self.now_us + event.retry_after_us)
-        unsettled = (api.Verdict.TIMEOUT, api.Verdict.RESET, api.Verdict.CANCELLED)
-        if case.cls.in_order and case.event.key and event.verdict in unsettled:
-            self.rests[case.event.key] = self.now_us + self.settings.order_pause_us
+            name = self.route_name(event.host)
+            self.blocked_until_us[name] = max(
+                self.blocked_until_us.get(name, 0), self.now_us + event.retry_after_us
+            )
+        in_doubt_verdicts = (api.Verdict.TIMEOUT, api.Verdict.RESET, api.Verdict.CANCELLED)
+        if case.cls.in_order and case.event.key and event.verdict in in_doubt_verdicts:
+            self.key_paused_until_us[case.event.key] = self.now_us + self.settings.order_pause_us
 
-    def _did(self, action: api.Action, fresh: dict[str, list[Attempt]]) -> None:
+    def _check_action(self, action: api.Action, new_calls: dict[str, list[Attempt]]) -> None:
         if isinstance(action, api.Send):
-            self._sent(self.cases[action.id], action, fresh)
+            self._check_send(self.messages[action.id], action, new_calls)
         elif isinstance(action, api.Refuse | api.Fail):
-            case = self.cases[action.id]
-            assert not case.over, f"answered twice: {action.id}"
-            case.over, case.answers = True, case.answers + 1
-            if isinstance(action, api.Refuse) and case.risky():
+            case = self.messages[action.id]
+            assert not case.finished, f"answered twice: {action.id}"
+            case.finished, case.answers = True, case.answers + 1
+            if isinstance(action, api.Refuse) and case.in_doubt_attempts():
                 keyed_all = case.cls.effect is api.Effect.KEYED and not case.cls.scope_is_zone
                 assert case.cls.effect is api.Effect.SAFE or keyed_all, "refused what may have run"
         elif isinstance(action, api.Cancel):
             assert self.settings.may_cancel, "cancel is not allowed here"
-            assert action.attempt < len(self.cases[action.id].attempts), "cancelled an attempt never made"
+            assert action.attempt < len(self.messages[action.id].attempts), "cancelled an attempt never made"
         elif isinstance(action, api.Probe):
             assert self.settings.may_probe, "probes are not allowed here"
         elif isinstance(action, api.Subscribe):
@@ -134,42 +136,44 @@
         elif isinstance(action, api.SetTimer):
             assert action.delay_us >= self.settings.round_us, "woken within the round"
 
-    def _sent(self, case: Case, action: api.Send, fresh: dict[str, list[Attempt]]) -> None:
+    def _check_send(self, case: MessageState, action: api.Send, new_calls: dict[str, list[Attempt]]) -> None:
         cls, entry = case.cls, self.entries[action.host]
-        assert not case.over, f"sent after its end: {action.id}"
+        assert not case.finished, f"sent after its end: {action.id}"
         assert entry.dest == case.event.dest, "sent to another destination"
         assert len(case.attempts) < self.settings.max_attempts, "too many attempts"
         assert 0 < action.timeout_us <= case.deadline_us - self.now_us, "time-out past the message's time"
         if not self.settings.may_duplicate:
             assert not any(a.open for a in case.attempts), "two attempts side by side"
-        risky = case.risky()
-        if risky and cls.effect is api.Effect.UNSAFE:
+        in_doubt = case.in_doubt_attempts()
+        if in_doubt and cls.effect is api.Effect.UNSAFE:
             raise AssertionError("double effect: an unsafe message sent again")
-        if risky and cls.effect is api.Effect.KEYED:
-            assert self.now_us - min(a.sent_us for a in risky) <= cls.window_us, "double effect: too late"
+        if in_doubt and cls.effect is api.Effect.KEYED:
+            assert self.now_us - min(a.sent_us for a in in_doubt) <= cls.window_us, "double effect: too late"
             if cls.scope_is_zone:
-                zones = {self.entries[a.host].zone for a in risky}
+                zones = {self.entries[a.host].zone for a in in_doubt}
                 assert zones == {entry.zone}, "double effect: outside the key's zone"
-        listing, since_us = self.listed[action.host]
+        listing, since_us = self.listings[action.host]
         if listing is not api.Listing.READY:
             assert self.now_us <= since_us + self.settings.drain_grace_us, "drain: sent past the grace"
-        assert self.now_us >= self.waits.get(self.route(action.host), 0), "wait: sent before its end"
-        self._turn(case)
+        assert self.now_us >= self.blocked_until_us.get(self.route_name(action.host), 0), (
+            "wait: sent before its end"
+        )
+        self._check_order(case)
         attempt = Attempt(action.host, self.now_us, self.now_us + action.timeout_us)
         case.attempts.append(attempt)
-        parts = fresh.get(action.host)
-        if parts is None or len(parts) >= self.batch.get(entry.kind, 1):
-            parts = fresh[action.host] = []
-            self.calls.append((action.host, parts))
+        parts = new_calls.get(action.host)
+        if parts is None or len(parts) >= self.batch_sizes.get(entry.kind, 1):
+            parts = new_calls[action.host] = []
+            self.open_calls.append((action.host, parts))
         parts.append(attempt)
 
-    def _turn(self, case: Case) -> None:
+    def _check_order(self, case: MessageState) -> None:
         key = case.event.key
         if not (case.cls.in_order and key):
             return
-        for other in self.cases.values():
-            if other.number < case.number and other.cls.in_order and other.event.key == key:
-                assert other.over, "order: an earlier message is unfinished"
+        for other in self.messages.values():
+            if other.arrival_order < case.arrival_order and other.cls.in_order and other.event.key == key:
+                assert other.finished, "order: an earlier message is unfinished"
                 assert not any(a.open for a in other.attempts), "order: an earlier attempt is out"
         if not case.attempts:
-            assert self.now_us >= self.rests.get(key, 0), "order: the key still rests"
+            assert self.now_us >= self.key_paused_until_us.get(key, 0), "order: the key still rests"
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -14,7 +14,7 @@
 
 from mossfront import DecisionEngine
 from mossfront import interface as api
-from tests.support import SECOND, roster, settings
+from tests.support import SECOND, endpoint_update, settings
 
 STATUS = api.MessageClass("status", api.Effect.SAFE, 3 * SECOND, 12 * SECOND, worth=3.0, late_worth=0.5)
 POSTING = api.MessageClass(
@@ -149,7 +149,7 @@
         entries = [
             api.EndpointEntry(h.name, h.dest, "a", h.kind, api.Listing.READY) for h in self.hosts.values()
         ]
-        self._put(at_us, relay, roster(*entries, kind=api.EndpointUpdateKind.CACHED))
+        self._put(at_us, relay, endpoint_update(*entries, kind=api.EndpointUpdateKind.CACHED))
 
     def _arrivals(self, until_us: int) -> None:
         for dest, rate in self.demand.items():
--- a/tests/sim/test_guards.py
+++ b/tests/sim/test_guards.py
@@ -21,7 +21,18 @@
 from mossfront import engine
 from mossfront import interface as api
 from tests.sim.worlds import Patch, planted
-from tests.support import KEYED, SAFE, SECOND, TURN, UNSAFE, arrival, ended, entry, roster, settings
+from tests.support import (
+    KEYED,
+    ORDERED,
+    SAFE,
+    SECOND,
+    UNSAFE,
+    arrival,
+    attempt_outcome,
+    endpoint_update,
+    entry,
+    settings,
+)
 from tests.world import ROOT
 
 SWARM = scenario.load(ROOT / "scenarios" / "swarm.toml")
@@ -158,16 +169,16 @@
     return [line.split(": ")[1] for line in said]
 
 
-SPOTS = roster(entry("h", 1), entry("g", 2, listing=api.Listing.DRAINING))
+SPOTS = endpoint_update(entry("h", 1), entry("g", 2, listing=api.Listing.DRAINING))
 FULL, RESET = api.Verdict.FULL, api.Verdict.RESET
 
 
 def test_the_watch_speaks_of_each_rule_and_of_nothing_else() -> None:
     send = api.Send("m", "h", SECOND)
     asked: tuple[list[api.Event], list[api.Action]] = ([SPOTS, arrival("m")], [send])
-    told = lapses(asked, ([ended(send, FULL, wait_us=SECOND)], [send]))
+    told = lapses(asked, ([attempt_outcome(send, FULL, retry_after_us=SECOND)], [send]))
     assert told == ["waits"]
-    assert lapses(asked, ([ended(send, FULL)], [send])) == []
+    assert lapses(asked, ([attempt_outcome(send, FULL)], [send])) == []
     assert lapses(([SPOTS, arrival("m")], [api.Send("m", "g", SECOND)])) == ["drains"]
     assert lapses(([SPOTS, api.HostOverride("h", True), arrival("m")], [send])) == ["drains"]
     assert (
@@ -177,16 +188,18 @@
     for cls, verdict, want in (
         (UNSAFE, RESET, ["twice"]), (UNSAFE, FULL, []), (SAFE, RESET, []), (KEYED, RESET, []),
     ):  # fmt: skip
-        assert lapses(([SPOTS, arrival("m", cls)], [send]), ([ended(send, verdict)], [send])) == want
+        assert (
+            lapses(([SPOTS, arrival("m", cls)], [send]), ([attempt_outcome(send, verdict)], [send])) == want
+        )
     late: list[tuple[list[api.Event], list[api.Action]]] = [([], [])] * 50
     keyed: tuple[list[api.Event], list[api.Action]] = ([SPOTS, arrival("m", KEYED)], [send])
-    assert lapses(keyed, ([ended(send, RESET)], []), *late, ([], [send])) == ["twice"]
-    line: list[api.Event] = [SPOTS, arrival("m", TURN, key="k"), arrival("n", TURN, key="k")]
+    assert lapses(keyed, ([attempt_outcome(send, RESET)], []), *late, ([], [send])) == ["twice"]
+    line: list[api.Event] = [SPOTS, arrival("m", ORDERED, key="k"), arrival("n", ORDERED, key="k")]
     assert lapses((line, [send, api.Send("n", "h", SECOND)])) == ["order"]
-    assert lapses((line, [send]), ([ended(send)], [api.Send("n", "h", SECOND)])) == []
+    assert lapses((line, [send]), ([attempt_outcome(send)], [api.Send("n", "h", SECOND)])) == []
     assert lapses((line, [api.Send("n", "h", SECOND), api.Refuse("m")])) == []
-    assert lapses(([SPOTS, arrival("m", left_us=0)], []), *late) == ["lost"]
-    assert lapses(([SPOTS, arrival("m", left_us=0)], [api.Fail("m")]), *late) == []
+    assert lapses(([SPOTS, arrival("m", time_left_us=0)], []), *late) == ["lost"]
+    assert lapses(([SPOTS, arrival("m", time_left_us=0)], [api.Fail("m")]), *late) == []
 
 
 def test_a_broken_module_is_not_told_of_without_end() -> None:
--- a/tests/slow_start/__main__.py
+++ b/tests/slow_start/__main__.py
@@ -6,23 +6,30 @@
 from concurrent.futures import ProcessPoolExecutor
 
 from tests.slow_start.moments import MOMENTS
-from tests.slow_start.outages import Result, Summary, hard_draw, played, summary, whole_draw
+from tests.slow_start.outages import (
+    Result,
+    Summary,
+    draw_destination_outage,
+    draw_hard_outage,
+    simulate,
+    summarize,
+)
 
-DRAWS = {"hard": hard_draw, "whole": whole_draw} | MOMENTS
+DRAWS = {"hard": draw_hard_outage, "whole": draw_destination_outage} | MOMENTS
 
 
-def one(number: tuple[str, int, int]) -> Result:
+def simulate_draw(key: tuple[str, int, int]) -> Result:
     """Play one draw of a kind."""
-    kind, seed, relays = number
-    return played(DRAWS[kind](seed, relays))
+    kind, seed, relays = key
+    return simulate(DRAWS[kind](seed, relays))
 
 
-def row(found: Summary) -> str:
+def format_summary(totals: Summary) -> str:
     """What many draws came to, in a line."""
     return (
-        f"{found.over} of {found.draws} over, worst {found.worst:.2f}; told of any endpoint "
-        f"{found.over_any}, worst {found.worst_any:.2f}; by chance {found.over_by_chance}, "
-        f"served {found.served:.3f}"
+        f"{totals.over_limit} of {totals.draws} over, worst {totals.worst_ratio:.2f}; told of any endpoint "
+        f"{totals.over_limit_any_endpoint}, worst {totals.worst_ratio_any_endpoint:.2f}; "
+        f"by chance {totals.over_limit_by_chance}, served {totals.mean_served_share:.3f}"
     )
 
 
@@ -34,18 +41,18 @@
     parser.add_argument("--seeds", default="0-99", help="first and last, with a hyphen")
     parser.add_argument("--jobs", type=int, default=6)
     parser.add_argument("--show", type=int, default=0, help="worst draws to print in full")
-    told = parser.parse_args()
-    first, last = map(int, told.seeds.split("-"))
-    every = list[Result]()
-    with ProcessPoolExecutor(told.jobs) as pool:
-        for size in map(int, told.sizes.split(",")):
-            draws = [(told.kind, seed, size) for seed in range(first, last + 1)]
-            results = list(pool.map(one, draws, chunksize=2))
-            every += results
-            print(f"relays {size}: {row(summary(results))}", flush=True)
-    print(f"all: {row(summary(every))}")
-    for result in sorted(every, key=lambda result: -result.worst_any)[: told.show]:
-        print(f"{result.worst:.2f} {result.worst_any:.2f} {result.draw}")
+    args = parser.parse_args()
+    first, last = map(int, args.seeds.split("-"))
+    all_results = list[Result]()
+    with ProcessPoolExecutor(args.jobs) as pool:
+        for size in map(int, args.sizes.split(",")):
+            draws = [(args.kind, seed, size) for seed in range(first, last + 1)]
+            results = list(pool.map(simulate_draw, draws, chunksize=2))
+            all_results += results
+            print(f"relays {size}: {format_summary(summarize(results))}", flush=True)
+    print(f"all: {format_summary(summarize(all_results))}")
+    for result in sorted(all_results, key=lambda result: -result.worst_ratio_any_endpoint)[: args.show]:
+        print(f"{result.worst_ratio:.2f} {result.worst_ratio_any_endpoint:.2f} {result.draw}")
 
 
 if __name__ == "__main__":
--- a/tests/slow_start/outages.py
+++ b/tests/slow_start/outages.py
@@ -20,13 +20,13 @@
 from tests.fleet import KINDS, POSTING, STATUS, Fleet, Host
 from tests.support import SECOND
 
-MULTIPLE, FALL_US, COLD_FROM, WARM_US = 1.5, 3 * SECOND, 0.27, 13 * SECOND
+COLLAPSE_MULTIPLE, COLLAPSE_WINDOW_US, COLD_CAPACITY_SHARE, WARM_UP_US = 1.5, 3 * SECOND, 0.27, 13 * SECOND
 NEVER_US = 1 << 60
 ITEM_WEIGHT = 0.2  # of a further message in a call
-AFTER_S = 15.0  # of traffic behind the last return
+TRAFFIC_AFTER_RETURN_S = 15.0  # of traffic behind the last return
 QUEUE_S = 0.6  # of its present capacity that may wait at an endpoint before it refuses
-WAIT_TOLD = 0.8  # share of refusals that name a wait
-TOLD_SHARE = 2 / 3  # of a window's calls, from relays that were told: below that, no rule is broken
+RETRY_AFTER_SHARE = 0.8  # share of refusals that name a wait
+NOTIFIED_CALL_SHARE = 2 / 3  # of a window's calls, from relays that were told: below that, no rule is broken
 
 
 class Failure(Enum):
@@ -59,7 +59,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Draw:
+class OutageDraw:
     """One outage and the group that meets it. ``load`` is a share of the capacity of all endpoints."""
 
     seed: int
@@ -71,42 +71,42 @@
     failure: Failure
     start_s: float
     length_s: float
-    weights: tuple[float, ...]  # of relays in turn: their shares of the traffic
-    half_to_one: bool = False  # one relay has half of all traffic
-    clump: int = 1  # messages that come together
+    relay_weights: tuple[float, ...]  # of relays in turn: their shares of the traffic
+    one_relay_has_half: bool = False  # one relay has half of all traffic
+    burst_size: int = 1  # messages that come together
     restart: Restart | None = None
-    second_after_s: float = 0.0  # behind the first return; 0: no second outage
-    refusals_count: bool = False  # what is refused uses the limit up, also while the endpoint is shut
-    errors: float = 0.0  # share of calls that fail on any day
-    struck: int = 1  # endpoints that are out: the first ones
+    second_outage_after_s: float = 0.0  # behind the first return; 0: no second outage
+    refusals_use_limit: bool = False  # what is refused uses the limit up, also while the endpoint is shut
+    error_share: float = 0.0  # share of calls that fail on any day
+    failing_endpoints: int = 1  # endpoints that are out: the first ones
     stagger_s: float = 0.0  # each further one returns so much later than the one before it
-    wait_told: float = WAIT_TOLD  # share of refusals that name a wait
-    stopped_s: float = 0.0  # all relays stand still for so long, half of it before the first return
+    retry_after_share: float = RETRY_AFTER_SHARE  # share of refusals that name a wait
+    paused_s: float = 0.0  # all relays stand still for so long, half of it before the first return
     relisted: bool = False  # the list drops the endpoints in the outage, and names them again at its end
 
     def outages(self, endpoint: int = 0) -> list[tuple[int, int]]:
         """Begin and end of each outage (us) of an endpoint."""
-        if endpoint >= self.struck:
+        if endpoint >= self.failing_endpoints:
             return []
         start = int(self.start_s * 1e6)
         end = int((self.start_s + self.length_s + endpoint * self.stagger_s) * 1e6)
-        found = [(start, end)]
-        if self.second_after_s:
-            again = end + int(self.second_after_s * 1e6)
-            found.append((again, again + int(4e6)))
-        return found
+        outages = [(start, end)]
+        if self.second_outage_after_s:
+            second_start = end + int(self.second_outage_after_s * 1e6)
+            outages.append((second_start, second_start + int(4e6)))
+        return outages
 
 
-WEIGHTS = ((1.0,), (0.5, 1.5), (0.2, 0.5, 1.0, 1.0, 3.0))
+RELAY_WEIGHTS = ((1.0,), (0.5, 1.5), (0.2, 0.5, 1.0, 1.0, 3.0))
 
 
-def hard_draw(seed: int, relays: int) -> Draw:
+def draw_hard_outage(seed: int, relays: int) -> OutageDraw:
     """A draw from the whole range that the operators' days may hold."""
     rng = random.Random(f"{relays} {seed}")
     restart = None
     if rng.random() < 0.5:
         restart = Restart(rng.choice((0.1, 0.33, 0.8)), rng.choice((-1.0, 0.0, 1.0, 4.0)))
-    return Draw(
+    return OutageDraw(
         seed=seed,
         relays=relays,
         endpoints=rng.choice((1, 1, 2, 4)),
@@ -116,17 +116,17 @@
         failure=rng.choice(tuple(Failure)),
         start_s=rng.uniform(4, 12),
         length_s=rng.uniform(5, 14),
-        weights=rng.choice(WEIGHTS),
-        half_to_one=rng.random() < 0.15,
-        clump=rng.choice((1, 1, 4)),
+        relay_weights=rng.choice(RELAY_WEIGHTS),
+        one_relay_has_half=rng.random() < 0.15,
+        burst_size=rng.choice((1, 1, 4)),
         restart=restart,
-        second_after_s=rng.choice((0.0, 0.0, 0.0, 5.0)),
-        refusals_count=rng.random() < 0.4,
-        errors=rng.choice((0.0, 0.0, 0.02, 0.15)),
+        second_outage_after_s=rng.choice((0.0, 0.0, 0.0, 5.0)),
+        refusals_use_limit=rng.random() < 0.4,
+        error_share=rng.choice((0.0, 0.0, 0.02, 0.15)),
     )
 
 
-def whole_draw(seed: int, relays: int) -> Draw:
+def draw_destination_outage(seed: int, relays: int) -> OutageDraw:
     """A draw in which all endpoints of the destination are out together, as in report 4e6e9b.
 
     Two thirds return at one time, the others one behind the other; in a third of the draws most or all relays
@@ -137,7 +137,7 @@
     restart = None
     if rng.random() < 0.33:
         restart = Restart(rng.choice((0.1, 0.8, 1.0)), rng.choice((-1.0, 0.2, 0.5, 2.0)))
-    return Draw(
+    return OutageDraw(
         seed=seed,
         relays=relays,
         endpoints=endpoints,
@@ -149,14 +149,14 @@
         length_s=rng.choice(
             (rng.uniform(1.5, 7), rng.uniform(7, 13), rng.uniform(7, 13), rng.uniform(30, 45))
         ),
-        weights=rng.choice(WEIGHTS),
-        clump=rng.choice((1, 1, 4)),
+        relay_weights=rng.choice(RELAY_WEIGHTS),
+        burst_size=rng.choice((1, 1, 4)),
         restart=restart,
-        refusals_count=rng.random() < 0.4,
-        errors=rng.choice((0.0, 0.0, 0.02, 0.15)),
-        struck=endpoints,
+        refusals_use_limit=rng.random() < 0.4,
+        error_share=rng.choice((0.0, 0.0, 0.02, 0.15)),
+        failing_endpoints=endpoints,
         stagger_s=rng.choice((0.0, 0.0, rng.uniform(0.2, 4))),
-        wait_told=rng.choice((0.0, 0.3, 0.8, 1.0)),
+        retry_after_share=rng.choice((0.0, 0.3, 0.8, 1.0)),
     )
 
 
@@ -167,47 +167,53 @@
     outages: list[tuple[int, int]] = field(default_factory=list)
     failure: Failure = Failure.RESET
     limited: bool = False
-    refusals_count: bool = False
-    errors: float = 0.0
-    wait_told: float = WAIT_TOLD
-    busy_us: float = 0.0  # until when it works on what it has taken in
+    refusals_use_limit: bool = False
+    error_share: float = 0.0
+    retry_after_share: float = RETRY_AFTER_SHARE
+    busy_until_us: float = 0.0  # until when it works on what it has taken in
 
     def down_until(self, now_us: int) -> int:
         """The end of the outage that it is in, or 0."""
         return next((end for start, end in self.outages if start <= now_us < end), 0)
 
-    def back(self, now_us: int) -> cold.Return | None:
+    def last_return(self, now_us: int) -> cold.Return | None:
         """The last return, where there was one."""
         ended = [end for _, end in self.outages if end <= now_us]
-        return cold.Return(max(ended), self.rate, COLD_FROM, WARM_US) if ended else None
+        return cold.Return(max(ended), self.rate, COLD_CAPACITY_SHARE, WARM_UP_US) if ended else None
 
-    def _share(self, now_us: int) -> float:
-        back = self.back(now_us)
-        return back.share(now_us) if back else 1.0
+    def _capacity_share(self, now_us: int) -> float:
+        last_return = self.last_return(now_us)
+        return last_return.share(now_us) if last_return else 1.0
 
     def serve(self, now_us: int, work: float, rng: random.Random) -> tuple[api.Verdict, int, int]:
         """One call: how it ends, after how long (us; 0: at its time-out), and the wait that is told."""
-        fast_us = int(rng.uniform(20_000, 60_000))
+        latency_us = int(rng.uniform(20_000, 60_000))
         if until_us := self.down_until(now_us):
-            told = self.failure is Failure.SHUT and rng.random() < self.wait_told
-            told_us = until_us - now_us if told else 0
-            return VERDICTS[self.failure], 0 if self.failure is Failure.TIMEOUT else fast_us, told_us
-        self.busy_us = max(self.busy_us, now_us)
-        if self.busy_us - now_us > QUEUE_S * 1e6:
-            told_us = int(rng.uniform(0.27, 0.72) * 1e6) if rng.random() < self.wait_told else 0
-            return api.Verdict.FULL, fast_us, told_us
-        self.busy_us += work * 1e6 / (self.rate * self._share(now_us))
-        verdict = api.Verdict.ERROR if rng.random() < self.errors else api.Verdict.OK
-        return verdict, int(self.busy_us - now_us) + fast_us, 0
+            announced = self.failure is Failure.SHUT and rng.random() < self.retry_after_share
+            retry_after_us = until_us - now_us if announced else 0
+            return (
+                VERDICTS[self.failure],
+                0 if self.failure is Failure.TIMEOUT else latency_us,
+                retry_after_us,
+            )
+        self.busy_until_us = max(self.busy_until_us, now_us)
+        if self.busy_until_us - now_us > QUEUE_S * 1e6:
+            retry_after_us = (
+                int(rng.uniform(0.27, 0.72) * 1e6) if rng.random() < self.retry_after_share else 0
+            )
+            return api.Verdict.FULL, latency_us, retry_after_us
+        self.busy_until_us += work * 1e6 / (self.rate * self._capacity_share(now_us))
+        verdict = api.Verdict.ERROR if rng.random() < self.error_share else api.Verdict.OK
+        return verdict, int(self.busy_until_us - now_us) + latency_us, 0
 
     def report(self, now_us: int) -> tuple[float | None, float | None]:
         """What is left of its limit, where it has one."""
         if not self.limited:
             return None, None
-        if self.refusals_count and self.down_until(now_us):
+        if self.refusals_use_limit and self.down_until(now_us):
             return 0.0, self.rate
-        waiting_s = max(0.0, self.busy_us - now_us) / 1e6
-        return max(0.0, 1 - waiting_s / QUEUE_S), self.rate * self._share(now_us)
+        waiting_s = max(0.0, self.busy_until_us - now_us) / 1e6
+        return max(0.0, 1 - waiting_s / QUEUE_S), self.rate * self._capacity_share(now_us)
 
 
 @dataclass(frozen=True, slots=True)
@@ -219,48 +225,52 @@
     relay: int
 
 
-class Group(Fleet):
+class RelayGroup(Fleet):
     """A group through a draw; keeps the calls to each endpoint that is struck, and who saw it fail."""
 
-    def __init__(self, draw: Draw, make: type[DecisionEngine] = DecisionEngine) -> None:
+    def __init__(self, draw: OutageDraw, make: type[DecisionEngine] = DecisionEngine) -> None:
         self.draw = draw
         outages = draw.outages()
         hosts: list[Host] = [
             Endpoint(
                 f"h{number}", 1, draw.capacity_per_s, draw.kind, limited=draw.kind == "bank",
-                outages=draw.outages(number), failure=draw.failure, refusals_count=draw.refusals_count,
-                errors=draw.errors, wait_told=draw.wait_told,
+                outages=draw.outages(number), failure=draw.failure,
+                refusals_use_limit=draw.refusals_use_limit, error_share=draw.error_share,
+                retry_after_share=draw.retry_after_share,
             )
             for number in range(draw.endpoints)
         ]  # fmt: skip
         demand = draw.capacity_per_s * draw.load * draw.endpoints
         super().__init__(
-            hosts, {1: demand}, relays=draw.relays, seed=draw.seed, make=make, fall_multiple=MULTIPLE,
-            fall_us=FALL_US, cold_from=COLD_FROM, warm_within_us=WARM_US,
+            hosts, {1: demand}, relays=draw.relays, seed=draw.seed, make=make,
+            fall_multiple=COLLAPSE_MULTIPLE, fall_us=COLLAPSE_WINDOW_US, cold_from=COLD_CAPACITY_SHARE,
+            warm_within_us=WARM_UP_US,
         )  # fmt: skip
-        shares = [draw.weights[number % len(draw.weights)] for number in range(draw.relays)]
-        if draw.half_to_one and draw.relays > 1:
+        shares = [draw.relay_weights[number % len(draw.relay_weights)] for number in range(draw.relays)]
+        if draw.one_relay_has_half and draw.relays > 1:
             shares[0] = sum(shares[1:])
         self.parts = shares
-        struck = [host.name for host in hosts[: draw.struck]]
-        self.calls: dict[str, list[Call]] = {name: [] for name in struck}
+        failing_hosts = [host.name for host in hosts[: draw.failing_endpoints]]
+        self.calls: dict[str, list[Call]] = {name: [] for name in failing_hosts}
         # By endpoint: relay, and when it first saw a call fail there in an outage.
-        self.told: dict[str, dict[int, int]] = {name: {} for name in struck}
-        self.restart_us = NEVER_US
-        self.restarts = 0  # so many relays, the first ones, are restarted
+        self.notified_at_us: dict[str, dict[int, int]] = {name: {} for name in failing_hosts}
+        self.restart_at_us = NEVER_US
+        self.restarted_relays = 0  # so many relays, the first ones, are restarted
         if draw.restart is not None:
-            self.restart_us = outages[0][1] + int(draw.restart.after_s * 1e6)
-            self.restarts = round(draw.restart.share * draw.relays)
+            self.restart_at_us = outages[0][1] + int(draw.restart.after_s * 1e6)
+            self.restarted_relays = round(draw.restart.share * draw.relays)
         self._restarted = False
-        back_us, half_us = outages[0][1], int(draw.stopped_s * 1e6) // 2
-        self._stop_us, self._go_on_us = back_us - half_us, back_us + half_us
+        back_us, half_us = outages[0][1], int(draw.paused_s * 1e6) // 2
+        self._pause_start_us, self._pause_end_us = back_us - half_us, back_us + half_us
 
     def run(self) -> None:
         """Play the draw to its end."""
         if self.draw.relisted:
             self._relist()
-        last_us = max(end for number in range(self.draw.struck) for _, end in self.draw.outages(number))
-        self.play(last_us / 1e6 + AFTER_S)
+        last_us = max(
+            end for number in range(self.draw.failing_endpoints) for _, end in self.draw.outages(number)
+        )
+        self.play(last_us / 1e6 + TRAFFIC_AFTER_RETURN_S)
 
     def _relist(self) -> None:
         """A new version of the list reaches all relays at one time: all gone, and later all ready again."""
@@ -273,22 +283,22 @@
                 self._put(at_us, relay, api.EndpointUpdate(api.EndpointUpdateKind.CHANGES, entries))
 
     def _arrivals(self, until_us: int) -> None:
-        rate = self.demand[1] / self.draw.clump
+        rate = self.demand[1] / self.draw.burst_size
         at_s = 0.0
         while (at_s := at_s + self.rng.expovariate(rate)) * 1e6 < until_us:
             relay = self.rng.choices(range(len(self.parts)), self.parts)[0]
-            for _ in range(self.draw.clump):
+            for _ in range(self.draw.burst_size):
                 cls = STATUS if self.rng.random() < 0.3 else POSTING
                 message = api.Arrival(f"m{self.serial}", 1, cls.name, cls.deadline_us, "all")
                 self._put(int(at_s * 1e6), relay, message)
 
     def _feed(self, at_us: int, relay: int, event: api.Event) -> None:
-        if self._stop_us <= at_us < self._go_on_us:
-            self._put(self._go_on_us, relay, event)
+        if self._pause_start_us <= at_us < self._pause_end_us:
+            self._put(self._pause_end_us, relay, event)
             return
-        if at_us >= self.restart_us and not self._restarted:
+        if at_us >= self.restart_at_us and not self._restarted:
             self._restarted = True
-            for number in range(self.restarts):
+            for number in range(self.restarted_relays):
                 self._restart(at_us, number)
         super()._feed(at_us, relay, event)
 
@@ -300,23 +310,24 @@
         for host, endpoint in former.endpoints.items():
             if endpoint.care_us > at_us:
                 served = endpoint.own.slow.served_share
-                care = api.OutageRecord(host, endpoint.care_us - at_us, endpoint.care_kind, served)
-                self._put(at_us, number, care)
+                outage_record = api.OutageRecord(host, endpoint.care_us - at_us, endpoint.care_kind, served)
+                self._put(at_us, number, outage_record)
         for message in former.messages.values():
             if message.done or message.deadline_us <= at_us:
                 continue
-            sent = [call.sent_us for call in message.out.values()]
-            risky_us = message.risky_us if message.risky_us >= 0 else min(sent, default=-1)
-            found = api.Arrival(
+            send_times_us = [call.sent_us for call in message.out.values()]
+            in_doubt_since_us = message.risky_us if message.risky_us >= 0 else min(send_times_us, default=-1)
+            recovered = api.Arrival(
                 message.id, message.dest, message.cls.name, message.deadline_us - at_us, "all",
-                attempts=message.attempts, in_doubt_age_us=at_us - risky_us if risky_us >= 0 else -1,
-                in_doubt_zone="a" if risky_us >= 0 else "", recovered_untried=message.attempts == 0,
+                attempts=message.attempts,
+                in_doubt_age_us=at_us - in_doubt_since_us if in_doubt_since_us >= 0 else -1,
+                in_doubt_zone="a" if in_doubt_since_us >= 0 else "", recovered_untried=message.attempts == 0,
             )  # fmt: skip
-            self._put(at_us, number, found)
+            self._put(at_us, number, recovered)
 
-    def _learns(self, relay: int, sent_us: int, ended_us: int) -> bool:
+    def _receives_outcome(self, relay: int, sent_us: int, ended_us: int) -> bool:
         """Whether the relay that made a call still ran when it ended."""
-        return relay >= self.restarts or not sent_us < self.restart_us <= ended_us
+        return relay >= self.restarted_relays or not sent_us < self.restart_at_us <= ended_us
 
     def _call(self, at_us: int, relay: int, host: Host, sends: list[api.Send]) -> None:
         assert isinstance(host, Endpoint)
@@ -324,25 +335,28 @@
         for start in range(0, len(sends), batch):
             carried = sends[start : start + batch]
             weight = cold.work_of(len(carried), ITEM_WEIGHT)
-            verdict, took_us, wait_us = host.serve(at_us, weight, self.rng)
-            took_us = min(took_us or NEVER_US, carried[0].timeout_us)
-            if verdict is api.Verdict.TIMEOUT and at_us + took_us > (back_us := host.down_until(at_us)):
-                verdict, took_us = api.Verdict.RESET, back_us - at_us  # what hung is broken off at the return
-            if verdict is api.Verdict.OK and took_us == carried[0].timeout_us:
+            verdict, elapsed_us, retry_after_us = host.serve(at_us, weight, self.rng)
+            elapsed_us = min(elapsed_us or NEVER_US, carried[0].timeout_us)
+            if verdict is api.Verdict.TIMEOUT and at_us + elapsed_us > (back_us := host.down_until(at_us)):
+                verdict, elapsed_us = (
+                    api.Verdict.RESET,
+                    back_us - at_us,
+                )  # what hung is broken off at the return
+            if verdict is api.Verdict.OK and elapsed_us == carried[0].timeout_us:
                 verdict = api.Verdict.TIMEOUT
             self.tallies.calls[verdict.value] += 1
             if host.outages:
                 self.calls[host.name].append(Call(at_us, weight, relay))
-                if host.down_until(at_us) and self._learns(relay, at_us, at_us + took_us):
-                    self.told[host.name].setdefault(relay, at_us)
-            left, rate = host.report(at_us)
+                if host.down_until(at_us) and self._receives_outcome(relay, at_us, at_us + elapsed_us):
+                    self.notified_at_us[host.name].setdefault(relay, at_us)
+            limit_remaining, limit_per_s = host.report(at_us)
             for send in carried:
-                number = self.tries[send.id]
+                attempt = self.tries[send.id]
                 self.tries[send.id] += 1
                 self._put(
-                    at_us + took_us, relay,
-                    api.Outcome(send.id, number, host.name, verdict, took_us, verdict is api.Verdict.OK,
-                                wait_us, left, rate),
+                    at_us + elapsed_us, relay,
+                    api.Outcome(send.id, attempt, host.name, verdict, elapsed_us, verdict is api.Verdict.OK,
+                                retry_after_us, limit_remaining, limit_per_s),
                 )  # fmt: skip
 
 
@@ -354,74 +368,97 @@
     fail at any endpoint of the destination.
     """
 
-    draw: Draw
-    worst: float
-    worst_any: float
-    served: float
+    draw: OutageDraw
+    worst_ratio: float
+    worst_ratio_any_endpoint: float
+    served_share: float
 
 
-def allowed(budget: float) -> float:
+def max_window_weight(budget: float) -> float:
     """What a window may bring: its budget N and what is left to chance, by the operators' page."""
     return cold.most_in_window(budget)
 
 
-def worst_window(calls: Sequence[Call], told: set[int], back: cold.Return, end_us: int) -> float:
+def worst_window_ratio(
+    calls: Sequence[Call], notified: set[int], endpoint_return: cold.Return, end_us: int
+) -> float:
     """The fullest window behind a return over what is allowed, where most came from relays that were told."""
-    inside = [call for call in calls if back.at_us <= call.at_us < end_us]
+    inside = [call for call in calls if endpoint_return.at_us <= call.at_us < end_us]
     times = [call.at_us for call in inside]
     worst = 0.0
-    for at, start_us in enumerate(times):
-        if start_us > back.at_us + back.warm_us:
+    for index, start_us in enumerate(times):
+        if start_us > endpoint_return.at_us + endpoint_return.warm_us:
             break
-        window = inside[at : bisect.bisect_left(times, start_us + FALL_US)]
-        came = sum(call.weight for call in window)
-        knew = sum(call.weight for call in window if call.relay in told)
-        if knew >= TOLD_SHARE * came:
-            worst = max(worst, came / allowed(MULTIPLE * back.work(start_us, start_us + FALL_US)))
+        window = inside[index : bisect.bisect_left(times, start_us + COLLAPSE_WINDOW_US)]
+        total_weight = sum(call.weight for call in window)
+        notified_weight = sum(call.weight for call in window if call.relay in notified)
+        if notified_weight >= NOTIFIED_CALL_SHARE * total_weight:
+            worst = max(
+                worst,
+                total_weight
+                / max_window_weight(
+                    COLLAPSE_MULTIPLE * endpoint_return.work(start_us, start_us + COLLAPSE_WINDOW_US)
+                ),
+            )
     return worst
 
 
-def played(draw: Draw, make: type[DecisionEngine] = DecisionEngine) -> Result:
+def simulate(draw: OutageDraw, make: type[DecisionEngine] = DecisionEngine) -> Result:
     """Run a draw and find its worst window behind each of its returns, at each endpoint that was out."""
-    group = Group(draw, make)
+    group = RelayGroup(draw, make)
     group.run()
-    own = any_endpoint = 0.0
-    first_told: dict[int, int] = {}
-    for told in group.told.values():
-        for relay, at_us in told.items():
-            first_told[relay] = min(at_us, first_told.get(relay, at_us))
+    worst_ratio = worst_ratio_any_endpoint = 0.0
+    first_notified_at_us: dict[int, int] = {}
+    for notified_at_us in group.notified_at_us.values():
+        for relay, at_us in notified_at_us.items():
+            first_notified_at_us[relay] = min(at_us, first_notified_at_us.get(relay, at_us))
     for number, (name, calls) in enumerate(group.calls.items()):
         outages = draw.outages(number)
         for at, (_, end_us) in enumerate(outages):
             until_us = outages[at + 1][0] if at + 1 < len(outages) else NEVER_US
-            back = cold.Return(end_us, draw.capacity_per_s, COLD_FROM, WARM_US)
-            own = max(own, worst_window(calls, _told_before(group.told[name], end_us), back, until_us))
-            if draw.struck > 1:
-                told_of_any = _told_before(first_told, end_us)
-                any_endpoint = max(any_endpoint, worst_window(calls, told_of_any, back, until_us))
-    return Result(draw, own, max(own, any_endpoint), group.tallies.served)
+            endpoint_return = cold.Return(end_us, draw.capacity_per_s, COLD_CAPACITY_SHARE, WARM_UP_US)
+            worst_ratio = max(
+                worst_ratio,
+                worst_window_ratio(
+                    calls, _notified_before(group.notified_at_us[name], end_us), endpoint_return, until_us
+                ),
+            )
+            if draw.failing_endpoints > 1:
+                notified_of_any = _notified_before(first_notified_at_us, end_us)
+                worst_ratio_any_endpoint = max(
+                    worst_ratio_any_endpoint,
+                    worst_window_ratio(calls, notified_of_any, endpoint_return, until_us),
+                )
+    return Result(draw, worst_ratio, max(worst_ratio, worst_ratio_any_endpoint), group.tallies.served)
 
 
-def _told_before(told: dict[int, int], end_us: int) -> set[int]:
+def _notified_before(notified_at_us: dict[int, int], end_us: int) -> set[int]:
     """The relays that were told before then."""
-    return {relay for relay, at_us in told.items() if at_us < end_us}
+    return {relay for relay, at_us in notified_at_us.items() if at_us < end_us}
 
 
-def chance(draw: Draw) -> float:
+def chance_worst_ratio(draw: OutageDraw) -> float:
     """The control: independent calls whose sum is the whole budget in the mean, and their worst window."""
     rng = random.Random(f"chance {draw.seed}")
-    return max(_chance_at(draw, number, rng) for number in range(draw.struck))
+    return max(_chance_worst_ratio_at(draw, number, rng) for number in range(draw.failing_endpoints))
 
 
-def _chance_at(draw: Draw, endpoint: int, rng: random.Random) -> float:
+def _chance_worst_ratio_at(draw: OutageDraw, endpoint: int, rng: random.Random) -> float:
     outages = draw.outages(endpoint)
-    back = cold.Return(outages[0][1], draw.capacity_per_s, COLD_FROM, WARM_US)
-    until_us = min(outages[1][0] if len(outages) > 1 else NEVER_US, back.at_us + WARM_US + FALL_US)
-    calls, at_us, most = list[Call](), float(back.at_us), MULTIPLE * draw.capacity_per_s / 1e6
-    while (at_us := at_us + rng.expovariate(most)) < until_us:
-        if rng.random() < back.share(at_us):
+    endpoint_return = cold.Return(outages[0][1], draw.capacity_per_s, COLD_CAPACITY_SHARE, WARM_UP_US)
+    until_us = min(
+        outages[1][0] if len(outages) > 1 else NEVER_US,
+        endpoint_return.at_us + WARM_UP_US + COLLAPSE_WINDOW_US,
+    )
+    calls, at_us, max_rate_per_us = (
+        list[Call](),
+        float(endpoint_return.at_us),
+        COLLAPSE_MULTIPLE * draw.capacity_per_s / 1e6,
+    )
+    while (at_us := at_us + rng.expovariate(max_rate_per_us)) < until_us:
+        if rng.random() < endpoint_return.share(at_us):
             calls.append(Call(int(at_us), 1.0, 0))
-    return worst_window(calls, {0}, back, until_us)
+    return worst_window_ratio(calls, {0}, endpoint_return, until_us)
 
 
 @dataclass(frozen=True, slots=True)
@@ -429,22 +466,22 @@
     """Many draws: how many went beyond what is allowed, the worst, the mean served, and pure chance."""
 
     draws: int
-    over: int
-    worst: float
-    over_any: int
-    worst_any: float
-    served: float
-    over_by_chance: int
+    over_limit: int
+    worst_ratio: float
+    over_limit_any_endpoint: int
+    worst_ratio_any_endpoint: float
+    mean_served_share: float
+    over_limit_by_chance: int
 
 
-def summary(results: Sequence[Result]) -> Summary:
+def summarize(results: Sequence[Result]) -> Summary:
     """Add up results and their controls."""
     return Summary(
         len(results),
-        sum(result.worst > 1 for result in results),
-        max(result.worst for result in results),
-        sum(result.worst_any > 1 for result in results),
-        max(result.worst_any for result in results),
-        math.fsum(result.served for result in results) / len(results),
-        sum(chance(result.draw) > 1 for result in results),
+        sum(result.worst_ratio > 1 for result in results),
+        max(result.worst_ratio for result in results),
+        sum(result.worst_ratio_any_endpoint > 1 for result in results),
+        max(result.worst_ratio_any_endpoint for result in results),
+        math.fsum(result.served_share for result in results) / len(results),
+        sum(chance_worst_ratio(result.draw) > 1 for result in results),
     )
--- a/tests/slow_start/test_budget.py
+++ b/tests/slow_start/test_budget.py
@@ -4,31 +4,36 @@
 
 import pytest
 
-from tests.slow_start.outages import Summary, hard_draw, played, summary, whole_draw
+from tests.slow_start.outages import Summary, draw_destination_outage, draw_hard_outage, simulate, summarize
 
 DRAWS = 40  # of each size; more by hand: ``python -m tests.slow_start``
 SIZES = (2, 9, 20, 50, 230)
-MOST_TIMES = 1.5  # of what a window may bring: nothing goes beyond, not even by chance
-WHOLE_SIZES = (2, 9, 20, 50, 230, 1000)
-WHOLE_MOST_TIMES = 1.2
-WHOLE_MOST_OVER = 0.01  # of the draws, counted over relays that saw the endpoint itself fail
+MAX_RATIO = 1.5  # of what a window may bring: nothing goes beyond, not even by chance
+DESTINATION_SIZES = (2, 9, 20, 50, 230, 1000)
+DESTINATION_MAX_RATIO = 1.2
+DESTINATION_MAX_OVER_SHARE = 0.01  # of the draws, counted over relays that saw the endpoint itself fail
 
 
 @pytest.mark.parametrize("relays", SIZES)
-def test_the_sum_of_a_group_is_over_its_budget_no_more_often_than_chance(relays: int) -> None:
+def test_group_exceeds_budget_no_more_often_than_chance(relays: int) -> None:
     """The control is a group of ideal independent senders whose sum is the whole budget in the mean."""
-    found = summary([played(hard_draw(seed, relays)) for seed in range(DRAWS)])
-    assert found.over <= found.over_by_chance
-    assert found.worst <= MOST_TIMES
+    totals = summarize([simulate(draw_hard_outage(seed, relays)) for seed in range(DRAWS)])
+    assert totals.over_limit <= totals.over_limit_by_chance
+    assert totals.worst_ratio <= MAX_RATIO
 
 
 @pytest.fixture(scope="module")
-def whole() -> Summary:
+def destination_totals() -> Summary:
     """Outages of whole destinations, drawn for all group sizes."""
-    return summary([played(whole_draw(seed, size)) for size in WHOLE_SIZES for seed in range(DRAWS)])
-
-
-def test_a_destination_that_was_out_as_a_whole_is_returned_to_within_the_budget(whole: Summary) -> None:
-    assert whole.over <= WHOLE_MOST_OVER * whole.draws
-    assert whole.over_any <= whole.over_by_chance
-    assert max(whole.worst, whole.worst_any) <= WHOLE_MOST_TIMES
+    return summarize(
+        [simulate(draw_destination_outage(seed, size)) for size in DESTINATION_SIZES for seed in range(DRAWS)]
+    )
+
+
+def test_destination_outage_stays_within_budget(destination_totals: Summary) -> None:
+    assert destination_totals.over_limit <= DESTINATION_MAX_OVER_SHARE * destination_totals.draws
+    assert destination_totals.over_limit_any_endpoint <= destination_totals.over_limit_by_chance
+    assert (
+        max(destination_totals.worst_ratio, destination_totals.worst_ratio_any_endpoint)
+        <= DESTINATION_MAX_RATIO
+    )
--- a/tests/slow_start/test_moments.py
+++ b/tests/slow_start/test_moments.py
@@ -5,26 +5,26 @@
 import pytest
 
 from tests.slow_start.moments import MOMENTS, shut_batches
-from tests.slow_start.outages import played, summary
+from tests.slow_start.outages import simulate, summarize
 
 SIZES = (20, 50, 230)
 DRAWS = 10  # of each size
-MOST_OVER = 1  # of the thirty draws of a moment
-MOST_TIMES = 1.5
+MAX_OVER_LIMIT = 1  # of the thirty draws of a moment
+MAX_RATIO = 1.5
 BATCH_SIZES = (20, 48, 100)
 BATCH_SEEDS = range(240, 300)
 
 
 @pytest.mark.parametrize("moment", MOMENTS)
-def test_a_common_moment_releases_no_more_than_the_budget(moment: str) -> None:
+def test_common_moment_stays_within_budget(moment: str) -> None:
     draws = [MOMENTS[moment](seed, size) for size in SIZES for seed in range(DRAWS)]
-    found = summary([played(draw) for draw in draws])
-    assert found.over <= MOST_OVER and found.worst <= MOST_TIMES
-    assert found.over_any <= found.over_by_chance
+    totals = summarize([simulate(draw) for draw in draws])
+    assert totals.over_limit <= MAX_OVER_LIMIT and totals.worst_ratio <= MAX_RATIO
+    assert totals.over_limit_any_endpoint <= totals.over_limit_by_chance
 
 
-def test_what_travels_together_weighs_no_more_than_was_earned_for_it() -> None:
+def test_first_batches_stay_within_budget() -> None:
     """Every sender's first call behind a common moment may be a batch; the budget is for their sum."""
     draws = [shut_batches(seed, size) for size in BATCH_SIZES for seed in BATCH_SEEDS]
-    found = summary([played(draw) for draw in draws])
-    assert (found.over, found.over_any) == (0, 0)
+    totals = summarize([simulate(draw) for draw in draws])
+    assert (totals.over_limit, totals.over_limit_any_endpoint) == (0, 0)
--- a/tests/slow_start/test_phases.py
+++ b/tests/slow_start/test_phases.py
@@ -5,13 +5,13 @@
 import pytest
 
 from mossfront.slow_start import (
-    CONFIRM_US,
-    RECENT_US,
+    CONFIRMATION_WINDOW_US,
+    RECENT_SUCCESS_US,
     Budget,
     EndpointTraffic,
     Phase,
     SlowStart,
-    share_notified,
+    notified_share,
 )
 from tests.support import SECOND
 
@@ -22,7 +22,7 @@
     cold_capacity_share=0.27,
     warm_up_us=13 * SECOND,
 )
-LOAD = EndpointTraffic(0.5, 0.5)
+TRAFFIC = EndpointTraffic(0.5, 0.5)
 
 
 def phase(slow: SlowStart) -> Phase:
@@ -30,35 +30,35 @@
     return slow.phase
 
 
-def failed(slow: SlowStart, now_us: int, sent_us: int = -1, **named: bool) -> None:
+def fail_call(slow: SlowStart, now_us: int, sent_us: int = -1, **named: bool) -> None:
     """A call has failed that was made just before, with the least credit to begin with."""
     sent_us = now_us - 1000 if sent_us < 0 else sent_us
-    slow.on_failure(now_us, sent_us, BUDGET, LOAD, 1.0, reason="reset", **named)
+    slow.on_failure(now_us, sent_us, BUDGET, TRAFFIC, 1.0, reason="reset", **named)
 
 
-def down(now_us: int = 10 * SECOND) -> SlowStart:
+def new_down_endpoint(now_us: int = 10 * SECOND) -> SlowStart:
     """An endpoint that two calls have found out."""
     slow = SlowStart()
-    failed(slow, now_us - SECOND)
-    failed(slow, now_us)
+    fail_call(slow, now_us - SECOND)
+    fail_call(slow, now_us)
     assert phase(slow) is Phase.DOWN
     return slow
 
 
-def test_a_first_failure_is_a_suspicion_and_a_second_call_an_outage() -> None:
+def test_first_failure_is_suspicion_and_later_call_confirms_outage() -> None:
     slow = SlowStart()
-    failed(slow, 10 * SECOND)
+    fail_call(slow, 10 * SECOND)
     assert phase(slow) is Phase.SUSPECT
-    failed(slow, 11 * SECOND, sent_us=9 * SECOND)  # it was out beside the first one
+    fail_call(slow, 11 * SECOND, sent_us=9 * SECOND)  # it was out beside the first one
     assert phase(slow) is Phase.SUSPECT
-    failed(slow, 12 * SECOND)
+    fail_call(slow, 12 * SECOND)
     assert phase(slow) is Phase.DOWN
 
 
-def test_one_call_may_tell_at_once_and_a_second_one_needs_credit() -> None:
+def test_one_confirmation_call_is_free() -> None:
     slow = SlowStart()
-    failed(slow, 10 * SECOND)
-    slow.confirm_by(10 * SECOND + CONFIRM_US)
+    fail_call(slow, 10 * SECOND)
+    slow.confirm_by(10 * SECOND + CONFIRMATION_WINDOW_US)
     assert not slow.needs_credit(10 * SECOND)
     slow.spend(10 * SECOND, BUDGET, 1.0, first=True)
     assert slow.needs_credit(10 * SECOND)
@@ -66,24 +66,24 @@
     assert change is not None and (change.before, change.after) == (Phase.SUSPECT, Phase.HEALTHY)
 
 
-def test_a_success_long_behind_a_failure_is_a_return() -> None:
+def test_success_long_after_failure_starts_slow_start() -> None:
     slow = SlowStart()
-    failed(slow, 10 * SECOND)
-    slow.confirm_by(10 * SECOND + CONFIRM_US)
+    fail_call(slow, 10 * SECOND)
+    slow.confirm_by(10 * SECOND + CONFIRMATION_WINDOW_US)
     slow.on_success(20 * SECOND, 19 * SECOND, BUDGET)
     assert phase(slow) is Phase.SLOW_START and slow.cold_since_us == 20 * SECOND
 
 
-def test_a_failure_beside_successes_limits_nothing_until_they_stop() -> None:
+def test_failure_limits_nothing_while_others_succeed() -> None:
     slow = SlowStart()
     slow.on_success(10 * SECOND, 9 * SECOND, BUDGET)
-    failed(slow, 11 * SECOND)
+    fail_call(slow, 11 * SECOND)
     assert phase(slow) is Phase.SUSPECT and not slow.needs_credit(11 * SECOND)
-    assert slow.needs_credit(10 * SECOND + RECENT_US + 1)
+    assert slow.needs_credit(10 * SECOND + RECENT_SUCCESS_US + 1)
 
 
-def test_while_it_is_down_a_message_earns_its_part_of_the_budget() -> None:
-    slow, now = down(), 10 * SECOND
+def test_message_earns_its_share_of_budget_while_down() -> None:
+    slow, now = new_down_endpoint(), 10 * SECOND
     calls = 0
     for _ in range(1000):
         now += 100_000
@@ -94,47 +94,47 @@
     assert calls == pytest.approx(1000 * 1.5 * 0.27, abs=5)
 
 
-def test_what_a_message_earns_grows_while_the_endpoint_warms() -> None:
+def test_credit_per_message_grows_during_warm_up() -> None:
     earned = [BUDGET.credit_per_message(at * SECOND) for at in range(15)]
     assert earned == sorted(earned)
     assert earned[0] == pytest.approx(1.5 * 0.27)
     assert earned[13] == earned[14] == pytest.approx(1.5)
 
 
-def test_without_messages_the_whole_group_earns_no_more_than_one_call_in_a_fall() -> None:
-    slow, now = down(), 10 * SECOND
+def test_group_without_messages_earns_at_most_one_call_per_window() -> None:
+    slow, now = new_down_endpoint(), 10 * SECOND
     slow.spend(now, BUDGET, 1.0, first=True)
     assert slow.next_call_us(now, BUDGET) - now >= BUDGET.collapse_window_us * BUDGET.senders
 
 
-def test_credit_is_not_saved_up() -> None:
-    slow, now = down(), 1000 * SECOND
+def test_credit_does_not_accumulate() -> None:
+    slow, now = new_down_endpoint(), 1000 * SECOND
     for _ in range(100):
         slow.on_message(now, BUDGET, EndpointTraffic(10.0, 10.0), 1.0)
     slow.spend(now, BUDGET, 1.0, first=True)
     assert now < slow.next_call_us(now, BUDGET)
 
 
-def test_a_sender_with_little_traffic_speaks_for_fewer_that_were_notified() -> None:
-    assert share_notified(0.01, 10 * SECOND) < 0.1
-    assert share_notified(5.0, 10 * SECOND) > 0.99
-    rare, busy = down(), down()
+def test_rare_sender_assumes_smaller_notified_share() -> None:
+    assert notified_share(0.01, 10 * SECOND) < 0.1
+    assert notified_share(5.0, 10 * SECOND) > 0.99
+    rare, busy = new_down_endpoint(), new_down_endpoint()
     for slow, per_s in ((rare, 0.03), (busy, 3.0)):
         slow.on_message(10 * SECOND, BUDGET, EndpointTraffic(per_s, per_s), 1.0)
     assert rare.next_call_us(10 * SECOND, BUDGET) < busy.next_call_us(10 * SECOND, BUDGET)
 
 
-def test_a_failure_in_a_slow_start_beside_successes_keeps_its_clock() -> None:
-    slow = down()
+def test_single_failure_in_slow_start_keeps_return_time() -> None:
+    slow = new_down_endpoint()
     slow.on_success(12 * SECOND, 11 * SECOND, BUDGET)
-    failed(slow, 13 * SECOND)
+    fail_call(slow, 13 * SECOND)
     assert phase(slow) is Phase.SLOW_START and slow.cold_since_us == 12 * SECOND
-    failed(slow, 13 * SECOND, outage=True)
+    fail_call(slow, 13 * SECOND, outage=True)
     assert phase(slow) is Phase.DOWN
 
 
-def test_a_slow_start_lasts_until_it_is_warm_and_a_fall_longer() -> None:
-    slow = down()
+def test_slow_start_lasts_warm_up_plus_collapse_window() -> None:
+    slow = new_down_endpoint()
     slow.on_success(12 * SECOND, 11 * SECOND, BUDGET)
     slow.on_success(27 * SECOND, 26 * SECOND, BUDGET)
     assert phase(slow) is Phase.SLOW_START
@@ -143,14 +143,14 @@
 
 
 @pytest.mark.parametrize("phase_before", [Phase.DOWN, Phase.SUSPECT, Phase.SLOW_START])
-def test_a_new_process_goes_on_in_the_phase_of_the_former_one(phase_before: Phase) -> None:
+def test_restore_continues_in_former_phase(phase_before: Phase) -> None:
     slow = SlowStart()
     slow.restore(5 * SECOND, BUDGET, 0.5, phase_before, cold_for_us=2 * SECOND)
     assert phase(slow) is phase_before and slow.needs_credit(5 * SECOND)
     assert slow.cold_since_us == (3 * SECOND if phase_before is Phase.SLOW_START else -1)
 
 
-def test_a_new_process_earns_no_more_than_the_former_one_where_few_were_served() -> None:
+def test_restored_served_share_reduces_credit() -> None:
     whole, half = SlowStart(), SlowStart()
     for slow, share in ((whole, 1.0), (half, 0.5)):
         slow.restore(0, BUDGET, 0.0, Phase.DOWN, served_share=share)
@@ -158,31 +158,31 @@
     assert whole.credit_available_in_us(0, BUDGET) < half.credit_available_in_us(0, BUDGET)
 
 
-def test_a_sibling_that_has_not_just_served_is_doubted_until_one_call_is_served() -> None:
+def test_sibling_without_recent_success_is_suspect_until_one_success() -> None:
     slow = SlowStart()
-    slow.on_sibling_failure(10 * SECOND, BUDGET, LOAD, 0.5, "s-2 failed")
+    slow.on_sibling_failure(10 * SECOND, BUDGET, TRAFFIC, 0.5, "s-2 failed")
     assert phase(slow) is Phase.SUSPECT and slow.needs_credit(10 * SECOND)
     slow.on_success(30 * SECOND, 29 * SECOND, BUDGET)
     assert phase(slow) is Phase.HEALTHY
 
 
-def test_a_sibling_that_has_just_served_is_not_doubted() -> None:
+def test_sibling_with_recent_success_stays_healthy() -> None:
     slow = SlowStart()
     slow.on_success(10 * SECOND, 9 * SECOND, BUDGET)
-    assert slow.on_sibling_failure(11 * SECOND, BUDGET, LOAD, 0.5, "s-2 failed") is None
+    assert slow.on_sibling_failure(11 * SECOND, BUDGET, TRAFFIC, 0.5, "s-2 failed") is None
     assert phase(slow) is Phase.HEALTHY
 
 
-def test_a_sibling_that_was_doubted_and_fails_itself_has_to_be_warm_before_it_is_healthy() -> None:
+def test_suspect_sibling_that_fails_goes_through_slow_start() -> None:
     slow = SlowStart()
-    slow.on_sibling_failure(10 * SECOND, BUDGET, LOAD, 0.5, "s-2 failed")
-    failed(slow, 11 * SECOND)
+    slow.on_sibling_failure(10 * SECOND, BUDGET, TRAFFIC, 0.5, "s-2 failed")
+    fail_call(slow, 11 * SECOND)
     slow.on_success(30 * SECOND, 29 * SECOND, BUDGET)
     assert phase(slow) is Phase.SLOW_START
 
 
-def test_an_error_gives_a_busy_sender_its_call_back_and_a_rare_one_next_to_nothing() -> None:
-    rare, busy = down(), down()
+def test_refund_is_whole_for_busy_sender_and_small_for_rare_one() -> None:
+    rare, busy = new_down_endpoint(), new_down_endpoint()
     for slow, per_s in ((rare, 0.03), (busy, 10.0)):
         slow.spend(10 * SECOND, BUDGET, 1.0, first=True)
         slow.refund(10 * SECOND, BUDGET, EndpointTraffic(per_s, per_s))
--- a/tests/slow_start/test_planted.py
+++ b/tests/slow_start/test_planted.py
@@ -12,13 +12,13 @@
 from mossfront.interface import OutageRecord, OutageRecordKind
 from mossfront.slow_start import Budget, Phase, PhaseChange, SlowStart
 from mossfront.state import Endpoint
-from tests.slow_start.outages import Draw, Failure, Restart, hard_draw, played
+from tests.slow_start.outages import Failure, OutageDraw, Restart, draw_hard_outage, simulate
 from tests.support import SECOND
 
 Patch = Callable[[pytest.MonkeyPatch], None]
 DRAWS = 16
 SIZES = (9, 20, 50, 230)
-HARM = 1.15  # times the worst windows in the mean, at least
+MIN_HARM_FACTOR = 1.15  # times the worst windows in the mean, at least
 
 
 def no_credit(monkey: pytest.MonkeyPatch) -> None:
@@ -31,17 +31,17 @@
     monkey.setattr(Budget, "credit_per_message", lambda *_: 8.0)
 
 
-def gate_by_size(monkey: pytest.MonkeyPatch) -> None:
+def ignore_two_failures(monkey: pytest.MonkeyPatch) -> None:
     """As in the faulty release: fewer than three failures in a row say nothing, to a later life neither."""
     failed, succeeded = SlowStart.on_failure, SlowStart.on_success
-    row = dict[int, int]()
+    failures_in_row = dict[int, int]()
 
     def third(slow: SlowStart, *told: Any, **named: Any) -> PhaseChange | None:
-        row[id(slow)] = row.get(id(slow), 0) + 1
-        return failed(slow, *told, **named) if row[id(slow)] > 2 else None
+        failures_in_row[id(slow)] = failures_in_row.get(id(slow), 0) + 1
+        return failed(slow, *told, **named) if failures_in_row[id(slow)] > 2 else None
 
     def served(slow: SlowStart, *told: Any) -> PhaseChange | None:
-        row[id(slow)] = 0
+        failures_in_row[id(slow)] = 0
         return succeeded(slow, *told)
 
     def careless(relay: DecisionEngine, endpoint: Endpoint, care: OutageRecord) -> None:
@@ -56,71 +56,75 @@
 
 def weight_not_charged(monkey: pytest.MonkeyPatch) -> None:
     """A batch is charged as one message."""
-    charge = SlowStart.spend
+    spend = SlowStart.spend
 
     def once(slow: SlowStart, now_us: int, budget: Budget, weight: float, first: bool) -> None:
         if first:
-            charge(slow, now_us, budget, weight, first)
+            spend(slow, now_us, budget, weight, first)
 
     monkey.setattr(SlowStart, "spend", once)
     monkey.setattr(SlowStart, "max_call_weight", lambda *_: 10.0)
 
 
-def restart_without_care(monkey: pytest.MonkeyPatch) -> None:
+def restart_without_outage_records(monkey: pytest.MonkeyPatch) -> None:
     """A new life does not know what the former one has seen."""
     monkey.setattr(DecisionEngine, "_beware", lambda *_: None)
 
 
-def busy(draw: Draw) -> Draw:
+def under_full_load(draw: OutageDraw) -> OutageDraw:
     """A full load on one endpoint, so that much is held when it returns."""
-    return replace(draw, load=1.2, endpoints=1, failure=Failure.REFUSED, restart=None, errors=0.0)
+    return replace(draw, load=1.2, endpoints=1, failure=Failure.REFUSED, restart=None, error_share=0.0)
 
 
-def batched(draw: Draw) -> Draw:
+def in_batches(draw: OutageDraw) -> OutageDraw:
     """Clumps for an endpoint that takes ten messages in a call, whose rate few relays share."""
-    return replace(busy(draw), kind="bank", clump=8, capacity_per_s=3.0)
+    return replace(under_full_load(draw), kind="bank", burst_size=8, capacity_per_s=3.0)
 
 
-def restarted(draw: Draw) -> Draw:
+def with_restarts(draw: OutageDraw) -> OutageDraw:
     """Most of the group is restarted as the endpoint returns, and finds what it held."""
-    return replace(busy(draw), failure=Failure.TIMEOUT, kind="lot", clump=1, restart=Restart(0.8, 0.3))
+    return replace(
+        under_full_load(draw), failure=Failure.TIMEOUT, kind="lot", burst_size=1, restart=Restart(0.8, 0.3)
+    )
 
 
-def harm(relays: int, shaped: Callable[[Draw], Draw]) -> float:
+def total_worst_ratio(relays: int, shaped: Callable[[OutageDraw], OutageDraw]) -> float:
     """The worst windows of some draws, added up."""
-    return sum(played(shaped(hard_draw(seed, relays))).worst for seed in range(DRAWS))
+    return sum(simulate(shaped(draw_hard_outage(seed, relays))).worst_ratio for seed in range(DRAWS))
 
 
 @pytest.mark.parametrize(
     ("patch", "shaped", "relays"),
     [
-        *((no_credit, busy, size) for size in SIZES),
-        *((whole_budget_for_each, busy, size) for size in SIZES),
-        *((weight_not_charged, batched, size) for size in SIZES),
-        *((gate_by_size, restarted, size) for size in (9, 20, 50)),
-        *((restart_without_care, restarted, size) for size in (9, 20, 50)),  # of more, few have been told
+        *((no_credit, under_full_load, size) for size in SIZES),
+        *((whole_budget_for_each, under_full_load, size) for size in SIZES),
+        *((weight_not_charged, in_batches, size) for size in SIZES),
+        *((ignore_two_failures, with_restarts, size) for size in (9, 20, 50)),
+        *(
+            (restart_without_outage_records, with_restarts, size) for size in (9, 20, 50)
+        ),  # of more, few have been told
     ],
 )
-def test_a_planted_fault_is_found(
-    patch: Patch, shaped: Callable[[Draw], Draw], relays: int, monkeypatch: pytest.MonkeyPatch
+def test_seeded_fault_is_detected(
+    patch: Patch, shaped: Callable[[OutageDraw], OutageDraw], relays: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    before = harm(relays, shaped)
+    before = total_worst_ratio(relays, shaped)
     patch(monkeypatch)
-    assert harm(relays, shaped) > HARM * before
+    assert total_worst_ratio(relays, shaped) > MIN_HARM_FACTOR * before
 
 
-def spread_s(draws: list[float]) -> float:
+def call_time_spread_s(initial_credits: list[float]) -> float:
     """From the first to the last time at which relays that were restarted together may call."""
-    budget = Budget(len(draws), 1.5, 3 * SECOND, 0.27, 13 * SECOND)
+    budget = Budget(len(initial_credits), 1.5, 3 * SECOND, 0.27, 13 * SECOND)
     times = list[int]()
-    for drawn in draws:
+    for drawn in initial_credits:
         slow = SlowStart()
         slow.restore(0, budget, drawn, Phase.DOWN)
         times.append(slow.next_call_us(0, budget))
     return (max(times) - min(times)) / SECOND
 
 
-def test_relays_with_one_seed_would_call_together() -> None:
+def test_equal_initial_credit_would_synchronize_relays() -> None:
     """Planted: the same draw for all. What is drawn apart is spread over a fall for each relay."""
-    assert spread_s([number / 50 for number in range(50)]) > 140
-    assert spread_s([0.5] * 50) == 0
+    assert call_time_spread_s([number / 50 for number in range(50)]) > 140
+    assert call_time_spread_s([0.5] * 50) == 0
--- a/tests/slow_start/test_processes.py
+++ b/tests/slow_start/test_processes.py
@@ -22,13 +22,13 @@
     return done, rec.read(done.path)
 
 
-def test_fifty_relays_break_no_rule_at_returns(run: tuple[Done, rec.Record]) -> None:
+def test_fifty_relays_break_no_rule(run: tuple[Done, rec.Record]) -> None:
     done, record = run
     assert done.crashed == ()
     assert [str(breach) for breach in judge(record).breaches] == []
 
 
-def test_no_endpoint_that_returns_is_pushed_over_by_fifty_relays(run: tuple[Done, rec.Record]) -> None:
+def test_no_returned_endpoint_collapses(run: tuple[Done, rec.Record]) -> None:
     """Stricter than the rule: neither by relays that had not met the outage."""
     fallen = {event.host for event in run[1].events if isinstance(event, rec.Life) and event.state == "fell"}
     assert fallen == set()
--- a/tests/slow_start/test_shut_destinations.py
+++ b/tests/slow_start/test_shut_destinations.py
@@ -14,7 +14,7 @@
 SEEDS = (21, 22, 23)  # each broke the rule on the release that failed
 
 
-def test_relays_that_were_told_one_opening_time_break_no_rule(tmp_path: Path) -> None:
+def test_common_retry_after_time_breaks_no_rule(tmp_path: Path) -> None:
     breaches = list[str]()
     for seed in SEEDS:
         scenario = load_real(SCENARIO).model_copy(update={"seed": seed})
--- a/tests/slow_start/test_soak.py
+++ b/tests/slow_start/test_soak.py
@@ -15,32 +15,32 @@
 
 
 @pytest.mark.parametrize("seed", [2, 4, 5])  # troubles of all kinds; outages alone; many of them together
-def test_a_short_soak_breaks_no_rule(seed: int, tmp_path: Path) -> None:
+def test_short_soak_breaks_no_rule(seed: int, tmp_path: Path) -> None:
     result = soak_seed(seed, RELAYS, LENGTH_S, tmp_path / "run")
     assert [str(breach) for breach in result.breaches] == []
     assert result.crashes == () and not result.failed
     assert not (tmp_path / "run").exists(), "what was kept is not left behind"
 
 
-def test_six_relays_at_their_limits_try_what_a_restart_finds(tmp_path: Path) -> None:
+def test_recovered_messages_are_attempted_at_exhausted_limits(tmp_path: Path) -> None:
     """A crowd, lowered capacity, and a kill while a limit refuses; found in a soak of 40 relays."""
     result = soak_seed(3007, 40, 34.0, tmp_path / "run")
     assert [str(breach) for breach in result.breaches] == []
 
 
-def test_a_seed_stands_for_one_world() -> None:
-    worlds = [scenario_of(seed, RELAYS, LENGTH_S) for seed in range(100)]
-    assert worlds == [scenario_of(seed, RELAYS, LENGTH_S) for seed in range(100)]
-    drawn = {event.what for world in worlds for event in world.events}
-    assert drawn >= {"refuse", "silent", "shut", "kill", "term", "hup", "crowd", "garble", "rude"}
+def test_seed_determines_scenario() -> None:
+    scenarios = [scenario_of(seed, RELAYS, LENGTH_S) for seed in range(100)]
+    assert scenarios == [scenario_of(seed, RELAYS, LENGTH_S) for seed in range(100)]
+    event_kinds = {event.what for world in scenarios for event in world.events}
+    assert event_kinds >= {"refuse", "silent", "shut", "kill", "term", "hup", "crowd", "garble", "rude"}
 
 
-def test_a_soak_that_would_not_fit_the_machine_is_refused() -> None:
+def test_oversized_soak_is_rejected() -> None:
     with pytest.raises(SoakError, match="relays, where 1 to"):
         check_size(MOST_RELAYS + 1)
     check_size(RELAYS)
 
 
-def test_a_range_of_seeds_that_cannot_be_read_is_named() -> None:
+def test_unreadable_seed_range_is_reported() -> None:
     answer = CliRunner().invoke(group, ["soak", "--seeds", "9-3"])
     assert answer.exit_code == 2 and "'9-3'" in answer.output
--- a/tests/support.py
+++ b/tests/support.py
@@ -25,10 +25,10 @@
 UNSAFE = api.MessageClass(
     "order", api.Effect.UNSAFE, aim_us=3 * SECOND, deadline_us=16 * SECOND, worth=4.0, late_worth=0.5
 )
-TURN = api.MessageClass("turn", api.Effect.SAFE, aim_us=SECOND, deadline_us=12 * SECOND, in_order=True)
+ORDERED = api.MessageClass("turn", api.Effect.SAFE, aim_us=SECOND, deadline_us=12 * SECOND, in_order=True)
 SETTINGS = api.Settings(
     max_calls=8,
-    classes=(SAFE, KEYED, ZONED, UNSAFE, TURN),
+    classes=(SAFE, KEYED, ZONED, UNSAFE, ORDERED),
     kinds=(api.Kind("plain"), api.Kind("split", separate_routes=True, batch_size=3)),
     tenants=(api.Tenant("big", 20.0), api.Tenant("small", 2.0)),
     group_size=2,
@@ -58,13 +58,13 @@
     kind: str = "plain",
     listing: api.Listing = api.Listing.READY,
     zone: str = "a",
-    rate: float = 1.0,
+    rate_hint: float = 1.0,
 ) -> api.EndpointEntry:
     """One endpoint on the list."""
-    return api.EndpointEntry(host, dest, zone, kind, listing, rate)
+    return api.EndpointEntry(host, dest, zone, kind, listing, rate_hint)
 
 
-def roster(
+def endpoint_update(
     *entries: api.EndpointEntry, kind: api.EndpointUpdateKind = api.EndpointUpdateKind.FULL
 ) -> api.EndpointUpdate:
     """News of the list."""
@@ -75,23 +75,27 @@
     name: str,
     cls: api.MessageClass = SAFE,
     dest: int = 1,
-    left_us: int | None = None,
+    time_left_us: int | None = None,
     key: str = "",
     tenant: str = "",
 ) -> api.Arrival:
     """A message handed in with all of its time left unless said otherwise."""
-    return api.Arrival(name, dest, cls.name, cls.deadline_us if left_us is None else left_us, tenant, key)
+    return api.Arrival(
+        name, dest, cls.name, cls.deadline_us if time_left_us is None else time_left_us, tenant, key
+    )
 
 
-def ended(
+def attempt_outcome(
     send: api.Send,
     verdict: api.Verdict = api.Verdict.OK,
     attempt: int = 0,
-    took_us: int = 100_000,
-    wait_us: int = 0,
+    elapsed_us: int = 100_000,
+    retry_after_us: int = 0,
 ) -> api.Outcome:
     """The outcome of a send; a success concludes its message."""
-    return api.Outcome(send.id, attempt, send.host, verdict, took_us, verdict is api.Verdict.OK, wait_us)
+    return api.Outcome(
+        send.id, attempt, send.host, verdict, elapsed_us, verdict is api.Verdict.OK, retry_after_us
+    )
 
 
 def sends(actions: list[api.Action]) -> list[api.Send]:
--- a/tests/test_backlog.py
+++ b/tests/test_backlog.py
@@ -14,9 +14,21 @@
 from mossfront import interface as api
 from mossfront.engine import RISKS, SICK_SHARE
 from mossfront.state import Call, Destination, Message
-from tests.support import KEYED, SAFE, SECOND, SETTINGS, TURN, UNSAFE, ZONED, entry, roster, sends, settings
-
-CLASSES = (SAFE, KEYED, ZONED, UNSAFE, TURN)
+from tests.support import (
+    KEYED,
+    ORDERED,
+    SAFE,
+    SECOND,
+    SETTINGS,
+    UNSAFE,
+    ZONED,
+    endpoint_update,
+    entry,
+    sends,
+    settings,
+)
+
+CLASSES = (SAFE, KEYED, ZONED, UNSAFE, ORDERED)
 STEP_US = 20_000
 
 
@@ -70,12 +82,14 @@
     tries: dict[str, int] = {}
     hosts = [entry(f"h{n}", n % 5, ("plain", "split")[n % 2], zone="ab"[n % 3 > 0]) for n in range(9)]
     for now_us in range(0, 6 * SECOND, STEP_US):
-        events: list[api.Event] = [roster(*hosts)] if now_us == 0 else [o for at, o in due if at <= now_us]
+        events: list[api.Event] = (
+            [endpoint_update(*hosts)] if now_us == 0 else [o for at, o in due if at <= now_us]
+        )
         due = [(at, o) for at, o in due if at > now_us]
         while rng.random() < rate:
             cls, ref = rng.choice(CLASSES), f"{len(tries)}"
             left_us = cls.deadline_us - rng.choice((0, 0, 0, SECOND))
-            key = f"k{rng.randrange(4)}" if cls is TURN else ""
+            key = f"k{rng.randrange(4)}" if cls is ORDERED else ""
             tries[ref] = 0
             dest, tenant = rng.choice((0, 0, 1, 2, 3, 4)), rng.choice(("big", "small"))
             events.append(api.Arrival(ref, dest, cls.name, left_us, tenant, key))
@@ -125,7 +139,7 @@
 
     relay._score = counted  # type: ignore[method-assign]
     arrivals = [api.Arrival(f"m{n}", 1, long.name, long.deadline_us - n) for n in range(held)]
-    out = sends(relay.step(0, [roster(entry("h1"), entry("h2")), *arrivals]))
+    out = sends(relay.step(0, [endpoint_update(entry("h1"), entry("h2")), *arrivals]))
     scored[0], calls = 0, 0
     for now_us in range(100_000, 8_000_000, 100_000):
         ended = [api.Outcome(s.id, 0, s.host, api.Verdict.OK, 100_000, True) for s in out]
--- a/tests/test_by_hand.py
+++ b/tests/test_by_hand.py
@@ -12,8 +12,8 @@
 from mallowlug.system import POSIX, PosixDisk
 from mossfront import interface as api
 from mossfront.engine import DecisionEngine
-from tests.calls import Calls, serving
-from tests.support import SAFE, SECOND, arrival, ended, entry, roster, sends, settings
+from tests.calls import HostCalls, start_host
+from tests.support import SAFE, SECOND, arrival, attempt_outcome, endpoint_update, entry, sends, settings
 from tests.world import World, called, silent, soon
 
 OUT, BACK = "/hosts/disable?name=", "/hosts/enable?name="
@@ -123,8 +123,8 @@
 
 
 async def test_a_ban_between_decision_and_write_binds_the_write() -> None:
-    host = await serving()
-    calls = Calls(host.port)
+    host = await start_host()
+    calls = HostCalls(host.port)
     calls.send("m1")
     calls.hosts.set_disabled("h1", True)
     assert await calls.outcome("m1") == PartOutcome(api.Verdict.NOT_SENT)
@@ -184,7 +184,7 @@
 def test_back_means_cold_and_what_was_learned_of_the_old_process_is_gone() -> None:
     """Its quota begins at one call and its calls are spaced as at a return from an outage."""
     relay = DecisionEngine(settings(max_calls=40), 1)
-    relay.step(0, [roster(entry("h1"))])
+    relay.step(0, [endpoint_update(entry("h1"))])
     relay.step(SECOND, [arrival(f"a{n}") for n in range(10)])
     before = relay.endpoints["h1"]
     relay.step(2 * SECOND, [api.HostOverride("h1", True), *(arrival(f"b{n}") for n in range(10))])
@@ -202,17 +202,17 @@
         new = [arrival(f"c{now}")] if now % 300_000 == 0 else []
         for send in (found := sends(relay.step(now, [api.TimerDue(), *new]))):
             came += 1
-            relay.step(now, [ended(send, attempt=0)])
+            relay.step(now, [attempt_outcome(send, attempt=0)])
     assert 0 < came < 20
 
 
 def test_calls_that_were_out_are_settled_with_the_old_process() -> None:
     relay = DecisionEngine(settings(), 1)
-    relay.step(0, [roster(entry("h1"))])
+    relay.step(0, [endpoint_update(entry("h1"))])
     (send,) = sends(relay.step(SECOND, [arrival("a", SAFE)]))
     relay.step(2 * SECOND, [api.HostOverride("h1", True)])
     relay.step(3 * SECOND, [api.HostOverride("h1", False)])
-    relay.step(4 * SECOND, [ended(send)])
+    relay.step(4 * SECOND, [attempt_outcome(send)])
     assert relay.endpoints["h1"].calls == [] and relay.calls_out == 0 and not relay.messages
 
 
@@ -222,10 +222,12 @@
 def test_the_list_never_brings_a_host_back(kind: api.EndpointUpdateKind) -> None:
     """Not a whole list, nor a change of its address, nor a destination that wakes."""
     relay = DecisionEngine(settings(), 1)
-    relay.step(0, [api.HostOverride("h1", True), roster(entry("h1"))])
-    relay.step(SECOND, [roster(entry("h1", listing=api.Listing.GONE), kind=api.EndpointUpdateKind.CHANGES)])
-    relay.step(40 * SECOND, [roster()])  # long enough to be forgotten
-    relay.step(41 * SECOND, [roster(entry("h1", dest=2), kind=kind)])
+    relay.step(0, [api.HostOverride("h1", True), endpoint_update(entry("h1"))])
+    relay.step(
+        SECOND, [endpoint_update(entry("h1", listing=api.Listing.GONE), kind=api.EndpointUpdateKind.CHANGES)]
+    )
+    relay.step(40 * SECOND, [endpoint_update()])  # long enough to be forgotten
+    relay.step(41 * SECOND, [endpoint_update(entry("h1", dest=2), kind=kind)])
     assert sends(relay.step(42 * SECOND, [arrival("a", dest=2)])) == []
     assert sends(relay.step(43 * SECOND, [api.HostOverride("h1", False)])) or sends(
         relay.step(60 * SECOND, [api.TimerDue(), arrival("b", dest=2)])
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -12,8 +12,8 @@
 from mossfront import DecisionEngine
 from mossfront import interface as api
 from mossfront.interface import Verdict
-from tests.calls import Calls, serving
-from tests.support import KEYED, SECOND, arrival, ended, entry, roster, sends, settings
+from tests.calls import HostCalls, start_host
+from tests.support import KEYED, SECOND, arrival, attempt_outcome, endpoint_update, entry, sends, settings
 from tests.world import Request, World, enqueue, packed, silent, soon
 
 
@@ -140,7 +140,7 @@
     assert sent > 1
 
 
-def gated(calls: Calls) -> asyncio.Event:
+def gated(calls: HostCalls) -> asyncio.Event:
     """Connections come up, but are not the relay's to use until the gate is set."""
     gate, opened = asyncio.Event(), calls.hosts._open
 
@@ -155,10 +155,10 @@
 
 async def test_a_connection_that_is_up_only_after_the_calls_time_carries_nothing() -> None:
     """It came up late: its message has had its end, or gone elsewhere."""
-    host = await serving()
-    calls = Calls(host.port)
+    host = await start_host()
+    calls = HostCalls(host.port)
     gate = gated(calls)
-    calls.send("m1", limit_us=100_000)
+    calls.send("m1", timeout_us=100_000)
     assert (await calls.outcome("m1")).verdict is Verdict.CONNECT_FAILED
     gate.set()
     while calls.hosts.exchanges:
@@ -168,8 +168,8 @@
 
 
 async def test_a_call_that_comes_up_late_to_a_host_that_went_is_not_made() -> None:
-    host = await serving()
-    calls = Calls(host.port)
+    host = await start_host()
+    calls = HostCalls(host.port)
     gate = gated(calls)
     calls.send("m1")
     while not host.connections:
@@ -183,8 +183,8 @@
 
 async def test_a_keyed_message_whose_window_passes_while_it_connects_is_not_written() -> None:
     """The repeat was chosen in time; a connection that comes up late would carry it behind its window."""
-    host = await serving()
-    calls = Calls(host.port)
+    host = await start_host()
+    calls = HostCalls(host.port)
     gate = gated(calls)
     parts = [
         Part("k1", 1, "key", b"x", 60_000_000, start_within_us=100_000),
@@ -202,9 +202,9 @@
 
 def test_a_repeat_says_by_when_its_key_is_known() -> None:
     relay = DecisionEngine(settings(), 1)
-    first = sends(relay.step(SECOND, [roster(entry("h1")), arrival("k", KEYED)]))
+    first = sends(relay.step(SECOND, [endpoint_update(entry("h1")), arrival("k", KEYED)]))
     assert [send.start_within_us for send in first] == [0]
-    again = sends(relay.step(2 * SECOND, [ended(first[0], api.Verdict.ERROR), api.TimerDue()]))
+    again = sends(relay.step(2 * SECOND, [attempt_outcome(first[0], api.Verdict.ERROR), api.TimerDue()]))
     assert [send.start_within_us for send in again] == [KEYED.window_us - SECOND - 5_000]
 
 
--- a/tests/test_deadlines.py
+++ b/tests/test_deadlines.py
@@ -21,8 +21,8 @@
 from mallowlug.system import POSIX
 from mossfront import DecisionEngine
 from mossfront import interface as api
-from tests.calls import Calls, serving
-from tests.support import KEYED, SECOND, UNSAFE, arrival, entry, roster, sends, settings
+from tests.calls import HostCalls, start_host
+from tests.support import KEYED, SECOND, UNSAFE, arrival, endpoint_update, entry, sends, settings
 from tests.world import World, delivered, settings_json, silent
 
 LAG_US = 13_000  # what a step, or taking up a journal of 90 messages, took on a scaled-down core
@@ -31,8 +31,8 @@
 
 def test_a_message_that_waited_for_its_step_has_so_much_less_time() -> None:
     relay = DecisionEngine(settings(), 1)
-    waited = replace(arrival("m1", UNSAFE, left_us=2 * SECOND), received_us=SECOND - LAG_US)
-    [send] = sends(relay.step(SECOND, [roster(entry("h1")), waited]))
+    waited = replace(arrival("m1", UNSAFE, time_left_us=2 * SECOND), received_us=SECOND - LAG_US)
+    [send] = sends(relay.step(SECOND, [endpoint_update(entry("h1")), waited]))
     assert send.timeout_us == 2 * SECOND - LAG_US
 
 
@@ -41,13 +41,13 @@
     found = replace(
         arrival("k1", KEYED), attempts=1, in_doubt_age_us=SECOND, in_doubt_zone="a", received_us=SECOND
     )
-    [send] = sends(relay.step(SECOND + LAG_US, [roster(entry("h1")), found]))
+    [send] = sends(relay.step(SECOND + LAG_US, [endpoint_update(entry("h1")), found]))
     assert send.start_within_us == KEYED.window_us - SECOND - LAG_US - settings().round_us
 
 
 async def test_a_calls_time_counts_from_its_step_and_not_from_when_it_is_let_out() -> None:
-    host = await serving(silent)
-    calls = Calls(host.port)
+    host = await start_host(silent)
+    calls = HostCalls(host.port)
     sent_s = asyncio.get_running_loop().time() - 5.0
     parts = [Part("m1", 0, "", b"x", 5_200_000), Part("m2", 0, "", b"x", 60_000_000)]
     exchange = calls.hosts.send(Call("h1", parts, sent_s))
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -12,7 +12,7 @@
 from mallowlug.core.descriptors import LEAST, shares_of
 from mallowlug.core.model import Call, EndpointList, Part, ResolvedEndpoint
 from mossfront.interface import EndpointEntry, Listing, Verdict
-from tests.calls import Calls, serving
+from tests.calls import HostCalls, start_host
 from tests.world import World, silent
 
 
@@ -35,8 +35,8 @@
 
 async def test_a_new_connection_takes_the_place_of_the_idle_one_that_is_due_first() -> None:
     """Each destination's connection is kept for the next call, until another needs its descriptor."""
-    hosts = [await serving() for _ in range(3)]
-    calls = Calls(hosts[0].port)
+    hosts = [await start_host() for _ in range(3)]
+    calls = HostCalls(hosts[0].port)
     calls.hosts._most_open = 2
     rows = [
         ResolvedEndpoint(EndpointEntry(f"h{n}", n, "a", "banks", Listing.READY), ("127.0.0.1", host.port))
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -16,9 +16,9 @@
     SETTINGS,
     UNSAFE,
     arrival,
-    ended,
+    attempt_outcome,
+    endpoint_update,
     entry,
-    roster,
     sends,
     settings,
 )
@@ -36,12 +36,12 @@
         events: list[api.Event] = [outcome for at_us, outcome in due if at_us <= now_us]
         due = [(at_us, outcome) for at_us, outcome in due if at_us > now_us]
         for send in sends(checker.step(now_us, [*events, api.TimerDue(), *feed(now_us)])):
-            attempt = len(checker.cases[send.id].attempts) - 1
+            attempt = len(checker.messages[send.id].attempts) - 1
             said = answer(now_us, send, attempt)
             verdict, took_us = said or (api.Verdict.TIMEOUT, send.timeout_us)
             if took_us > send.timeout_us:
                 verdict, took_us = api.Verdict.TIMEOUT, send.timeout_us
-            due.append((now_us + took_us, ended(send, verdict, attempt, took_us)))
+            due.append((now_us + took_us, attempt_outcome(send, verdict, attempt, took_us)))
             log.append((now_us, send))
     return log
 
@@ -56,7 +56,7 @@
 def test_a_limit_far_under_the_told_rate_is_not_hammered() -> None:
     """Incident i2ed9dd: a lowered limit drew refusals for as long as it lasted."""
     checker = Checker(settings(rate_hints_given=True, max_held_messages=500))
-    checker.step(0, [roster(entry("h1", rate=20.0))])
+    checker.step(0, [endpoint_update(entry("h1", rate_hint=20.0))])
     served: list[int] = []
 
     def three_a_second(now_us: int, _send: api.Send, _attempt: int) -> tuple[api.Verdict, int]:
@@ -75,7 +75,7 @@
 def test_short_slots_go_where_they_earn_most_in_their_time() -> None:
     """Crawling destinations just inside the time-out must not take the slots of the quick ones."""
     checker = Checker(settings(max_calls=4, max_held_messages=500))
-    checker.step(0, [roster(entry("slow", dest=1), entry("quick", dest=2))])
+    checker.step(0, [endpoint_update(entry("slow", dest=1), entry("quick", dest=2))])
 
     def answer(_now_us: int, send: api.Send, _attempt: int) -> tuple[api.Verdict, int]:
         return OK, 900_000 if send.host == "slow" else 60_000
@@ -88,7 +88,7 @@
 def test_one_trial_at_a_time_for_all_failing_routes_of_a_destination() -> None:
     """A connection that fails holds its slot for as long as connecting may take (incident ib87010)."""
     checker = Checker(settings(max_held_messages=500))
-    checker.step(0, [roster(*(entry(f"h{n}", kind="split") for n in range(4)))])
+    checker.step(0, [endpoint_update(*(entry(f"h{n}", kind="split") for n in range(4)))])
     log = drive(checker, 12 * SECOND, steady(50_000), lambda *_: (api.Verdict.CONNECT_FAILED, SECOND))
     sent = sorted({at_us for at_us, _ in log if at_us > 6 * SECOND})  # messages of one call share a time
     assert sent, "trials go on"
@@ -98,21 +98,21 @@
 def test_a_brief_stall_is_not_taken_for_an_outage() -> None:
     """A pause of hundreds of milliseconds ends in late answers, and full speed at once."""
     checker = Checker(settings(max_held_messages=500))
-    checker.step(0, [roster(entry("h1"))])
+    checker.step(0, [endpoint_update(entry("h1"))])
 
     def answer(now_us: int, _send: api.Send, _attempt: int) -> tuple[api.Verdict, int]:
         pause = 5 * SECOND <= now_us % (6 * SECOND) < 5_400_000
         return OK, 400_000 if pause else 80_000
 
     log = drive(checker, 20 * SECOND, steady(100_000), answer)
-    assert len(log) == len(checker.cases), "no repeats"
+    assert len(log) == len(checker.messages), "no repeats"
     assert len([1 for at_us, _ in log if at_us > 18 * SECOND]) >= 17
-    assert not [a for a in checker.trace if isinstance(a, api.Log | api.Fail | api.Refuse)]
+    assert not [a for a in checker.actions if isinstance(a, api.Log | api.Fail | api.Refuse)]
 
 
 def test_silence_shows_as_overdue_calls_and_stops_new_ones_before_any_timeout() -> None:
     checker = Checker(settings(max_held_messages=500))
-    checker.step(0, [roster(entry("h1"), entry("h2", dest=2))])
+    checker.step(0, [endpoint_update(entry("h1"), entry("h2", dest=2))])
 
     def answer(now_us: int, send: api.Send, _attempt: int) -> tuple[api.Verdict, int]:
         hung = send.host == "h1" and now_us > 4 * SECOND
@@ -125,7 +125,7 @@
 
 def test_a_connection_limit_beside_successes_is_no_outage() -> None:
     checker = Checker(settings(max_held_messages=500))
-    checker.step(0, [roster(entry("h1"))])
+    checker.step(0, [endpoint_update(entry("h1"))])
     out: list[int] = []
 
     def two_at_once(now_us: int, _send: api.Send, _attempt: int) -> tuple[api.Verdict, int]:
@@ -142,7 +142,7 @@
 
 def test_one_flooding_tenant_goes_last() -> None:
     checker = Checker(settings(max_calls=1, max_held_messages=500))
-    checker.step(0, [roster(entry("h1"))])
+    checker.step(0, [endpoint_update(entry("h1"))])
 
     def feed(now_us: int) -> list[api.Event]:
         flood: list[api.Event] = [arrival(f"f{now_us}", SAFE, tenant="small")]
@@ -150,14 +150,14 @@
 
     log = drive(checker, 10 * SECOND, feed, lambda *_: (OK, 100_000))
     served = {send.id for _, send in log}
-    big = [name for name in checker.cases if name.startswith("b") and int(name[1:]) < 9 * SECOND]
+    big = [name for name in checker.messages if name.startswith("b") and int(name[1:]) < 9 * SECOND]
     assert sum(name in served for name in big) >= 0.9 * len(big)
 
 
 def test_connections_cut_while_idle_are_closed_in_time_and_harm_no_endpoint() -> None:
     """Incident i3a3909: every call on a connection idle for half a second was reset at once."""
     checker = Checker(settings(max_held_messages=500, keepalive_us=10 * SECOND))
-    checker.step(0, [roster(entry("h1"))])
+    checker.step(0, [endpoint_update(entry("h1"))])
     ended_us = [0]
     resets: list[int] = []
 
@@ -180,14 +180,14 @@
 def test_a_fast_refusing_endpoint_at_the_floor_gets_few_calls() -> None:
     """One in flight is no limit on rate: refusals back in 20 ms would allow fifty calls a second."""
     checker = Checker(settings(max_held_messages=500))
-    checker.step(0, [roster(entry("h1"))])
+    checker.step(0, [endpoint_update(entry("h1"))])
     log = drive(checker, 20 * SECOND, steady(100_000, KEYED), lambda *_: (api.Verdict.FULL, 20_000))
     assert 2 <= len([1 for at_us, _ in log if at_us > 10 * SECOND]) <= 10
 
 
 def test_all_destinations_failing_at_once_lose_nothing_and_come_back() -> None:
     checker = Checker(settings(max_held_messages=500, max_attempts=8))
-    checker.step(0, [roster(*(entry(f"h{n}", dest=n) for n in (1, 2, 3)))])
+    checker.step(0, [endpoint_update(*(entry(f"h{n}", dest=n) for n in (1, 2, 3)))])
 
     def answer(now_us: int, _send: api.Send, _attempt: int) -> tuple[api.Verdict, int]:
         down = 2 * SECOND < now_us < 8 * SECOND
@@ -196,7 +196,7 @@
     log = drive(checker, 24 * SECOND, steady(500_000, UNSAFE, (1, 2, 3)), answer)
     during = [at_us for at_us, _ in log if 4 * SECOND < at_us < 8 * SECOND]
     assert 3 <= len(during) <= 30, "each gets a trial now and then"
-    assert not [a for a in checker.trace if isinstance(a, api.Fail | api.Refuse)], "nothing is given up"
+    assert not [a for a in checker.actions if isinstance(a, api.Fail | api.Refuse)], "nothing is given up"
 
 
 def leaking(share: float, from_us: int, until_us: int) -> Answer:
@@ -213,10 +213,12 @@
 def test_a_destination_that_mostly_answers_with_errors_is_tried_on() -> None:
     """Four of five calls fail at once (second deployment, day rough-1): each further try may be served."""
     checker = Checker(settings(max_held_messages=500, max_attempts=8))
-    checker.step(0, [roster(entry("h1"), entry("h2"))])
+    checker.step(0, [endpoint_update(entry("h1"), entry("h2"))])
     drive(checker, 30 * SECOND, steady(100_000), leaking(0.8, 10 * SECOND, 30 * SECOND))
-    asked = [case for case in checker.cases.values() if 16 * SECOND < case.deadline_us < 30 * SECOND]
-    assert sum(case.over and not case.answers for case in asked) >= 0.35 * len(asked), "many are delivered"
+    asked = [case for case in checker.messages.values() if 16 * SECOND < case.deadline_us < 30 * SECOND]
+    assert sum(case.finished and not case.answers for case in asked) >= 0.35 * len(asked), (
+        "many are delivered"
+    )
 
 
 def test_no_burst_when_the_errors_end() -> None:
@@ -224,7 +226,7 @@
     # Calls/s: a little over the demand.
     end_us, window_us, capacity = 18 * SECOND, SETTINGS.fall_us, 12.0
     checker = Checker(settings(max_held_messages=500, max_attempts=8, group_size=1))
-    checker.step(0, [roster(entry("h1"))])
+    checker.step(0, [endpoint_update(entry("h1"))])
     log = drive(checker, 26 * SECOND, steady(100_000, KEYED), leaking(0.9, 6 * SECOND, end_us))
     back = [at_us for at_us, _ in log if at_us >= end_us]
     assert len(back) > 10, "it is served again"
@@ -240,7 +242,7 @@
     def calls_back(every: int) -> int:
         """Calls in the first 4 s back from an outage, each so many of them answered with an error."""
         checker, served = Checker(settings(max_held_messages=500, group_size=1)), itertools.count(1)
-        checker.step(0, [roster(entry("h1"))])
+        checker.step(0, [endpoint_update(entry("h1"))])
 
         def answer(now_us: int, _send: api.Send, _attempt: int) -> tuple[api.Verdict, int]:
             if 6 * SECOND <= now_us < 12 * SECOND:
--- a/tests/test_former_life.py
+++ b/tests/test_former_life.py
@@ -4,7 +4,17 @@
 
 from mossfront import interface as api
 from mossfront.engine import DecisionEngine
-from tests.support import SECOND, TURN, UNSAFE, ZONED, ended, entry, roster, sends, settings
+from tests.support import (
+    ORDERED,
+    SECOND,
+    UNSAFE,
+    ZONED,
+    attempt_outcome,
+    endpoint_update,
+    entry,
+    sends,
+    settings,
+)
 
 
 def resumed(cls: api.MessageClass, age_us: int = 1000, zone: str = "a", key: str = "") -> api.Arrival:
@@ -14,35 +24,35 @@
 
 def test_a_keyed_one_goes_only_to_the_zone_of_its_first_try() -> None:
     relay = DecisionEngine(settings(zone_fees={"a": 0.5, "b": 0.0}), 1)
-    hosts = roster(entry("h1", zone="a"), entry("h2", zone="b"))
+    hosts = endpoint_update(entry("h1", zone="a"), entry("h2", zone="b"))
     assert [s.host for s in sends(relay.step(0, [hosts, resumed(ZONED)]))] == ["h1"]
 
 
 def test_a_keyed_one_is_failed_once_its_window_is_over() -> None:
     relay = DecisionEngine(settings(), 1)
-    actions = relay.step(20 * SECOND, [roster(entry("h1")), resumed(ZONED, ZONED.window_us)])
+    actions = relay.step(20 * SECOND, [endpoint_update(entry("h1")), resumed(ZONED, ZONED.window_us)])
     assert api.Fail("m1") in actions
     assert sends(actions) == []
 
 
 def test_an_unsafe_one_is_failed() -> None:
-    actions = DecisionEngine(settings(), 1).step(0, [roster(entry("h1")), resumed(UNSAFE)])
+    actions = DecisionEngine(settings(), 1).step(0, [endpoint_update(entry("h1")), resumed(UNSAFE)])
     assert api.Fail("m1") in actions
     assert sends(actions) == []
 
 
 def test_all_attempts_used_up_are_not_exceeded() -> None:
     event = api.Arrival("m1", 1, UNSAFE.name, SECOND, attempts=settings().max_attempts)
-    actions = DecisionEngine(settings(), 1).step(0, [roster(entry("h1")), event])
+    actions = DecisionEngine(settings(), 1).step(0, [endpoint_update(entry("h1")), event])
     assert [type(action) for action in actions if not isinstance(action, api.SetTimer)] == [api.Refuse]
 
 
 def test_the_next_of_a_key_rests_after_a_try_of_the_former_life() -> None:
     """That try may still run at its host when the new life begins."""
     relay, pause_us = DecisionEngine(settings(), 1), settings().order_pause_us
-    later = api.Arrival("m2", 1, TURN.name, 10 * SECOND, "", "k")
-    first = sends(relay.step(0, [roster(entry("h1")), resumed(TURN, key="k"), later]))
+    later = api.Arrival("m2", 1, ORDERED.name, 10 * SECOND, "", "k")
+    first = sends(relay.step(0, [endpoint_update(entry("h1")), resumed(ORDERED, key="k"), later]))
     assert [send.id for send in first] == ["m1"]
-    assert sends(relay.step(100_000, [ended(first[0], attempt=1)])) == []
+    assert sends(relay.step(100_000, [attempt_outcome(first[0], attempt=1)])) == []
     assert sends(relay.step(pause_us - 1, [api.TimerDue()])) == []
     assert [send.id for send in sends(relay.step(pause_us, [api.TimerDue()]))] == ["m2"]
--- a/tests/test_found.py
+++ b/tests/test_found.py
@@ -8,7 +8,17 @@
 
 from mossfront import DecisionEngine
 from mossfront import interface as api
-from tests.support import SAFE, SECOND, UNSAFE, arrival, ended, entry, roster, sends, settings
+from tests.support import (
+    SAFE,
+    SECOND,
+    UNSAFE,
+    arrival,
+    attempt_outcome,
+    endpoint_update,
+    entry,
+    sends,
+    settings,
+)
 from tests.world import Request, World, delivered, silent
 
 LOW = replace(SAFE, worth=0.1)
@@ -17,7 +27,7 @@
 def found(ref: str, left_us: int = 5 * SECOND) -> api.Arrival:
     """A message that a restart has found, of a class that is worth little."""
     return replace(
-        arrival(ref, LOW, left_us=left_us), rules=api.DeliveryRules(LOW, 4), recovered_untried=True
+        arrival(ref, LOW, time_left_us=left_us), rules=api.DeliveryRules(LOW, 4), recovered_untried=True
     )
 
 
@@ -28,11 +38,11 @@
 
 def test_what_was_found_is_tried_before_what_came_since_and_is_worth_more() -> None:
     relay, order = one_at_a_time(), list[str]()
-    events: list[api.Event] = [found("f1"), found("f2"), arrival("n1", UNSAFE), roster(entry("h1"))]
+    events: list[api.Event] = [found("f1"), found("f2"), arrival("n1", UNSAFE), endpoint_update(entry("h1"))]
     for at in range(1, 5):
         sent = sends(relay.step(at * SECOND, [*events, api.TimerDue()]))
         order += [send.id for send in sent]
-        events = [ended(send) for send in sent]
+        events = [attempt_outcome(send) for send in sent]
     assert set(order[:2]) == {"f1", "f2"}
     assert order[2:] == ["n1"]
 
@@ -41,19 +51,24 @@
     """So the most of it is tried, whatever each is worth."""
     relay, order = one_at_a_time(), list[str]()
     costly = replace(found("f2", 9 * SECOND), cls=UNSAFE.name, rules=api.DeliveryRules(UNSAFE, 4))
-    events: list[api.Event] = [found("f3", 5_900_000), costly, found("f1", 4 * SECOND), roster(entry("h1"))]
+    events: list[api.Event] = [
+        found("f3", 5_900_000),
+        costly,
+        found("f1", 4 * SECOND),
+        endpoint_update(entry("h1")),
+    ]
     for at in range(1, 4):
         sent = sends(relay.step(at * SECOND // 2, [*events, api.TimerDue()]))
         order += [send.id for send in sent]
-        events = [ended(send) for send in sent]
+        events = [attempt_outcome(send) for send in sent]
     assert order == ["f1", "f3", "f2"]
 
 
 def test_once_tried_it_is_like_any_other() -> None:
     relay = one_at_a_time()
-    first = sends(relay.step(0, [found("f1"), roster(entry("h1"))]))
+    first = sends(relay.step(0, [found("f1"), endpoint_update(entry("h1"))]))
     assert [send.id for send in first] == ["f1"]
-    failed = ended(first[0], api.Verdict.ERROR)
+    failed = attempt_outcome(first[0], api.Verdict.ERROR)
     again = sends(relay.step(SECOND, [failed, arrival("n1"), api.TimerDue()]))
     assert [send.id for send in again] == ["n1"]
 
--- a/tests/test_group.py
+++ b/tests/test_group.py
@@ -11,7 +11,17 @@
 from mossfront.state import Destination, Endpoint
 from tests.checker import Checker
 from tests.fleet import Fleet, Host, Tallies
-from tests.support import KEYED, SAFE, SECOND, arrival, ended, entry, roster, sends, settings
+from tests.support import (
+    KEYED,
+    SAFE,
+    SECOND,
+    arrival,
+    attempt_outcome,
+    endpoint_update,
+    entry,
+    sends,
+    settings,
+)
 from tests.test_failures import Feed, drive, steady
 
 DOWN = api.Verdict.CONNECT_FAILED
@@ -28,7 +38,7 @@
     for number in range(relays):
         checker = Checker(settings(group_size=size, max_calls=3, max_attempts=12), seed=number)
         hosts = [entry(f"h{n}", dest=n) for n in range(6)]
-        checker.step(0, [roster(*hosts)])
+        checker.step(0, [endpoint_update(*hosts)])
         feed: list[api.Event] = [arrival(f"m{number}-{n}", KEYED, n) for n in range(6)]
         start_us = 20_000 * (1 + number)
         log = drive(checker, 16 * SECOND, once(start_us, feed), lambda *_: (verdict, 20_000))
@@ -48,7 +58,7 @@
 def test_no_room_left_slows_down_and_room_speeds_up() -> None:
     def pace(left: float | None) -> float:
         relay = DecisionEngine(settings(group_size=40), seed=1)
-        [send] = sends(relay.step(0, [roster(entry("h1")), arrival("m1")]))
+        [send] = sends(relay.step(0, [endpoint_update(entry("h1")), arrival("m1")]))
         told = api.Outcome("m1", 0, send.host, api.Verdict.OK, 1000, True, 0, left, 20.0)
         relay.step(1000, [told])
         return relay.endpoints["h1"].limit.pace
@@ -59,23 +69,23 @@
 
 def test_a_class_that_fails_at_one_endpoint_goes_to_its_sibling() -> None:
     checker = Checker(settings(max_held_messages=500))
-    checker.step(0, [roster(entry("h1"), entry("h2"))])
+    checker.step(0, [endpoint_update(entry("h1"), entry("h2"))])
 
     def answer(_now_us: int, send: api.Send, _attempt: int) -> tuple[api.Verdict, int]:
-        failing = send.host == "h1" and checker.cases[send.id].cls is KEYED
+        failing = send.host == "h1" and checker.messages[send.id].cls is KEYED
         return (api.Verdict.ERROR if failing else api.Verdict.OK), 80_000
 
     both = (steady(100_000, KEYED), steady(100_000, SAFE))
     log = drive(checker, 12 * SECOND, lambda now_us: both[0](now_us) + both[1](now_us), answer)
     late = [send for at_us, send in log if at_us > 4 * SECOND]
-    keyed = [send.host for send in late if checker.cases[send.id].cls is KEYED]
+    keyed = [send.host for send in late if checker.messages[send.id].cls is KEYED]
     assert keyed.count("h1") <= 0.1 * len(keyed)
-    assert any(send.host == "h1" for send in late if checker.cases[send.id].cls is SAFE)
+    assert any(send.host == "h1" for send in late if checker.messages[send.id].cls is SAFE)
 
 
 def test_a_busy_relay_in_a_large_group_is_not_held_to_an_equal_part() -> None:
     checker = Checker(settings(group_size=300, rate_hints_given=True, max_held_messages=500))
-    checker.step(0, [roster(entry("h1", rate=20.0))])
+    checker.step(0, [endpoint_update(entry("h1", rate_hint=20.0))])
     log = drive(checker, 10 * SECOND, steady(200_000), lambda *_: (api.Verdict.OK, 80_000))
     assert len(log) >= 45, "five a second, where an equal part were one in fifteen seconds"
 
@@ -83,7 +93,7 @@
 def visits(dests: int) -> int:
     """Destinations looked at for one message while the others are idle."""
     relay = DecisionEngine(settings(), seed=1)
-    relay.step(0, [roster(*(entry(f"h{n}", dest=n) for n in range(dests)))])
+    relay.step(0, [endpoint_update(*(entry(f"h{n}", dest=n) for n in range(dests)))])
     seen: list[str] = []
     room = relay._room
 
@@ -93,7 +103,7 @@
 
     relay._room = counted  # type: ignore[method-assign]
     [send] = sends(relay.step(20_000, [arrival("m1", dest=1)]))
-    relay.step(120_000, [ended(send)])
+    relay.step(120_000, [attempt_outcome(send)])
     return len(seen)
 
 
@@ -133,7 +143,7 @@
     """
     asked = settings(group_size=relays, must_subscribe=True, ask_within_us=10 * SECOND)
     group = [DecisionEngine(asked, n) for n in range(relays)]
-    known = roster(entry("h1"), kind=api.EndpointUpdateKind.CACHED)
+    known = endpoint_update(entry("h1"), kind=api.EndpointUpdateKind.CACHED)
     inbox: dict[int, list[api.Event]] = {n: [known] for n in range(relays)}
     queue: list[tuple[int, int]] = []
     learned = set[int]()
@@ -146,7 +156,7 @@
             asked_us, number = queue.pop(0)
             late = now_us - asked_us > SECOND
             kind = api.EndpointUpdateKind.FAILED if late else api.EndpointUpdateKind.FULL
-            inbox[number] = [roster(entry("h1"), kind=kind)]
+            inbox[number] = [endpoint_update(entry("h1"), kind=kind)]
             learned |= set() if late else {number}
     return len(learned)
 
@@ -171,7 +181,7 @@
 def test_an_outage_is_no_sign_of_full_connection_tables() -> None:
     """While some destinations refused connections, idle ones to all others were closed after every call."""
     checker = Watched(settings(max_held_messages=500))
-    checker.step(0, [roster(*(entry(f"h{n}", dest=n) for n in range(8)))])
+    checker.step(0, [endpoint_update(*(entry(f"h{n}", dest=n) for n in range(8)))])
 
     def answer(_now_us: int, send: api.Send, _attempt: int) -> tuple[api.Verdict, int]:
         return (api.Verdict.OK if send.host == "h0" else DOWN), 40_000
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -9,7 +9,7 @@
 from mallowlug.system import POSIX
 from mossfront import interface as api
 from mossfront.engine import FORGET_US, DecisionEngine
-from tests.support import SAFE, SECOND, entry, roster, sends, settings
+from tests.support import SAFE, SECOND, endpoint_update, entry, sends, settings
 
 
 def changes(*entries: api.EndpointEntry) -> api.EndpointUpdate:
@@ -48,7 +48,7 @@
 def test_what_binds_outlasts_the_listing() -> None:
     """A wait holds for the host, also if it is listed again under its id long after."""
     relay = DecisionEngine(settings(), 1)
-    relay.step(0, [roster(entry("h1"))])
+    relay.step(0, [endpoint_update(entry("h1"))])
     [send] = sends(relay.step(1000, [arrival("m1")]))
     told = api.Outcome(send.id, 0, "h1", api.Verdict.FULL, 1000, retry_after_us=500 * SECOND)
     relay.step(2000, [told, changes(entry("h1", listing=api.Listing.GONE))])
@@ -62,7 +62,7 @@
 
 def test_an_open_call_keeps_its_host() -> None:
     relay = DecisionEngine(settings(), 1)
-    relay.step(0, [roster(entry("h1"))])
+    relay.step(0, [endpoint_update(entry("h1"))])
     [send] = sends(relay.step(1000, [arrival("m1")]))
     relay.step(2000, [changes(entry("h1", listing=api.Listing.GONE))])
     relay.step(90 * SECOND, [changes(entry("h2", dest=2))])
@@ -75,7 +75,7 @@
 def test_a_held_message_is_noted_once_for_a_wait() -> None:
     """Each arrival looks at its destination: one note each would grow for as long as the wait lasts."""
     relay = DecisionEngine(settings(), 1)
-    relay.step(0, [roster(entry("h1"))])
+    relay.step(0, [endpoint_update(entry("h1"))])
     [send] = sends(relay.step(1000, [arrival("m0")]))
     relay.step(2000, [api.Outcome(send.id, 0, "h1", api.Verdict.FULL, 1000, retry_after_us=500 * SECOND)])
     for number in range(1, 30):
--- a/tests/test_hosts.py
+++ b/tests/test_hosts.py
@@ -13,24 +13,24 @@
 from mallowlug.net.http import Connection
 from mallowlug.partners.http_calls import report_of, verdict_of, wait_of
 from mossfront.interface import Listing, Verdict
-from tests.calls import Calls, serving
+from tests.calls import HostCalls, start_host
 from tests.world import delivered, silent, soon
 
 
 async def test_a_drain_between_decision_and_write_binds_the_write() -> None:
     """Connecting takes time in which the directory may speak: the call must not go out after that."""
-    host = await serving()
-    calls = Calls(host.port)
+    host = await start_host()
+    calls = HostCalls(host.port)
     calls.send("m1")
-    calls.list(host.port, Listing.DRAINING)
+    calls.apply_listing(host.port, Listing.DRAINING)
     assert await calls.outcome("m1") == PartOutcome(Verdict.NOT_SENT)
     assert host.seen == []
     host.stop()
 
 
 async def test_a_wait_between_decision_and_write_binds_the_write() -> None:
-    host = await serving(lambda request: request.answer(429, X_Retry_In_Ms="60000"))
-    calls = Calls(host.port)
+    host = await start_host(lambda request: request.answer(429, X_Retry_In_Ms="60000"))
+    calls = HostCalls(host.port)
     calls.send("m1")
     await calls.outcome("m1")
     calls.send("m2")
@@ -44,7 +44,7 @@
 async def test_a_refused_connection_never_ran() -> None:
     with socket.socket() as sock:  # bound and not listening
         sock.bind(("127.0.0.1", 0))
-        calls = Calls(sock.getsockname()[1])
+        calls = HostCalls(sock.getsockname()[1])
         calls.send("m1")
         assert (await calls.outcome("m1")).verdict is Verdict.CONNECT_FAILED
 
@@ -58,7 +58,7 @@
         for filler in fillers:
             filler.setblocking(False)
             filler.connect_ex(sock.getsockname())
-        calls = Calls(sock.getsockname()[1], connect_us=300_000)
+        calls = HostCalls(sock.getsockname()[1], connect_us=300_000)
         calls.send("m1")
         assert (await calls.outcome("m1")).verdict is Verdict.CONNECT_FAILED
         for filler in fillers:
@@ -72,7 +72,7 @@
         sock.bind(("127.0.0.1", 0))
         sock.listen(1)
         sock.setblocking(False)
-        calls = Calls(sock.getsockname()[1])
+        calls = HostCalls(sock.getsockname()[1])
         call = calls.send(*(f"m{n}" for n in range(64)), body=bytes(65536))
         loop = asyncio.get_running_loop()
         peer, _ = await soon(loop.sock_accept(sock))
@@ -89,17 +89,17 @@
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         sock.bind(("127.0.0.1", 0))
         sock.listen(1)
-        calls = Calls(sock.getsockname()[1])
-        call = calls.send("m1", limit_us=200_000, body=bytes(16 << 20))
+        calls = HostCalls(sock.getsockname()[1])
+        call = calls.send("m1", timeout_us=200_000, body=bytes(16 << 20))
         assert (await calls.outcome("m1")).verdict is Verdict.CONNECT_FAILED
         assert call.connection is not None
         assert call.connection.begun
 
 
 async def test_a_limit_after_the_last_byte_may_have_run_and_closes() -> None:
-    host = await serving(silent)
-    calls = Calls(host.port)
-    calls.send("m1", limit_us=300_000)
+    host = await start_host(silent)
+    calls = HostCalls(host.port)
+    calls.send("m1", timeout_us=300_000)
     assert (await calls.outcome("m1")).verdict is Verdict.TIMEOUT
     while host.writers:
         await asyncio.sleep(0.01)
@@ -108,8 +108,8 @@
 
 
 async def test_a_cancelled_call_is_told_and_closed() -> None:
-    host = await serving(silent)
-    calls = Calls(host.port)
+    host = await start_host(silent)
+    calls = HostCalls(host.port)
     calls.send("m1")
     await host.call(0)
     calls.hosts.cancel("m1", 0)
@@ -121,22 +121,22 @@
 
 async def test_a_message_delivered_after_its_own_limit_is_over() -> None:
     """Another's longer limit keeps the shared call open: its answer still ends the message."""
-    host = await serving(silent)
-    calls = Calls(host.port)
+    host = await start_host(silent)
+    calls = HostCalls(host.port)
     call = calls.send("m1", "m2")
     request = await host.call(0)
     calls.hosts._stop(call, call.call.parts[0], Verdict.TIMEOUT)
-    assert calls.told["m1"] == PartOutcome(Verdict.TIMEOUT, call_continues=True)
+    assert calls.outcomes["m1"] == PartOutcome(Verdict.TIMEOUT, call_continues=True)
     delivered(request)
     assert (await calls.outcome("m2")).verdict is Verdict.OK
-    assert calls.told["m1"] == PartOutcome(Verdict.OK, complete=True)
+    assert calls.outcomes["m1"] == PartOutcome(Verdict.OK, complete=True)
     assert [part.id for part in calls.released] == ["m1"]  # only now is its call off the wire
     host.stop()
 
 
 async def test_idle_connections_are_closed_on_demand_and_by_age() -> None:
-    host = await serving()
-    calls = Calls(host.port)
+    host = await start_host()
+    calls = HostCalls(host.port)
     calls.send("m1")
     await calls.outcome("m1")
     while host.writers:
--- a/tests/test_listings.py
+++ b/tests/test_listings.py
@@ -23,7 +23,7 @@
 from mallowlug.system import POSIX
 from mossfront import interface as api
 from mossfront.engine import DecisionEngine
-from tests.support import SAFE, SECOND, entry, roster, sends, settings
+from tests.support import SAFE, SECOND, endpoint_update, entry, sends, settings
 
 KIND = api.EndpointUpdateKind
 READY, DRAINING, GONE = api.Listing.READY, api.Listing.DRAINING, api.Listing.GONE
@@ -163,7 +163,7 @@
 
 def told(relay: DecisionEngine, verdict: api.Verdict, wait_us: int = 0) -> None:
     """A message to h1 and its outcome after 10 ms; what was given up or sent again is left as it stands."""
-    [send] = sends(relay.step(0, [roster(entry("h1")), api.Arrival("m1", 1, SAFE.name, 2 * SECOND)]))
+    [send] = sends(relay.step(0, [endpoint_update(entry("h1")), api.Arrival("m1", 1, SAFE.name, 2 * SECOND)]))
     relay.step(10_000, [api.Outcome("m1", 0, send.host, verdict, 10_000, verdict is api.Verdict.OK, wait_us)])
 
 
@@ -172,7 +172,7 @@
 
 
 def out(relay: DecisionEngine) -> None:
-    relay.step(0, [roster(entry("h1")), api.Arrival("m1", 1, SAFE.name, 3600 * SECOND)])
+    relay.step(0, [endpoint_update(entry("h1")), api.Arrival("m1", 1, SAFE.name, 3600 * SECOND)])
 
 
 def held(relay: DecisionEngine) -> None:
@@ -184,7 +184,7 @@
 
 
 def cared(relay: DecisionEngine) -> None:
-    relay.step(0, [roster(entry("h1")), api.OutageRecord("h1", 400 * SECOND)])
+    relay.step(0, [endpoint_update(entry("h1")), api.OutageRecord("h1", 400 * SECOND)])
 
 
 def moved(relay: DecisionEngine) -> None:
--- a/tests/test_order_wire.py
+++ b/tests/test_order_wire.py
@@ -6,16 +6,16 @@
 
 from mossfront import DecisionEngine
 from mossfront import interface as api
-from tests.support import SECOND, TURN, arrival, ended, entry, roster, sends, settings
+from tests.support import ORDERED, SECOND, arrival, attempt_outcome, endpoint_update, entry, sends, settings
 
 
 @pytest.mark.parametrize("still_out", [False, True])
 def test_the_next_of_a_key_waits_for_a_call_that_lasts(still_out: bool) -> None:
     relay = DecisionEngine(settings(order_pause_us=0, round_us=1000), 1)
-    relay.step(0, [roster(entry("h1", 1, "plain"), entry("h2", 1, "plain"))])
-    first = sends(relay.step(0, [arrival("a", TURN, key="k")]))
+    relay.step(0, [endpoint_update(entry("h1", 1, "plain"), entry("h2", 1, "plain"))])
+    first = sends(relay.step(0, [arrival("a", ORDERED, key="k")]))
     assert [send.id for send in first] == ["a"]
-    relay.step(1000, [arrival("b", TURN, key="k")])
+    relay.step(1000, [arrival("b", ORDERED, key="k")])
     outcome = api.Outcome("a", 0, first[0].host, api.Verdict.TIMEOUT, 100_000, call_continues=still_out)
     again = sends(relay.step(100_000, [outcome, api.MessageWithdrawn("a")]))
     again += sends(relay.step(SECOND, [api.TimerDue()]))
@@ -29,8 +29,8 @@
     counts = []
     for told in ([], [api.OutageRecord("h1", 20 * SECOND)]):
         relay = DecisionEngine(settings(round_us=1000), 1)
-        relay.step(0, [roster(entry("h1", 1, "plain")), *told])
-        arrivals = [arrival(f"m{number}", TURN, key=f"k{number}") for number in range(4)]
+        relay.step(0, [endpoint_update(entry("h1", 1, "plain")), *told])
+        arrivals = [arrival(f"m{number}", ORDERED, key=f"k{number}") for number in range(4)]
         made = sends(relay.step(1000, arrivals))
         for at in range(1, 20):
             made += sends(relay.step(at * SECOND // 10, [api.TimerDue()]))
@@ -42,15 +42,15 @@
 def test_a_later_time_out_does_not_let_the_key_go_while_the_first_call_is_on_the_wire() -> None:
     """The second time-out set the key's rest anew, over that the first one's call was out (seed 71224)."""
     relay = DecisionEngine(settings(round_us=1000), 1)
-    relay.step(0, [roster(entry("h1"), entry("h2"))])
-    first = sends(relay.step(1, [arrival("a", TURN, key="k"), arrival("b", TURN, key="k")]))
+    relay.step(0, [endpoint_update(entry("h1"), entry("h2"))])
+    first = sends(relay.step(1, [arrival("a", ORDERED, key="k"), arrival("b", ORDERED, key="k")]))
     timeout = api.Verdict.TIMEOUT
     lasting = api.Outcome("a", 0, first[0].host, timeout, 100_000, call_continues=True)
     second = sends(relay.step(SECOND, [lasting]))
     assert [send.id for send in second] == ["a"]  # the one that has the turn may be repeated at once
-    third = sends(relay.step(2 * SECOND, [ended(second[0], timeout, attempt=1)]))
+    third = sends(relay.step(2 * SECOND, [attempt_outcome(second[0], timeout, attempt=1)]))
     assert [send.id for send in third] == ["a"]
-    over = relay.step(3 * SECOND, [ended(third[0], attempt=2)])
+    over = relay.step(3 * SECOND, [attempt_outcome(third[0], attempt=2)])
     later = [send.id for at in range(4, 8) for send in sends(relay.step(at * SECOND, []))]
     assert [send.id for send in sends(over)] + later == []
     relay.step(8 * SECOND, [api.CallEnded("a", 0)])
--- a/tests/test_pushed.py
+++ b/tests/test_pushed.py
@@ -12,7 +12,7 @@
 from mallowlug.system import POSIX
 from mossfront import DecisionEngine
 from mossfront import interface as api
-from tests.support import SECOND, entry, roster, settings
+from tests.support import SECOND, endpoint_update, entry, settings
 from tests.world import HttpServer, Request, World, delivered, silent, soon
 
 GRACE_US = 300_000
@@ -32,14 +32,14 @@
 
 def test_an_agent_is_asked_at_once_however_large_the_group() -> None:
     """From the first moment of a new process what the agent has counts as told."""
-    cached = roster(entry("h1"), kind=api.EndpointUpdateKind.CACHED)
+    cached = endpoint_update(entry("h1"), kind=api.EndpointUpdateKind.CACHED)
     assert asks(large(True), 0, cached)
     assert not asks(large(False), 0, cached)  # one directory for all: their asks are spread
 
 
 def test_a_watch_that_ended_is_opened_anew_well_within_a_drains_grace_each_time() -> None:
     relay, now_us = large(True), 0
-    asks(relay, 0, roster(entry("h1"), kind=api.EndpointUpdateKind.CACHED))
+    asks(relay, 0, endpoint_update(entry("h1"), kind=api.EndpointUpdateKind.CACHED))
     for _ in range(6):  # also while discovery stays down: its return is told at once
         asks(relay, now_us, api.EndpointUpdate(api.EndpointUpdateKind.FAILED))
         assert relay.ask_us - now_us <= GRACE_US // 2
--- a/tests/test_reasons.py
+++ b/tests/test_reasons.py
@@ -10,7 +10,18 @@
 from mallowlug.core.reasons import ClientClose, Event, HostClose, Reasons
 from mossfront import DecisionEngine
 from mossfront import interface as api
-from tests.support import KEYED, SAFE, SECOND, UNSAFE, arrival, ended, entry, roster, sends, settings
+from tests.support import (
+    KEYED,
+    SAFE,
+    SECOND,
+    UNSAFE,
+    arrival,
+    attempt_outcome,
+    endpoint_update,
+    entry,
+    sends,
+    settings,
+)
 from tests.test_figures import scraped
 from tests.world import World, packed, silent, soon
 
@@ -42,21 +53,21 @@
 def relay_with_a_host(**told: int) -> DecisionEngine:
     """A relay that knows one host."""
     relay = DecisionEngine(settings(**told), 1)
-    relay.step(0, [roster(entry("h1"))])
+    relay.step(0, [endpoint_update(entry("h1"))])
     return relay
 
 
 def test_what_may_have_run_and_may_not_be_repeated_is_given_up_for_that() -> None:
     relay = relay_with_a_host()
     [send] = sends(relay.step(SECOND, [arrival("m1", UNSAFE)]))
-    reasons = given_up(relay, 2 * SECOND, ended(send, api.Verdict.RESET))
+    reasons = given_up(relay, 2 * SECOND, attempt_outcome(send, api.Verdict.RESET))
     assert reasons == [api.GiveUpReason.NOT_REPEATABLE]
 
 
 def test_a_wait_beyond_the_time_a_full_table_and_the_last_try_have_reasons_of_their_own() -> None:
     relay = relay_with_a_host()
     [send] = sends(relay.step(SECOND, [arrival("m1", SAFE)]))
-    refusal = ended(send, api.Verdict.FULL, wait_us=3600 * SECOND)
+    refusal = attempt_outcome(send, api.Verdict.FULL, retry_after_us=3600 * SECOND)
     assert given_up(relay, 2 * SECOND, refusal) == [api.GiveUpReason.WAIT_EXCEEDS_DEADLINE]
     full = DecisionEngine(settings(max_held_messages=2), 1)
     full.step(0, [])
@@ -64,7 +75,9 @@
     assert set(given_up(full, SECOND, *held)) == {api.GiveUpReason.BACKLOG_FULL}
     last = relay_with_a_host(max_attempts=1)
     [send] = sends(last.step(SECOND, [arrival("m1", SAFE)]))
-    assert given_up(last, 2 * SECOND, ended(send, api.Verdict.ERROR)) == [api.GiveUpReason.NO_ATTEMPTS_LEFT]
+    assert given_up(last, 2 * SECOND, attempt_outcome(send, api.Verdict.ERROR)) == [
+        api.GiveUpReason.NO_ATTEMPTS_LEFT
+    ]
 
 
 async def closes(port: int, name: str) -> dict[str, float]:
--- a/tests/test_returns.py
+++ b/tests/test_returns.py
@@ -14,7 +14,7 @@
 from mossfront import interface as api
 from mossfront.engine import FURTHER_WEIGHT
 from tests.fleet import Fleet, Host
-from tests.support import SAFE, SECOND, arrival, entry, roster, sends
+from tests.support import SAFE, SECOND, arrival, endpoint_update, entry, sends
 from tests.support import settings as usual
 
 MULTIPLE, FALL_US, COLD_FROM, WARM_US = 1.5, 3 * SECOND, 0.27, 13 * SECOND  # the fleet's settings
@@ -157,7 +157,7 @@
 def most_in_a_trial(size: int) -> int:
     """Messages in a call to a bank that has failed, with 30 of them waiting."""
     relay = DecisionEngine(shared_by(size), 1)
-    relay.step(0, [roster(entry("h", kind="split"))])
+    relay.step(0, [endpoint_update(entry("h", kind="split"))])
     (first,) = sends(relay.step(SECOND, [arrival("a", SAFE)]))
     lost = api.Outcome(first.id, 0, "h", api.Verdict.TIMEOUT, SECOND, limit_remaining=0.5, limit_per_s=6.0)
     now = 4 * SECOND
--- a/tests/test_sequences.py
+++ b/tests/test_sequences.py
@@ -13,10 +13,22 @@
 from mossfront import interface as api
 from mossfront.engine import DecisionEngine
 from tests.checker import Checker
-from tests.support import KEYED, SAFE, SECOND, TURN, UNSAFE, ZONED, arrival, entry, roster, sends, settings
+from tests.support import (
+    KEYED,
+    ORDERED,
+    SAFE,
+    SECOND,
+    UNSAFE,
+    ZONED,
+    arrival,
+    endpoint_update,
+    entry,
+    sends,
+    settings,
+)
 
 VERDICTS = list(api.Verdict)
-CLASSES = (SAFE, KEYED, ZONED, UNSAFE, TURN)
+CLASSES = (SAFE, KEYED, ZONED, UNSAFE, ORDERED)
 LISTINGS = st.sampled_from(list(api.Listing))
 HOSTS = [(f"h{n}", n % 3, "split" if n % 3 == 2 else "plain", "ab"[n // 3 % 2]) for n in range(9)]
 
@@ -39,20 +51,20 @@
 def play(config: api.Settings, script: list[Step], seed: int) -> list[api.Action]:
     """Turn a script into events that the wire could deliver and run it to the end."""
     checker = Checker(config, seed)
-    entries = [entry(host, dest, kind, zone=zone, rate=5.0) for host, dest, kind, zone in HOSTS]
-    checker.step(0, [roster(*entries, kind=api.EndpointUpdateKind.CACHED)])
+    entries = [entry(host, dest, kind, zone=zone, rate_hint=5.0) for host, dest, kind, zone in HOSTS]
+    checker.step(0, [endpoint_update(*entries, kind=api.EndpointUpdateKind.CACHED)])
     out: list[tuple[api.Send, int]] = []
     now_us, serial = 0, 0
 
     def take(actions: list[api.Action]) -> None:
         for send in sends(actions):
-            out.append((send, sum(1 for a in checker.cases[send.id].attempts) - 1))
+            out.append((send, sum(1 for a in checker.messages[send.id].attempts) - 1))
 
     def expired(until_us: int) -> list[api.Event]:
         """Time-outs due by now; every attempt gets exactly one outcome."""
         events: list[api.Event] = []
         for send, attempt in list(out):
-            if checker.cases[send.id].attempts[attempt].expires_us <= until_us:
+            if checker.messages[send.id].attempts[attempt].expires_us <= until_us:
                 out.remove((send, attempt))
                 events.append(api.Outcome(send.id, attempt, send.host, api.Verdict.TIMEOUT, send.timeout_us))
         return events
@@ -72,18 +84,18 @@
         if change is not None:
             host, dest, kind, zone = HOSTS[change[0]]
             news = entry(host, dest, kind, change[1], zone, 5.0)
-            events.append(roster(news, kind=api.EndpointUpdateKind.CHANGES))
+            events.append(endpoint_update(news, kind=api.EndpointUpdateKind.CHANGES))
         for cls, dest, key in new:
             serial += 1
             events.append(arrival(f"m{serial}", cls, dest, key=key, tenant="small"))
         if withdraw and serial:
             events.append(api.MessageWithdrawn(f"m{(serial + 1) // 2}"))
         take(checker.step(now_us, events))
-    while now_us < 200 * SECOND and not all(case.over for case in checker.cases.values()):
+    while now_us < 200 * SECOND and not all(case.finished for case in checker.messages.values()):
         now_us += 20_000
         take(checker.step(now_us, [*expired(now_us), api.TimerDue()]))
-    assert all(case.over for case in checker.cases.values())
-    return checker.trace
+    assert all(case.finished for case in checker.messages.values())
+    return checker.actions
 
 
 @profile(
@@ -140,7 +152,7 @@
 def test_a_wake_that_comes_a_microsecond_early_is_asked_for_again() -> None:
     """The process's clock and the loop's differ: a held message was answered with the next event."""
     relay = DecisionEngine(settings(), seed=1)
-    relay.step(0, [roster(entry("h1", listing=api.Listing.DRAINING)), arrival("m1")])
+    relay.step(0, [endpoint_update(entry("h1", listing=api.Listing.DRAINING)), arrival("m1")])
     [end_us] = [at_us for at_us, *_ in relay.ends]
     early = relay.step(end_us - 1, [api.TimerDue()])
     [wake] = [action for action in early if isinstance(action, api.SetTimer)]
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -15,30 +15,46 @@
 from mallowlug.system import POSIX
 from mossfront import interface as api
 from mossfront.engine import DecisionEngine
-from tests.support import KEYED, SAFE, SECOND, arrival, ended, entry, roster, sends, settings
+from tests.support import (
+    KEYED,
+    SAFE,
+    SECOND,
+    arrival,
+    attempt_outcome,
+    endpoint_update,
+    entry,
+    sends,
+    settings,
+)
 from tests.world import CLASSES, TIMES, World, called, silent, soon
 
-NEW: dict[str, Any] = {"name": "new", "effect": "unsafe", "key_scope": "all", "dedup_window_us": 0, **TIMES}
+NEW_CLASS: dict[str, Any] = {
+    "name": "new",
+    "effect": "unsafe",
+    "key_scope": "all",
+    "dedup_window_us": 0,
+    **TIMES,
+}
 
 
-async def counted(console: int, name: str, number: int) -> None:
+async def wait_for_counter(console: int, name: str, value: int) -> None:
     """Wait until a figure has a value."""
 
     async def reached() -> None:
-        while f"relay_{name} {number}\n" not in (await called(console, "GET", "/metrics"))[1]:
+        while f"relay_{name} {value}\n" not in (await called(console, "GET", "/metrics"))[1]:
             await asyncio.sleep(0.01)
 
     await soon(reached())
 
 
-async def test_a_class_that_is_new_is_taken_on_under_its_rules(world: World) -> None:
+async def test_new_class_is_accepted_with_its_settings(world: World) -> None:
     host = await world.add("h1")
     console = world.open_console()
     client = await world.run()
     assert await client.hand_in("m0", "new") == b"-ERR unknown class"
-    world.settings["request_classes"] = [*CLASSES, NEW]
+    world.settings["request_classes"] = [*CLASSES, NEW_CLASS]
     await world.reload()
-    await counted(console, "conf_loaded_total", 1)
+    await wait_for_counter(console, "conf_loaded_total", 1)
     host.script.append(lambda request: request.answer(500))
     assert await client.hand_in("m1", "new") == b"+OK"  # unsafe: it may have run, and is not repeated
     assert (await world.directory.notice("m1"))["result"] == "dead"
@@ -46,16 +62,16 @@
     assert 'relay_transactions_total{group="new",state="errored"} 1\n' in text
 
 
-async def test_an_open_message_keeps_its_rules_over_change_drop_and_kill(world: World) -> None:
+async def test_open_message_keeps_its_rules_after_reload_and_restart(world: World) -> None:
     """A class of the same name becomes unsafe while a message of it is out: what came as safe is repeated."""
     host = await world.add("h1", silent)
     console = world.open_console()
     client = await world.run()
     assert await client.hand_in("m1", "safe") == b"+OK"
     call = await host.call(0)
-    world.settings["request_classes"] = [{**NEW, "name": "safe"}, *CLASSES[:1]]
+    world.settings["request_classes"] = [{**NEW_CLASS, "name": "safe"}, *CLASSES[:1]]
     await world.reload()
-    await counted(console, "conf_loaded_total", 1)
+    await wait_for_counter(console, "conf_loaded_total", 1)
     call.reset()
     await host.call(1)  # again, though the class of its name is unsafe now
     assert await client.hand_in("m2", "safe") == b"+OK"
@@ -67,7 +83,7 @@
     assert sum("m2" in request.ids for request in host.seen) == 1
 
 
-async def test_a_dropped_class_is_refused_once_clients_must_know(world: World) -> None:
+async def test_removed_class_is_rejected_after_grace(world: World) -> None:
     await world.add("h1")
     client = await world.run()
     world.settings["request_classes"] = CLASSES[:1]
@@ -83,7 +99,7 @@
     assert await client.hand_in("k1", "keyed") == b"+OK"
 
 
-def spoil(path: str, value: Any) -> Any:
+def corrupt(path: str, value: Any) -> Any:
     """A change of one place in the file; ``None`` in place of a value takes the key away."""
 
     def change(told: dict[str, Any]) -> None:
@@ -99,62 +115,65 @@
     return change
 
 
-COUNTS: tuple[Any, ...] = (0, -1, "x", 2.5, True, [], {})
-TIMES_: tuple[Any, ...] = (
+INVALID_COUNTS: tuple[Any, ...] = (0, -1, "x", 2.5, True, [], {})
+INVALID_TIMES: tuple[Any, ...] = (
     None, 0, -5, "", "soon", 1.5, False, [1], {"a": 1}, float("nan"), float("inf"),
 )  # fmt: skip
-BROKEN = [
-    *(spoil(key, None) for key in ("settings", "discovery", "listen", "limits", "seed", "known", "name")),
-    *(spoil(f"settings.{key}", None) for key in ("allowed", "request_classes", "rules", "round_us")),
-    *(spoil(f"settings.allowed.{key}", None) for key in ("most_tries", "open_cap", "keepalive_us", "cancel")),
-    *(spoil("settings.allowed.most_tries", bad) for bad in COUNTS),
-    *(spoil("settings.request_classes.1.deadline_us", bad) for bad in TIMES_),
-    *(spoil(f"settings.request_classes.2.{key}", None) for key in ("name", "effect", "aim_us", "worth")),
-    spoil("settings.request_classes.1.effect", "dangerous"),
-    spoil("settings.request_classes.1.name", "keyed"),
-    spoil("settings.request_classes", []),
-    spoil("settings.request_classes", {}),
-    spoil("settings", []),
-    spoil("discovery", "nowhere"),
-    spoil("limits", 3),
+INVALID_CHANGES = [
+    *(corrupt(key, None) for key in ("settings", "discovery", "listen", "limits", "seed", "known", "name")),
+    *(corrupt(f"settings.{key}", None) for key in ("allowed", "request_classes", "rules", "round_us")),
+    *(
+        corrupt(f"settings.allowed.{key}", None)
+        for key in ("most_tries", "open_cap", "keepalive_us", "cancel")
+    ),
+    *(corrupt("settings.allowed.most_tries", bad) for bad in INVALID_COUNTS),
+    *(corrupt("settings.request_classes.1.deadline_us", bad) for bad in INVALID_TIMES),
+    *(corrupt(f"settings.request_classes.2.{key}", None) for key in ("name", "effect", "aim_us", "worth")),
+    corrupt("settings.request_classes.1.effect", "dangerous"),
+    corrupt("settings.request_classes.1.name", "keyed"),
+    corrupt("settings.request_classes", []),
+    corrupt("settings.request_classes", {}),
+    corrupt("settings", []),
+    corrupt("discovery", "nowhere"),
+    corrupt("limits", 3),
 ]
 
 
-async def test_of_a_broken_file_nothing_is_taken(world: World) -> None:
+async def test_invalid_file_is_rejected_as_a_whole(world: World) -> None:
     """Each of them also names another directory, one more class and fewer attempts."""
     host = await world.add("h1")
     console = world.open_console()
     client = await world.run()
     await world.directory.until(lambda: world.directory.seen)
     before = json.loads((world.folder / "config.json").read_text(encoding="utf-8"))
-    trap = world.directory
+    original_directory = world.directory
     elsewhere = await world.move()
-    for number, change in enumerate(BROKEN):
-        told = copy.deepcopy(before)
-        told["discovery"] = f"127.0.0.1:{world.directory.port}"
-        told["settings"]["request_classes"].append(NEW)
-        change(told)
-        await world.reload(json.dumps(told))
-        await counted(console, "conf_invalid_total", number + 1)
+    for number, change in enumerate(INVALID_CHANGES):
+        config = copy.deepcopy(before)
+        config["discovery"] = f"127.0.0.1:{world.directory.port}"
+        config["settings"]["request_classes"].append(NEW_CLASS)
+        change(config)
+        await world.reload(json.dumps(config))
+        await wait_for_counter(console, "conf_invalid_total", number + 1)
     assert await client.hand_in("m1", "new") == b"-ERR unknown class"
     assert await client.hand_in("m2") == b"+OK"
     await host.call(0)
     assert not any(request.method == "GET" for request in world.directory.seen)
-    assert elsewhere is trap
+    assert elsewhere is original_directory
     await world.reload()  # and a good one still counts
-    await counted(console, "conf_loaded_total", 1)
+    await wait_for_counter(console, "conf_loaded_total", 1)
 
 
-async def test_a_reload_that_changes_nothing_counts_as_taken(world: World) -> None:
+async def test_unchanged_reload_counts_as_loaded(world: World) -> None:
     console = world.open_console()
     await world.run()
     for number in (1, 2):
         await world.reload()
-        await counted(console, "conf_loaded_total", number)
+        await wait_for_counter(console, "conf_loaded_total", number)
 
 
 @pytest.mark.parametrize(
-    ("value", "want"),
+    ("value", "expected"),
     [
         ({"a": 1, "b": {"c": 2}, "d": [{"e": 1}]}, []),
         ({"a": 1, "b": {"c": 2}, "d": []}, []),
@@ -165,12 +184,12 @@
         ({"a": [1], "b": {"c": 2}, "d": [{"e": {}}]}, ["a plain value at a", "a plain value at d.0.e"]),
     ],
 )
-def test_what_a_file_lacks_is_named(value: Any, want: list[str]) -> None:
+def test_missing_keys_are_named(value: Any, expected: list[str]) -> None:
     shape = shape_of({"a": 1, "b": {"c": 2}, "d": [{"e": 1, "f": 2}, {"e": 3}]})
-    assert list(lacking(value, shape)) == want
+    assert list(lacking(value, shape)) == expected
 
 
-def test_rules_are_kept_for_as_long_as_a_message_lives_by_them(tmp_path: Path) -> None:
+def test_journal_keeps_rules_only_while_in_use(tmp_path: Path) -> None:
     """Settings that change all day fill neither journal nor memory."""
     journal = Journal(tmp_path, 1_000_000, POSIX.disk)
     first = journal.rules_number({"name": "first"}, ())
@@ -179,42 +198,42 @@
         last = journal.rules_number({"name": f"n{number}"}, (first,))
     assert len(journal.rules) <= MOST_RULES + 2
     journal.close()
-    again = Journal(tmp_path, 1_000_000, POSIX.disk)
-    assert again.rules[first] == {"name": "first"}
-    assert again.rules_number({"name": "n999"}, ()) == last
+    reopened = Journal(tmp_path, 1_000_000, POSIX.disk)
+    assert reopened.rules[first] == {"name": "first"}
+    assert reopened.rules_number({"name": "n999"}, ()) == last
 
 
-def test_attempts_and_effect_are_those_of_the_arrival() -> None:
+def test_message_keeps_attempts_and_effect_of_its_arrival() -> None:
     relay = DecisionEngine(settings(max_attempts=3), 1)
-    relay.step(0, [roster(entry("h1"))])
+    relay.step(0, [endpoint_update(entry("h1"))])
     (first,) = sends(relay.step(SECOND, [arrival("a", SAFE)]))
     unsafe = api.MessageClass(SAFE.name, api.Effect.UNSAFE, SECOND, 6 * SECOND)
     fewer = settings(max_attempts=1, classes=(unsafe,))
     relay.step(2 * SECOND, [api.SettingsChanged(fewer)])
-    found = relay.step(2 * SECOND + 1, [ended(first, api.Verdict.ERROR)])
+    actions_now = relay.step(2 * SECOND + 1, [attempt_outcome(first, api.Verdict.ERROR)])
     now = 2 * SECOND
-    while not (again := sends(found)):  # repeated: it came as safe, with three attempts
+    while not (again := sends(actions_now)):  # repeated: it came as safe, with three attempts
         now += 50_000
         assert now < 6 * SECOND
-        found = relay.step(now, [api.TimerDue()])
-    found = relay.step(now + 1, [arrival("b", SAFE), ended(again[0], attempt=1)])
-    while not (new := sends(found)):  # behind a failure and a success it may be cold
+        actions_now = relay.step(now, [api.TimerDue()])
+    actions_now = relay.step(now + 1, [arrival("b", SAFE), attempt_outcome(again[0], attempt=1)])
+    while not (new := sends(actions_now)):  # behind a failure and a success it may be cold
         now += 50_000
         assert now < 8 * SECOND
-        found = relay.step(now, [api.TimerDue()])
-    actions = relay.step(now + 2, [ended(new[0], api.Verdict.ERROR)])
+        actions_now = relay.step(now, [api.TimerDue()])
+    actions = relay.step(now + 2, [attempt_outcome(new[0], api.Verdict.ERROR)])
     assert [type(action) for action in actions if isinstance(action, api.Fail | api.Refuse)] == [api.Fail]
 
 
-def test_an_old_rule_of_a_former_life_needs_no_class_of_its_name() -> None:
+def test_recovered_rules_need_no_configured_class() -> None:
     relay = DecisionEngine(settings(classes=(SAFE,)), 1)
-    relay.step(0, [roster(entry("h1"))])
-    came = api.Arrival("a", 1, "gone", 9 * SECOND, rules=api.DeliveryRules(KEYED, 2))
-    assert len(sends(relay.step(SECOND, [came]))) == 1
+    relay.step(0, [endpoint_update(entry("h1"))])
+    recovered = api.Arrival("a", 1, "gone", 9 * SECOND, rules=api.DeliveryRules(KEYED, 2))
+    assert len(sends(relay.step(SECOND, [recovered]))) == 1
     assert sends(relay.step(SECOND, [api.Arrival("b", 1, "gone", 9 * SECOND)])) == []
 
 
-def test_rules_in_the_module_do_not_grow_with_changes() -> None:
+def test_engine_does_not_accumulate_rules() -> None:
     relay = DecisionEngine(settings(), 1)
     for number in range(1000):
         cls = api.MessageClass(f"c{number}", api.Effect.SAFE, SECOND, 6 * SECOND)
--- a/tests/test_shared_calls.py
+++ b/tests/test_shared_calls.py
@@ -10,15 +10,25 @@
 from mossfront import DecisionEngine
 from mossfront import interface as api
 from mossfront.interface import Verdict
-from tests.calls import Calls, serving
-from tests.support import KEYED, SECOND, UNSAFE, arrival, ended, entry, roster, sends, settings
+from tests.calls import HostCalls, start_host
+from tests.support import (
+    KEYED,
+    SECOND,
+    UNSAFE,
+    arrival,
+    attempt_outcome,
+    endpoint_update,
+    entry,
+    sends,
+    settings,
+)
 from tests.world import Request, World, enqueue, packed, settings_json, silent
 
 
 def together(*ours: api.Arrival, cls: tuple[api.MessageClass, ...] = (KEYED, UNSAFE)) -> list[api.Send]:
     """What goes out in one call of three to an endpoint of which nothing is known."""
     relay = DecisionEngine(settings(classes=cls, may_duplicate=False), 1)
-    relay.step(0, [roster(entry("h1", kind="split"))])
+    relay.step(0, [endpoint_update(entry("h1", kind="split"))])
     return sends(relay.step(SECOND, [api.TimerDue(), *ours]))
 
 
@@ -33,7 +43,7 @@
 
 def one(ref: str, left_us: int | None = None) -> api.Arrival:
     """A keyed message, or one that may not be repeated, by its first letter."""
-    return arrival(ref, KEYED if ref.startswith("k") else UNSAFE, left_us=left_us)
+    return arrival(ref, KEYED if ref.startswith("k") else UNSAFE, time_left_us=left_us)
 
 
 def test_a_message_whose_time_is_up_before_the_calls_ends_by_itself() -> None:
@@ -46,8 +56,8 @@
 
     Also where the longest is not let out, or has ended, before the call is written.
     """
-    host = await serving(silent)
-    calls = Calls(host.port)
+    host = await start_host(silent)
+    calls = HostCalls(host.port)
     limits = {"m1": 20_000_000, "m2": 50_000_000, "m3": 30_000_000, "m4": 60_000_000}
     parts = [Part(ref, 0, "", b"x", limit_us) for ref, limit_us in limits.items()]
     parts[3].settled = True
@@ -59,14 +69,14 @@
 
 def test_what_is_not_let_out_in_one_step_does_not_stay_for_the_next() -> None:
     relay = DecisionEngine(settings(), 1)
-    relay.step(0, [roster(entry("h1"), entry("h2", 2))])
+    relay.step(0, [endpoint_update(entry("h1"), entry("h2", 2))])
     first = sends(relay.step(SECOND, [arrival("a")]))
     assert [send.id for send in first] == ["a"]
-    again = sends(relay.step(2 * SECOND, [ended(first[0]), arrival("b", dest=2)]))
+    again = sends(relay.step(2 * SECOND, [attempt_outcome(first[0]), arrival("b", dest=2)]))
     assert [send.id for send in again] == ["b"]
 
 
-class Watched(Calls):
+class Watched(HostCalls):
     """Notes, for each part that is settled, whether its call was off the wire by then."""
 
     def __init__(self, port: int) -> None:
@@ -80,9 +90,9 @@
 
 
 async def test_a_call_that_times_out_is_off_the_wire_before_its_parts_are_told() -> None:
-    host = await serving(silent)
+    host = await start_host(silent)
     calls = Watched(host.port)
-    calls.send("m1", "m2", "m3", limit_us=200_000)
+    calls.send("m1", "m2", "m3", timeout_us=200_000)
     for ref in ("m1", "m2", "m3"):
         assert await calls.outcome(ref) == PartOutcome(Verdict.TIMEOUT)
     assert calls.off == [True, True, True]
@@ -94,9 +104,9 @@
 
     It may have been written behind the messages' time; then they are owed their end all the same.
     """
-    host = await serving(silent)
-    calls = Calls(host.port)
-    exchange = calls.send("m1", "m2", limit_us=400_000)
+    host = await start_host(silent)
+    calls = HostCalls(host.port)
+    exchange = calls.send("m1", "m2", timeout_us=400_000)
     request = await host.call(0)
     request.answer(200, "m1 delivered\r\nm2 refused\r\n")
     while asyncio.get_running_loop().time() < exchange.until_s:
@@ -109,18 +119,18 @@
 
 async def test_an_answer_without_end_is_given_up_with_its_time() -> None:
     begun = b"HTTP/1.1 200 X\r\nContent-Length: 9\r\n\r\nm"
-    host = await serving(lambda request: request.writer.write(begun))
-    calls = Calls(host.port)
-    calls.send("m1", "m2", limit_us=200_000)
+    host = await start_host(lambda request: request.writer.write(begun))
+    calls = HostCalls(host.port)
+    calls.send("m1", "m2", timeout_us=200_000)
     assert await calls.outcome("m1") == PartOutcome(Verdict.ERROR)
     host.stop()
 
 
 async def test_x_remaining_tells_what_is_left_once_the_connection_is_up() -> None:
     """Connecting took time, which the host must not count on any more."""
-    host = await serving(silent)
-    calls = Calls(host.port)
-    exchange = calls.send("m1", limit_us=5_000_000)
+    host = await start_host(silent)
+    calls = HostCalls(host.port)
+    exchange = calls.send("m1", timeout_us=5_000_000)
     exchange.until_s -= 3.0  # as if the connection had come up three seconds late
     left = re.fullmatch(r"(\d+)m", (await host.call(0)).headers["x-remaining"])
     assert left is not None
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-PARAMS = (
+SETTINGS = (
     "allowed.cancel=true allowed.may_duplicate=false allowed.most_tries=4 allowed.open_cap=40 "
     "allowed.probes=false allowed.retry_after=true allowed.max_retry_after_us=2000000 "
     "clients.marks_retry=false "
@@ -23,22 +23,23 @@
 )
 
 
-def init(who: int) -> str:
+def init_lines(relay_id: int) -> str:
     """A start of one relay with its cached list."""
-    return f"init who={who} init_seed=5 {PARAMS}\n{TABLE}\nroster_change who={who} form=2 gen=1 ref=0"
+    change = f"roster_change who={relay_id} form=2 gen=1 ref=0"
+    return f"init who={relay_id} init_seed=5 {SETTINGS}\n{TABLE}\n{change}"
 
 
-def frame(now_us: int, *lines: str) -> str:
+def frame_text(now_us: int, *lines: str) -> str:
     """One batch."""
     return "\n".join([f"frame at_time_us={now_us}", *lines, "commit", ""])
 
 
-def request(who: int, number: int) -> str:
+def request_line(relay_id: int, number: int) -> str:
     """One message for the only destination."""
-    return f"new_request who={who} xid={number:016x} grace_us=5000000 terminates_at=7 tier_class=note"
+    return f"new_request who={relay_id} xid={number:016x} grace_us=5000000 terminates_at=7 tier_class=note"
 
 
-def drill(text: str) -> subprocess.CompletedProcess[str]:
+def run_adapter(text: str) -> subprocess.CompletedProcess[str]:
     """Run the adapter on a whole conversation."""
     return subprocess.run(
         [sys.executable, "-m", "mossfront.simulator_adapter"],
@@ -50,15 +51,15 @@
     )
 
 
-def test_a_conversation() -> None:
+def test_conversation() -> None:
     host = "host=10.0.0.1:80"
-    done = drill(
-        frame(1000)
-        + frame(6000, init(3), request(3, 1))
-        + frame(
+    done = run_adapter(
+        frame_text(1000)
+        + frame_text(6000, init_lines(3), request_line(3, 1))
+        + frame_text(
             90_000, f"report_back who=3 xid={1:016x} trial=0 {host} verdict=OK elapsed_us=84000 complete=1"
         )
-        + frame(95_000, f"aborted who=3 xid={1:016x}", "note_from who=3 author=1 msg=00")
+        + frame_text(95_000, f"aborted who=3 xid={1:016x}", "note_from who=3 author=1 msg=00")
     )
     assert done.returncode == 0, done.stderr
     lines = done.stdout.splitlines()
@@ -68,38 +69,42 @@
     assert lines.count("ok") == 4
 
 
-def test_a_restart_in_the_same_batch_starts_from_nothing() -> None:
-    done = drill(frame(1000, init(1), request(1, 1)) + frame(6000, request(1, 2), "shutdown who=1", init(1)))
+def test_restart_within_batch_starts_without_state() -> None:
+    done = run_adapter(
+        frame_text(1000, init_lines(1), request_line(1, 1))
+        + frame_text(6000, request_line(1, 2), "shutdown who=1", init_lines(1))
+    )
     assert done.returncode == 0, done.stderr
     second = done.stdout.split("ok\n")[1]
     assert "try" not in second
 
 
-def test_a_table_number_used_again_is_read_in_order_of_events() -> None:
+def test_reused_table_number_is_read_in_event_order() -> None:
     other = TABLE.replace("10.0.0.1", "10.0.0.9")
-    done = drill(
-        frame(
+    done = run_adapter(
+        frame_text(
             1000,
-            init(1),
+            init_lines(1),
             other,
-            init(2).split("\n", 1)[0],
+            init_lines(2).split("\n", 1)[0],
             "roster_change who=2 form=2 gen=1 ref=0",
-            request(1, 1),
-            request(2, 2),
+            request_line(1, 1),
+            request_line(2, 2),
         )
     )
     assert f"try who=1 xid={1:016x} host=10.0.0.1:80" in done.stdout
     assert f"try who=2 xid={2:016x} host=10.0.0.9:80" in done.stdout
 
 
-def test_spreading_relays_over_processes_changes_nothing() -> None:
+def test_relays_do_not_affect_each_other_in_one_process() -> None:
     def lines_of(text: str, who: int) -> list[str]:
-        return [line for line in drill(text).stdout.splitlines() if f"who={who} " in line]
+        return [line for line in run_adapter(text).stdout.splitlines() if f"who={who} " in line]
 
     def talk(*whos: int) -> str:
-        batches = [frame(1000, *(init(who) for who in whos))]
+        batches = [frame_text(1000, *(init_lines(who) for who in whos))]
         batches += [
-            frame(1000 + 5000 * n, *(request(who, 100 * who + n) for who in whos)) for n in range(1, 9)
+            frame_text(1000 + 5000 * n, *(request_line(who, 100 * who + n) for who in whos))
+            for n in range(1, 9)
         ]
         return "".join(batches)
 
@@ -108,7 +113,7 @@
 
 
 @pytest.mark.parametrize(
-    ("bad", "said"),
+    ("malformed", "expected_error"),
     [
         ("frame at_time_us=1\nnonsense who=1\ncommit\n", "unknown message"),
         ("frame\ncommit\n", "missing at_time_us"),
@@ -118,23 +123,26 @@
         ("frame at_time_us=1\ntable ref=0 hosts=2\nhost host=a dest=1 health=1\ncommit\n", "host line"),
         ("frame at_time_us=1\ntable ref=99 hosts=0\ncommit\n", "out of range"),
         ("frame at_time_us=1\ninit who=1 init_seed=x\ncommit\n", "unreadable init_seed"),
-        (frame(1, init(1).replace("domain.calls_out=4", "domain.calls_out=0")), "max_calls"),
-        (frame(1, init(1).replace("effect=safe", "effect=odd")), "effect"),
-        (frame(1, init(1).replace("batch_by_kind=1", "batch_by_kind=x")), "batch_by_kind"),
+        (frame_text(1, init_lines(1).replace("domain.calls_out=4", "domain.calls_out=0")), "max_calls"),
+        (frame_text(1, init_lines(1).replace("effect=safe", "effect=odd")), "effect"),
+        (frame_text(1, init_lines(1).replace("batch_by_kind=1", "batch_by_kind=x")), "batch_by_kind"),
         (
-            frame(1, init(1), request(1, 1).replace("grace_us=5000000", "grace_us=soon")),
+            frame_text(1, init_lines(1), request_line(1, 1).replace("grace_us=5000000", "grace_us=soon")),
             "unreadable grace_us",
         ),
-        (frame(1, init(1), "report_back who=1 xid=1 trial=0 host=a verdict=ODD"), "unknown verdict"),
+        (
+            frame_text(1, init_lines(1), "report_back who=1 xid=1 trial=0 host=a verdict=ODD"),
+            "unknown verdict",
+        ),
     ],
 )
-def test_a_malformed_line_ends_the_process_plainly(bad: str, said: str) -> None:
-    done = drill(frame(0) + bad)
+def test_malformed_line_exits_with_one_line_error(malformed: str, expected_error: str) -> None:
+    done = run_adapter(frame_text(0) + malformed)
     assert (done.returncode, done.stdout) == (2, "ok\n")
-    assert said in done.stderr and "Traceback" not in done.stderr
+    assert expected_error in done.stderr and "Traceback" not in done.stderr
     assert len(done.stderr.splitlines()) == 1 and done.stderr.startswith("line ")
 
 
-def test_an_empty_input_ends_cleanly() -> None:
-    done = drill("")
+def test_empty_input_exits_cleanly() -> None:
+    done = run_adapter("")
     assert (done.returncode, done.stdout, done.stderr) == (0, "", "")
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -18,7 +18,7 @@
 from mallowlug.upgrade import handover_file
 from mossfront import DecisionEngine
 from mossfront import interface as api
-from tests.support import SAFE, arrival, roster, sends, settings
+from tests.support import SAFE, arrival, endpoint_update, sends, settings
 
 MANY = 1024
 RNG = random.Random(7)
@@ -98,4 +98,4 @@
     listings.follow(EndpointList(1, True, tuple(rows)), 0.0)
     assert listings.hosts == len(listings) == MANY + 1
     messages = [arrival(f"m{n}", SAFE, n) for n in range(len(HOSTS))]
-    assert {send.host for send in sends(relay.step(0, [roster(*entries), *messages]))} == set(HOSTS)
+    assert {send.host for send in sends(relay.step(0, [endpoint_update(*entries), *messages]))} == set(HOSTS)
--- a/tests/test_spoilt.py
+++ b/tests/test_spoilt.py
@@ -9,7 +9,7 @@
 
 from mallowlug.net import http
 from mossfront.interface import Verdict
-from tests.calls import Calls, serving
+from tests.calls import HostCalls, start_host
 from tests.world import BOUND_S, Reply, Request, delivered
 
 OK = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nfine"
@@ -64,8 +64,8 @@
 @pytest.mark.parametrize("name", SPOILT)
 async def test_a_spoilt_answer_may_have_run(name: str, whole: bool) -> None:
     """Whatever its head says: the request has run, and taken for "never ran" it would run twice."""
-    host = await serving()
-    calls = Calls(host.port)
+    host = await start_host()
+    calls = HostCalls(host.port)
     host.script.append(written(SPOILT[name], whole or len(SPOILT[name]) > 1000))
     calls.send("m1")
     assert (await calls.outcome("m1")).verdict is Verdict.ERROR
@@ -90,8 +90,8 @@
     ],
 )
 async def test_a_first_line_that_says_200_is_true_for_one_message(rest: bytes, whole: bool) -> None:
-    host = await serving()
-    calls = Calls(host.port)
+    host = await start_host()
+    calls = HostCalls(host.port)
     host.script.append(written(b"HTTP/1.1 200 OK\r\n" + rest, whole or len(rest) > 1000))
     calls.send("m1")
     told = await calls.outcome("m1")
@@ -107,8 +107,8 @@
 @pytest.mark.parametrize("head", [b"HTTP/1.1 200 OK\r\n", b"HTTP/1.1 503 X\r\n"])
 @pytest.mark.parametrize("endless", [b"X-Pad: pppppppp\r\n", b"Content-Length: 3000000000\r\n\r\n"])
 async def test_an_answer_that_keeps_coming_frees_slot_and_connection(head: bytes, endless: bytes) -> None:
-    host = await serving()
-    calls = Calls(host.port)
+    host = await start_host()
+    calls = HostCalls(host.port)
     host.script.append(written(head, True, endless))
     calls.send("m1")
     assert (await calls.outcome("m1")).verdict is (Verdict.OK if b"200" in head else Verdict.ERROR)
@@ -134,8 +134,8 @@
 )
 async def test_a_spoilt_batch_answer_proves_nothing(data: bytes, whole: bool) -> None:
     """Not even its first line, nor the lines that look whole: another's may have been cut out before."""
-    host = await serving()
-    calls = Calls(host.port)
+    host = await start_host()
+    calls = HostCalls(host.port)
     host.script.append(written(data, whole))
     calls.send("m1", "m2")
     for ref in ("m1", "m2"):
@@ -157,8 +157,8 @@
     good: bytes, behind: bytes, ahead: bytes, whole: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(http, "ANSWER_S", BOUND_S)  # however slow the machine writes it
-    host = await serving()
-    calls = Calls(host.port)
+    host = await start_host()
+    calls = HostCalls(host.port)
     host.script.append(written(ahead + good + behind, whole))
     calls.send("m1")
     told = await calls.outcome("m1")
@@ -169,8 +169,8 @@
 
 @pytest.mark.parametrize("behind", [NOISE, OK, BATCH])
 async def test_what_came_behind_is_never_the_next_answer(behind: bytes) -> None:
-    host = await serving(lambda request: request.answer(500))
-    calls = Calls(host.port)
+    host = await start_host(lambda request: request.answer(500))
+    calls = HostCalls(host.port)
     host.script.append(written(OK + behind, True))
     calls.send("m1")
     await calls.outcome("m1")
@@ -183,13 +183,13 @@
 
 async def test_a_final_answer_may_come_long_after_a_1xx() -> None:
     """Only an answer that has begun has to end soon."""
-    host = await serving()
-    calls = Calls(host.port)
+    host = await start_host()
+    calls = HostCalls(host.port)
     host.script.append(lambda request: request.writer.write(b"HTTP/1.1 102 Processing\r\n\r\n"))
     calls.send("m1")
     request = await host.call(0)
     await asyncio.sleep(1.1)  # longer than the bound on an answer that has begun
-    assert calls.told == {}
+    assert calls.outcomes == {}
     delivered(request)
     assert (await calls.outcome("m1")).verdict is Verdict.OK
     host.stop()
@@ -197,21 +197,21 @@
 
 async def test_a_limit_within_an_answer_is_no_silence() -> None:
     """Taken for a time-out it would be laid to the connection, and idle ones would be closed ever sooner."""
-    host = await serving()
-    calls = Calls(host.port)
+    host = await start_host()
+    calls = HostCalls(host.port)
     host.script.append(written(b"HTTP/1.1 503 X\r\nX-Pad: ", True))
     call = calls.send("m1", "m2")
     while call.connection is None or not call.connection.answering:
         await asyncio.sleep(0.01)
     calls.hosts._stop(call, call.call.parts[0], Verdict.TIMEOUT)
-    assert calls.told["m1"].verdict is Verdict.ERROR
+    assert calls.outcomes["m1"].verdict is Verdict.ERROR
     assert (await calls.outcome("m2")).verdict is Verdict.ERROR
     host.stop()
 
 
 async def test_1xx_answers_without_end_are_no_answer() -> None:
-    host = await serving()
-    calls = Calls(host.port)
+    host = await start_host()
+    calls = HostCalls(host.port)
     host.script.append(written(100 * b"HTTP/1.1 100 Continue\r\n\r\n", True))
     calls.send("m1")
     assert (await calls.outcome("m1")).verdict is Verdict.ERROR
--- a/tests/test_told.py
+++ b/tests/test_told.py
@@ -12,7 +12,7 @@
 from mossfront import DecisionEngine
 from mossfront import interface as api
 from mossfront.engine import LISTED_US
-from tests.support import SECOND, entry, roster, settings
+from tests.support import SECOND, endpoint_update, entry, settings
 from tests.world import Request, World, delivered
 
 SIZES = [1, 6, 30, 230, 1024]
@@ -38,7 +38,11 @@
 
     def first_us(self) -> int:
         """When it asks first, with a list that it knew."""
-        return 0 if self.step(0, roster(entry("h1"), kind=api.EndpointUpdateKind.CACHED)) else self.next_us()
+        return (
+            0
+            if self.step(0, endpoint_update(entry("h1"), kind=api.EndpointUpdateKind.CACHED))
+            else self.next_us()
+        )
 
     def next_us(self) -> int:
         """Go on until it asks; when that is."""
@@ -68,7 +72,7 @@
     for seed in range(20):
         asking = Asking(size, seed)
         begun_us = asking.first_us()
-        asking.step(begun_us + SECOND, roster(entry("h1")))
+        asking.step(begun_us + SECOND, endpoint_update(entry("h1")))
         silent_us = begun_us + 60 * SECOND
         found_us = silent_us + int(QUIET_S * 1e6)
         asking.step(found_us, api.EndpointUpdate(api.EndpointUpdateKind.FAILED))
@@ -82,7 +86,7 @@
     """
     rng, group = random.Random(seed), [Asking(relays, n) for n in range(relays)]
     inbox: dict[int, api.Event] = {
-        n: roster(entry("h1"), kind=api.EndpointUpdateKind.CACHED) for n in range(relays)
+        n: endpoint_update(entry("h1"), kind=api.EndpointUpdateKind.CACHED) for n in range(relays)
     }
     heard, calls, free_us, back_us = dict[int, float](), 0, 0, 20 * SECOND
     due: dict[int, list[tuple[int, api.Event]]] = {}
@@ -97,7 +101,7 @@
             at_us = now_us + TICK_US
             if now_us >= back_us and (free_us := max(free_us, now_us)) <= now_us + SECOND:
                 free_us += SECOND // capacity
-                answer, at_us = (number, roster(entry("h1"))), free_us + TICK_US
+                answer, at_us = (number, endpoint_update(entry("h1"))), free_us + TICK_US
                 heard[number] = (free_us - back_us) / 1e6
             due.setdefault(at_us - at_us % TICK_US, []).append(answer)
     return sorted(heard.values()), calls
