--- a/mossfront/interface.py
+++ b/mossfront/interface.py
@@ -1,7 +1,7 @@
-"""The vocabulary of the decision module: settings, events, actions and outcomes.
+"""Data types of the decision engine: settings, events and actions.
 
-Times are whole microseconds and carry the suffix ``_us``. Everything here is a frozen value; a caller
-builds settings and events, hands them to ``mossfront.engine.Relay`` and carries out the actions it returns.
+Times are integers in microseconds and carry the suffix ``_us``. All types are immutable. A caller builds
+settings and events, passes them to ``mossfront.engine.DecisionEngine`` and carries out the returned actions.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 
 class Effect(Enum):
-    """What a repeat of a message does: nothing, nothing within a window, or harm."""
+    """Whether a message may be repeated: always, within its key's deduplication window, or never."""
 
     SAFE = "safe"
     KEYED = "keyed"
@@ -19,7 +19,7 @@
 
 
 class Verdict(Enum):
-    """How one attempt (or probe) ended."""
+    """The result of one attempt or probe."""
 
     OK = "ok"
     ERROR = "error"
@@ -37,17 +37,17 @@
 
 
 class EndpointUpdateKind(Enum):
-    """What a piece of news about the endpoint list is."""
+    """How an update relates to the endpoint list known so far."""
 
-    CHANGES = "changes"
-    FULL = "whole"
-    CACHED = "cached"
-    REACTIVATED = "awake"  # endpoints of destinations that are used again: listed all along, and no news
-    FAILED = "failed"
+    CHANGES = "changes"  # only the entries that changed
+    FULL = "whole"  # the complete list
+    CACHED = "cached"  # the complete list as it was stored earlier
+    REACTIVATED = "awake"  # endpoints of destinations in use again; they were on the list all the time
+    FAILED = "failed"  # the request for the list failed
 
 
 class Listing(Enum):
-    """How the directory lists an endpoint; it says nothing of health."""
+    """An endpoint's state in the directory; it says nothing about its health."""
 
     GONE = "gone"
     READY = "ready"
@@ -56,22 +56,22 @@
 
 @dataclass(frozen=True, slots=True)
 class MessageClass:
-    """What a class of message is worth, when it is wanted and whether it may be repeated."""
+    """A class of messages: its value, its times and whether its messages may be repeated."""
 
     name: str
     effect: Effect
-    aim_us: int
-    deadline_us: int
-    worth: float = 1.0
-    late_worth: float = 0.0
-    window_us: int = 0
-    scope_is_zone: bool = False
-    in_order: bool = False
+    aim_us: int  # target time for delivery
+    deadline_us: int  # time until which the final answer is due
+    worth: float = 1.0  # value of a delivery by the target time
+    late_worth: float = 0.0  # value of a delivery at the deadline
+    window_us: int = 0  # how long endpoints recognize a repeated key
+    scope_is_zone: bool = False  # a key is recognized only within one zone
+    in_order: bool = False  # messages with the same key are delivered in order of arrival
 
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
-    """A member sharing the service and the rate that it may use across all relays."""
+    """A member that shares the service, and its rate quota over all relays."""
 
     name: str
     quota_per_s: float
@@ -79,51 +79,54 @@
 
 @dataclass(frozen=True, slots=True)
 class Kind:
-    """A kind of destination: whether its endpoints are separate routes, and messages to a call."""
+    """A kind of destination."""
 
     name: str
-    separate_routes: bool = False
-    batch_size: int = 1
+    separate_routes: bool = False  # its endpoints have separate limits and waits
+    batch_size: int = 1  # messages that one call may carry
 
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """Everything that a relay is told at its start."""
+    """The configuration of one relay. Some fields keep the names of their configuration keys."""
 
-    max_calls: int
+    max_calls: int  # calls in flight at a time
     classes: tuple[MessageClass, ...]
     kinds: tuple[Kind, ...] = ()
     tenants: tuple[Tenant, ...] = ()
-    zone_fees: dict[str, float] = field(default_factory=dict)
-    group_size: int = 1
+    zone_fees: dict[str, float] = field(
+        default_factory=dict
+    )  # cost of a call into a zone, as a share of the deadline
+    group_size: int = 1  # relays that share the endpoints
     max_held_messages: int = 1000
     max_attempts: int = 1
-    round_us: int = 1000
-    keepalive_us: int = 60_000_000
-    may_duplicate: bool = False
+    round_us: int = 1000  # shortest delay of a timer
+    keepalive_us: int = 60_000_000  # endpoints close connections that were idle for so long
+    may_duplicate: bool = False  # a message may have several attempts in flight
     may_cancel: bool = False
     may_probe: bool = False
-    advise_retry: bool = False
+    advise_retry: bool = False  # a refusal may carry a Retry-After time, up to max_retry_after_us
     max_retry_after_us: int = 0
-    must_subscribe: bool = False
-    list_is_pushed: bool = (
-        False  # lists come to an agent beside the relay, which answers at once and at no cost
-    )
-    ask_within_us: int = 0
-    rate_hints_given: bool = False
-    rate_hints_rough: bool = False
-    worth_halves: bool = False
-    over_share_worth: float = 1.0
-    drain_grace_us: int = 0
+    must_subscribe: bool = False  # changes of the endpoint list arrive only after ``Subscribe``
+    # The endpoint list is pushed to an agent next to the relay, which answers at once and at no cost.
+    list_is_pushed: bool = False
+    ask_within_us: int = 0  # time within which a change of the endpoint list has to be received
+    rate_hints_given: bool = False  # the directory lists a rate hint for each endpoint
+    rate_hints_rough: bool = False  # the rate hints are inexact
+    worth_halves: bool = False  # a message's value decays by halves instead of linearly
+    over_share_worth: float = 1.0  # factor of the value of messages beyond their tenant's quota
+    drain_grace_us: int = 0  # how long a draining or removed endpoint may still be called
+    # A cold endpoint that is sent more than ``fall_multiple`` times its present capacity for ``fall_us``
+    # collapses from overload.
     fall_multiple: float = 2.0
     fall_us: int = 1_000_000
-    cold_from: float = 0.2
-    warm_within_us: int = 10_000_000
-    answer_slack_us: int = 0
-    order_pause_us: int = 0
+    cold_from: float = 0.2  # share of its capacity that an endpoint has at its return
+    warm_within_us: int = 10_000_000  # time from the return to full capacity
+    answer_slack_us: int = 0  # how late after its deadline a message may get its final answer
+    order_pause_us: int = 0  # pause of an ordering key after an attempt in doubt
 
     def __post_init__(self) -> None:
-        """Refuse settings that cannot work, naming the field."""
+        """Raise ValueError, which names the field, for settings that cannot work."""
         for name in (
             "max_calls",
             "group_size",
@@ -153,7 +156,7 @@
         if not self.classes:
             raise ValueError("classes: at least one is needed")
         if len({cls.name for cls in self.classes}) < len(self.classes):
-            raise ValueError("classes: a name stands twice")
+            raise ValueError("classes: duplicate name")
         for cls in self.classes:
             if not isinstance(cls.effect, Effect):
                 raise ValueError(f"classes.{cls.name}.effect: unknown effect {cls.effect!r}")
@@ -178,9 +181,9 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointUpdate:
-    """News of the endpoint list.
+    """An update of the endpoint list.
 
-    ``added_later``: of used endpoints that came after the first list, perhaps new.
+    ``added_later``: the entries are endpoints in use that were added after the first list and may be new.
     """
 
     kind: EndpointUpdateKind
@@ -190,7 +193,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DeliveryRules:
-    """What a message lives and ends by, whatever the settings say later: its class, and its most attempts."""
+    """The rules of a message from its acceptance to its final answer, also after a change of settings."""
 
     cls: MessageClass
     max_attempts: int
@@ -198,12 +201,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Arrival:
-    """A message taken in; it must get exactly one final answer within ``time_left_us``.
+    """An accepted message; it must get exactly one final answer within ``time_left_us``.
 
-    Its times count from ``received_us`` by the steps' clock: it may have waited for the step that takes it
-    in, or for a restart to read all that was left (-1: from that step on). The five fields before it speak of
-    a former life of this relay: attempts made, how long ago and in which zone the first of them was made that
-    may have run (-1: none may), the rules that it was taken on under, and whether a restart found it untried.
+    Its times count from ``received_us`` on the clock of the steps, as it may have waited for this step or for
+    a restart to read all recovered messages (-1: they count from this step). The five fields before it
+    describe what happened before a restart: the attempts made, the age and the zone of the first attempt in
+    doubt (-1: none), the rules under which the message was accepted, and whether it was recovered without
+    any attempt.
     """
 
     id: str
@@ -215,16 +219,14 @@
     attempts: int = 0
     in_doubt_age_us: int = -1
     in_doubt_zone: str = ""
-    rules: DeliveryRules | None = (
-        None  # those under which it was taken on, where they are not the present ones
-    )
-    recovered_untried: bool = False  # such a one goes before all else
+    rules: DeliveryRules | None = None  # None: those of the present settings
+    recovered_untried: bool = False  # takes precedence over all other messages
     received_us: int = -1
 
 
 @dataclass(frozen=True, slots=True)
 class Outcome:
-    """How one attempt ended."""
+    """The result of one attempt."""
 
     id: str
     attempt: int
@@ -235,14 +237,12 @@
     retry_after_us: int = 0
     limit_remaining: float | None = None
     limit_per_s: float | None = None
-    call_continues: bool = (
-        False  # its call stays on the wire for others; ``CallEnded`` tells when it no longer is
-    )
+    call_continues: bool = False  # the call remains open for other messages until ``CallEnded``
 
 
 @dataclass(frozen=True, slots=True)
 class ProbeResult:
-    """How one probe ended."""
+    """The result of one probe."""
 
     host: str
     verdict: Verdict
@@ -253,55 +253,56 @@
 
 @dataclass(frozen=True, slots=True)
 class TimerDue:
-    """A wake-up that was asked for has come."""
+    """A requested timer has expired."""
 
 
 @dataclass(frozen=True, slots=True)
 class MessageWithdrawn:
-    """Nobody wants this message any more; no answer is owed."""
+    """The client withdrew this message; no final answer is due."""
 
     id: str
 
 
 @dataclass(frozen=True, slots=True)
 class CallEnded:
-    """The call of an attempt that had its outcome before is off the wire: only now nothing of it begins."""
+    """The call of an attempt whose outcome is known has ended; from now on the endpoint cannot start it."""
 
     id: str
     attempt: int
 
 
 class OutageRecordKind(Enum):
-    """What a process knows of an endpoint that may be down or cold."""
+    """What a process knows about an endpoint that may be down or cold."""
 
-    OUTAGE = "outage"  # it was down, and has not been seen back
-    SUSPICION = "suspicion"  # a call has failed, and nothing has told yet whether that was an outage
-    RECOVERY = "return"  # it has been seen back, and is cold
+    OUTAGE = "outage"  # it was down, and no return has been observed
+    SUSPICION = "suspicion"  # a call failed; whether this is an outage is not yet known
+    RECOVERY = "return"  # its return was observed; it is cold
 
 
 @dataclass(frozen=True, slots=True)
 class OutageRecord:
-    """An endpoint may be down or cold for so long from now; behind a return, until it is warm.
+    """An endpoint may be down or cold for ``valid_for_us`` from now; after a return, until it is warm.
 
-    As an action: keep this for a later life. As an event: a former life has seen it.
+    As an action: store this record for the time after a restart. As an event: the record was stored before
+    the restart.
     """
 
     host: str
     valid_for_us: int
     kind: OutageRecordKind = OutageRecordKind.OUTAGE
-    served_share: float = 1.0  # of the destination's messages, that was delivered before it failed
+    served_share: float = 1.0  # share of the destination's messages delivered before the failure
 
 
 @dataclass(frozen=True, slots=True)
 class DestinationIdle:
-    """A destination has not been used for long; the relay may let go of it until it is."""
+    """A destination has not been used for a long time; its state may be dropped until it is used again."""
 
     dest: int
 
 
 @dataclass(frozen=True, slots=True)
 class HostOverride:
-    """Staff leave an endpoint out, whatever the list says, or take it back: then as a new, cold process."""
+    """An operator disables an endpoint, whatever the list says, or enables it as a new, cold process."""
 
     host: str
     disabled: bool
@@ -309,22 +310,22 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointSnapshot:
-    """What the process that served before has learned of an endpoint, to go on from."""
+    """State of an endpoint that the process before a handover learned, for its successor."""
 
     host: str
-    wait_us: int  # how long it is still to be left alone
-    quota: float
-    send_rate_per_s: float  # own calls/s; 0: none
-    announced_rate_per_s: float  # calls/s told for all; 0: not told
-    cold_for_us: int = -1  # how long ago its cold return began; -1: it is warm, or out
-    next_call_in_us: int = 0  # how long until a cold one bears the next call
+    wait_us: int  # how long it must not be called
+    quota: float  # calls allowed in flight
+    send_rate_per_s: float  # this relay's own; 0: unlimited
+    announced_rate_per_s: float  # for all relays together; 0: none announced
+    cold_for_us: int = -1  # time since its return; -1: it is not in slow start
+    next_call_in_us: int = 0  # time until a cold one can take the next call
 
 
 @dataclass(frozen=True, slots=True)
 class DispatchPaused:
-    """Nothing is sent from now on, or (``paused`` false) it is again.
+    """Stop sending from now on, or (``paused`` false) resume.
 
-    What has no time left is still answered.
+    Messages whose time is over still get their final answer.
     """
 
     paused: bool
@@ -332,7 +333,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SettingsChanged:
-    """Other settings count from now on; messages that are open keep the rules under which they came."""
+    """New settings apply from now on; open messages keep the rules under which they were accepted."""
 
     settings: Settings
 
@@ -358,7 +359,7 @@
 class Send:
     """Call an endpoint with a message, within ``timeout_us`` of the step's time.
 
-    ``start_within_us``: only within so long (0: any time), as its key is known.
+    ``start_within_us``: the call must start within this time (0: any time), as its key expires then.
     """
 
     id: str
@@ -368,7 +369,7 @@
 
 
 class GiveUpReason(Enum):
-    """Why a message gets its final answer without having been delivered."""
+    """Why a message gets a final answer without delivery; the values are metric labels and log words."""
 
     NO_TIME = "no time for a further call"
     WAIT_EXCEEDS_DEADLINE = "told to wait beyond its time"
@@ -380,7 +381,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Refuse:
-    """Final answer: handed back, a retry is harmless."""
+    """Final answer: returned to the client, which may safely retry."""
 
     id: str
     retry_after_us: int = 0
@@ -389,7 +390,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Fail:
-    """Final answer: given up, nothing is promised."""
+    """Final answer: given up; the message may or may not have taken effect."""
 
     id: str
     reason: GiveUpReason = field(default=GiveUpReason.NO_TIME, compare=False)
@@ -419,26 +420,26 @@
 
 @dataclass(frozen=True, slots=True)
 class Subscribe:
-    """Ask the directory for the list's changes from now on."""
+    """Subscribe to changes of the endpoint list at the directory."""
 
 
 @dataclass(frozen=True, slots=True)
 class DestinationDeactivated:
-    """Nothing binds an idle destination, and nothing of it is kept here any more."""
+    """The state of an idle destination was dropped; nothing depended on it any more."""
 
     dest: int
 
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Ask for a ``TimerDue`` after this delay."""
+    """Request a ``TimerDue`` after this delay."""
 
     delay_us: int
 
 
 @dataclass(frozen=True, slots=True)
 class Log:
-    """A line for the people on call."""
+    """A log line for the operators."""
 
     line: str
 
--- a/mossfront/settings.py
+++ b/mossfront/settings.py
@@ -1,4 +1,4 @@
-"""The simulator's words for settings, read into typed values, for the wire and for the sockets."""
+"""Parses settings and field values from the simulator's names; the relay's configuration uses them, too."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 
 
 class BadLineError(ValueError):
-    """A line that the wire does not allow."""
+    """A line or value that violates the simulator's protocol."""
 
 
 def parse_fields(text: str) -> Fields:
-    """Split ``name=value`` pairs; a part without ``=`` is malformed."""
+    """Split text into ``name=value`` pairs; raise BadLineError for a part without a name or ``=``."""
     pairs: Fields = {}
     for part in text.split():
         name, separator, value = part.partition("=")
@@ -26,14 +26,14 @@
 
 
 def required_field(pairs: Fields, name: str) -> str:
-    """A value that has to be there."""
+    """Return a value that must be present and not empty."""
     if not pairs.get(name):
         raise BadLineError(f"missing {name}")
     return pairs[name]
 
 
 def int_field(pairs: Fields, name: str, default: int | None = None) -> int:
-    """A whole number, or the default where the wire lets it be absent."""
+    """Return an integer; the default, if there is one, where it is absent."""
     text = pairs.get(name)
     if text is None and default is not None:
         return default
@@ -46,7 +46,7 @@
 
 
 def float_field(pairs: Fields, name: str, default: float) -> float:
-    """A number, or the default where it is absent."""
+    """Return a float, or the default where it is absent."""
     text = pairs.get(name)
     if text is None:
         return default
@@ -57,7 +57,7 @@
 
 
 def bool_field(pairs: Fields, name: str) -> bool:
-    """A truth value; absent means no."""
+    """Return a boolean; false where it is absent."""
     text = pairs.get(name, "0")
     if text not in ("0", "1", "true", "false"):
         raise BadLineError(f"unreadable {name}: {text!r}")
@@ -65,7 +65,7 @@
 
 
 def enum_field(table: dict[str, T], pairs: Fields, name: str) -> T:
-    """A value out of a fixed set of words."""
+    """Return the table's entry for a value that must be one of its keys."""
     word = required_field(pairs, name)
     if word not in table:
         raise BadLineError(f"unknown {name}: {word!r}")
@@ -73,13 +73,13 @@
 
 
 def list_field(pairs: Fields, name: str) -> list[str]:
-    """A comma-joined list, empty where absent."""
+    """Return a comma-separated list; empty where it is absent."""
     text = pairs.get(name, "")
     return text.split(",") if text else []
 
 
 def float_list_field(pairs: Fields, name: str) -> list[float]:
-    """A comma-joined list of numbers."""
+    """Return a comma-separated list of floats."""
     try:
         return [float(text) for text in list_field(pairs, name)]
     except ValueError:
@@ -87,7 +87,7 @@
 
 
 def parse_class(pairs: Fields, index: int) -> api.MessageClass:
-    """One item of the list of classes."""
+    """Return the message class with this index."""
     prefix = f"request_classes.{index}."
     word = required_field(pairs, prefix + "effect")
     if word not in ("safe", "keyed", "unsafe"):
@@ -106,7 +106,7 @@
 
 
 def parse_settings(pairs: Fields) -> api.Settings:
-    """The settings of one relay; names that are not known here are left aside."""
+    """Return the settings of one relay; unknown names are ignored."""
     separate_routes, batch_sizes = (
         list_field(pairs, "domain.kind_apart"),
         float_list_field(pairs, "domain.batch_by_kind"),
@@ -114,19 +114,19 @@
     kinds = tuple(
         api.Kind(
             name,
-            separate_routes[at : at + 1] == ["true"],
-            int(batch_sizes[at]) if at < len(batch_sizes) else 1,
+            separate_routes[index : index + 1] == ["true"],
+            int(batch_sizes[index]) if index < len(batch_sizes) else 1,
         )
-        for at, name in enumerate(list_field(pairs, "machine_types"))
+        for index, name in enumerate(list_field(pairs, "machine_types"))
     )
     tenants = tuple(
         api.Tenant(
-            required_field(pairs, f"accounts.{at}.name"),
-            float_field(pairs, f"accounts.{at}.quota_per_s", 0.0),
+            required_field(pairs, f"accounts.{index}.name"),
+            float_field(pairs, f"accounts.{index}.quota_per_s", 0.0),
         )
-        for at in range(int_field(pairs, "accounts.count", 0))
+        for index in range(int_field(pairs, "accounts.count", 0))
     )
-    classes = tuple(parse_class(pairs, at) for at in range(int_field(pairs, "request_classes.count")))
+    classes = tuple(parse_class(pairs, index) for index in range(int_field(pairs, "request_classes.count")))
     fees = zip(list_field(pairs, "zones"), float_list_field(pairs, "domain.toll"), strict=False)
     rate_hints = pairs.get("weights", "off")
     return api.Settings(
--- a/mossfront/simulator_adapter.py
+++ b/mossfront/simulator_adapter.py
@@ -1,6 +1,6 @@
-"""Wire adapter: translates the bench's text frames to events and the module's actions back.
+"""Adapter for the simulator: translates its text frames to events, and the engine's actions back.
 
-It decides nothing. One process hosts any number of relays, which share nothing but the parser.
+It makes no decisions. One process hosts any number of relays, which share nothing but the parser.
 """
 
 from __future__ import annotations
@@ -45,7 +45,7 @@
 
 
 def parse_entry(pairs: Fields) -> api.EndpointEntry:
-    """One line of a host list."""
+    """Parse one line of an endpoint list."""
     return api.EndpointEntry(
         host=required_field(pairs, "host"),
         dest=int_field(pairs, "dest"),
@@ -57,7 +57,7 @@
 
 
 def parse_load_report(pairs: Fields) -> dict[str, float]:
-    """The values of a load report; those that cannot be read are left out as unknown."""
+    """Parse the values of a load report; unreadable values are omitted, as unknown."""
     report: dict[str, float] = {}
     for part in list_field(pairs, "pressure"):
         name, _, value = part.partition(":")
@@ -69,7 +69,7 @@
 
 
 def parse_arrival(pairs: Fields) -> api.Arrival:
-    """A message handed in."""
+    """Parse a submitted message."""
     return api.Arrival(
         id=required_field(pairs, "xid"),
         dest=int_field(pairs, "terminates_at"),
@@ -81,7 +81,7 @@
 
 
 def parse_outcome(pairs: Fields) -> api.Outcome:
-    """The end of an attempt; the note of a refusal is its wait in milliseconds."""
+    """Parse the outcome of an attempt; ``detail`` of a refusal is its Retry-After wait in milliseconds."""
     verdict, report = enum_field(VERDICTS, pairs, "verdict"), parse_load_report(pairs)
     wait_ms = int_field(pairs, "detail", 0) if verdict is api.Verdict.FULL else 0
     return api.Outcome(
@@ -98,7 +98,7 @@
 
 
 def parse_probe_result(pairs: Fields) -> api.ProbeResult:
-    """The end of a probe."""
+    """Parse the result of a probe."""
     report = parse_load_report(pairs)
     return api.ProbeResult(
         host=required_field(pairs, "host"),
@@ -110,12 +110,12 @@
 
 
 def parse_timer(_pairs: Fields) -> api.TimerDue:
-    """A wake-up; its label carries nothing."""
+    """Parse an expired timer; its label is not needed."""
     return api.TimerDue()
 
 
 def parse_withdrawal(pairs: Fields) -> api.MessageWithdrawn:
-    """A message that nobody wants any more."""
+    """Parse the withdrawal of a message by its client."""
     return api.MessageWithdrawn(required_field(pairs, "xid"))
 
 
@@ -130,7 +130,7 @@
 
 
 def format_action(relay_id: str, action: api.Action) -> str:
-    """One action as a line of the wire."""
+    """Format one action as a line for the simulator."""
     match action:
         case api.Send(id=xid, host=host, timeout_us=limit):
             return f"try who={relay_id} xid={xid} host={host} limit_us={limit}"
@@ -150,19 +150,19 @@
             return f"sleep who={relay_id} wait_us={delay} label=wake"
         case api.Log(line=line):
             return f"log who={relay_id} line={line}"
-        case api.DestinationDeactivated(
-            dest=dest
-        ):  # a simulated list is small: no destination is ever called idle here
-            return f"log who={relay_id} line=destination {dest} sleeps"
-        case api.OutageRecord(host=host, valid_for_us=us):  # nothing outlasts an instance here
-            return f"log who={relay_id} line={host} needs care for {us} us"
+        # A simulated endpoint list is small: no destination is ever reported idle here.
+        case api.DestinationDeactivated(dest=dest):
+            return f"log who={relay_id} line=destination {dest} deactivated"
+        # Nothing is stored for the time after a restart here.
+        case api.OutageRecord(host=host, valid_for_us=us):
+            return f"log who={relay_id} line={host} may be down or cold for {us} us"
 
 
 class SimulatorSession:
-    """One process's conversation: the relays it hosts and the batch being read."""
+    """The session of one process: the relays that it hosts and the batch being read."""
 
     def __init__(self, lines: Iterator[str], output: IO[str]) -> None:
-        """Read frames from ``lines`` and write replies to ``out``."""
+        """Read frames from ``lines`` and write replies to ``output``."""
         self._lines, self._output, self._line_number = lines, output, 0
         self._engines: dict[str, DecisionEngine] = {}
         self._tables: dict[int, tuple[api.EndpointEntry, ...]] = {}
@@ -170,11 +170,11 @@
 
     @property
     def line_number(self) -> int:
-        """The number of the line read last."""
+        """The number of the last line read."""
         return self._line_number
 
     def _read_line(self) -> str | None:
-        """The next line without its end, or None at the end of input."""
+        """Return the next line without its line end, or None at the end of input."""
         line = next(self._lines, None)
         if line is None:
             return None
@@ -182,7 +182,7 @@
         return line.rstrip("\r\n")
 
     def _read_table(self, pairs: Fields) -> None:
-        """Read a numbered host list and the lines that belong to it."""
+        """Read a numbered endpoint list and the host lines that follow it."""
         ref, entries = int_field(pairs, "ref"), []
         if not 0 <= ref <= MAX_TABLE_NUMBER:
             raise BadLineError(f"ref out of range: {ref}")
@@ -195,7 +195,7 @@
         self._tables[ref] = tuple(entries)
 
     def _parse_endpoint_update(self, pairs: Fields) -> api.EndpointUpdate:
-        """News of the list, with the table it names as it stands at this line."""
+        """Parse an update of the endpoint list; the table that it names counts as of this line."""
         kind = enum_field(UPDATE_KINDS, pairs, "form")
         if kind is api.EndpointUpdateKind.FAILED:
             return api.EndpointUpdate(kind)
@@ -205,7 +205,7 @@
         return api.EndpointUpdate(kind, self._tables[ref])
 
     def _start_relay(self, rest: str) -> str:
-        """Start a relay afresh; its settings fill the rest of the line."""
+        """Start a relay without state; its settings are the rest of the line."""
         pairs = parse_fields(rest)
         relay_id, seed = required_field(pairs, "who"), int_field(pairs, "init_seed")
         try:
@@ -218,7 +218,7 @@
         return relay_id
 
     def _read_event(self, line: str) -> None:
-        """Take in one line of a batch."""
+        """Read one line of a batch."""
         name, _, rest = line.partition(" ")
         if name == "init":
             self._start_relay(rest)
@@ -241,7 +241,7 @@
             batch.append(EVENT_PARSERS[name](pairs))
 
     def _process_batch(self, now_us: int) -> None:
-        """Let every relay that had an event act, in order of their first events."""
+        """Step every relay that had an event, in order of their first events, and write the replies."""
         lines: list[str] = []
         for relay_id, events in self._events.items():
             engine = self._engines.get(relay_id)
@@ -249,14 +249,14 @@
                 continue
             try:
                 lines += [format_action(relay_id, action) for action in engine.step(now_us, events)]
-            except Exception as error:  # the wire wants it told
+            except Exception as error:  # the simulator expects it as a reply
                 text = " ".join(f"{type(error).__name__}: {error}".split())
                 lines.append(f"die who={relay_id} line={text}")
         self._output.write("".join(f"{line}\n" for line in (*lines, "ok")))
         self._output.flush()
 
     def process_frame(self) -> bool:
-        """Read one batch and answer it; False at the end of input."""
+        """Read one batch and answer it; return False at the end of input."""
         line = self._read_line()
         if line is None:
             return False
@@ -276,7 +276,7 @@
 
 
 def main() -> int:
-    """Serve standard input until its end; 2 after a line that cannot be read."""
+    """Serve standard input until its end; return 2 after an unreadable line."""
     session = SimulatorSession(iter(sys.stdin), sys.stdout)
     try:
         while session.process_frame():
--- a/mossfront/slow_start.py
+++ b/mossfront/slow_start.py
@@ -1,20 +1,23 @@
-"""Slow start of one endpoint for a group of senders that share nothing. No I/O and no clock of its own.
+"""Slow start of one endpoint for a group of senders that share no state. No I/O and no clock of its own.
 
-An endpoint that returns from an outage is cold: for a while it bears a part of its capacity, counted over the
-calls of all senders together. Nobody tells a sender what the others send, what the capacity is, or when the
-endpoint came back. So each sender keeps a rule whose sum over independent senders is the budget in the mean,
-however many they are and however traffic is spread over them: while the endpoint may be down or cold, every
-new message for it earns a fraction of a call (``credit_per_message``), and a call may be made once a whole
-one is earned. The fraction is what a cold endpoint bears beside what it is sent on an ordinary day. A sender
-with little traffic earns little; one that holds many messages back earns nothing for these.
+An endpoint that returns from an outage is cold: for a while it can take only a part of its capacity, counted
+over the calls of all senders together. A sender does not know what the others send, what the capacity is, or
+when the endpoint returned. Each sender therefore follows a rule whose sum over independent senders equals the
+budget in the mean, for any number of senders and any distribution of the traffic. While the endpoint may be
+down or cold, every new message for it earns a fraction of a call (``credit_per_message``), and a call may be
+made once a whole one is earned. The fraction is the share of its ordinary traffic that a cold endpoint can
+take. A sender with little traffic earns little, and held messages earn nothing more.
 
-Of senders that rarely call, few have seen the outage, and only what these send counts against the budget. A
-sender estimates that part from its own traffic (``share_notified``) and earns the more, the smaller it is.
+Of senders that rarely call, few have observed the outage, and only the calls of those that have count against
+the budget. A sender estimates their share from its own traffic (``notified_share``) and earns more, the
+smaller that share is.
 
-Where more comes than the endpoint can take, a message earns as much less as fewer of them were served before.
+If the demand exceeds what the endpoint can serve, a message earns less in proportion to the share of messages
+that was delivered before the failure.
 
-A first failure is not yet an outage. A quick second call, within ``CONFIRM_US`` of the failure, may tell:
-such a call reaches a returned endpoint only if the outage ended within that short time, so it is free.
+A first failure does not prove an outage. A second call within ``CONFIRMATION_WINDOW_US`` of the failure may
+show whether it was one. That call can reach a returned endpoint only if the outage ended within that short
+time, so it needs no credit.
 
 ``docs/slow-start.md`` has the derivation and the measurements.
 """
@@ -27,37 +30,36 @@
 
 from mossfront.call_credit import CallCredit
 
-RECENT_SUCCESS_US = 2_000_000  # us: an endpoint that has served within this time is in no outage yet
-CONFIRMATION_WINDOW_US = (
-    1_000_000  # us behind a first failure (and its pause) in which one call may tell what it was
-)
-MAX_OUTAGE_US = 60_000_000  # us: outages that lasted for longer are taken for as long
-# Calls of notified senders beside one of the others. At two the rule would bind, however full the window is.
+RECENT_SUCCESS_US = 2_000_000  # an endpoint that served a call within this time is not yet in an outage
+CONFIRMATION_WINDOW_US = 1_000_000  # after a first failure and its pause: time for one free confirmation call
+MAX_OUTAGE_US = 60_000_000  # longer outages are counted as this long
+# Calls of notified senders for each call of the others. At 2 (two thirds of all calls are from notified
+# senders) the operators' rule for a cold endpoint would apply, however full the window is.
 NOTIFIED_TO_OTHERS_RATIO = 1.2
-FULL_REFUND_CALLS = 3.0  # calls in the time of a fall from which on a whole one is given back
-MIN_GROUP_REFUND = 3.0  # calls that all senders together get back at once, whatever their parts
-MAX_EQUAL_SHARES = 2.0  # equal parts of a told limit that one sender's messages are taken for at most
+FULL_REFUND_CALLS = 3.0  # a sender's calls per collapse window from which a failed call is refunded whole
+MIN_GROUP_REFUND = 3.0  # calls that all senders together are refunded at once at least
+MAX_EQUAL_SHARES = 2.0  # equal shares of an announced limit that one sender's messages count for at most
 SMALL_BATCH_WEIGHT = 1.8  # weight of a call that any sender may make
-SMALL_BATCH_CREDIT = 1.4  # that such a call needs: about what they weigh on average
-SMALL_GROUP_SENDERS = 4  # whose group earns a call by time alone in each time of a fall
-MAX_WINDOWS_PER_CALL = 3.0  # times of a fall in which any other group earns one at least
-MIN_NOTIFIED_SHARE = 0.1  # no smaller part is believed, however little a sender calls
-ASSUMED_OUTAGE_US = 10_000_000  # us: how long an outage lasts, as long as nothing else is known
+SMALL_BATCH_CREDIT = 1.4  # credit that such a call needs: about the mean weight of these calls
+SMALL_GROUP_SENDERS = 4  # a group of up to this size earns one call by time alone per collapse window
+MAX_WINDOWS_PER_CALL = 3.0  # a larger group earns one by time alone in at most this many collapse windows
+MIN_NOTIFIED_SHARE = 0.1  # lower bound of the estimate, however rarely a sender calls
+ASSUMED_OUTAGE_US = 10_000_000  # length of an outage while nothing else is known
 NEVER_US = -(1 << 60)
 
 
 class Phase(Enum):
-    """What a sender takes an endpoint to be."""
+    """A sender's view of an endpoint."""
 
     HEALTHY = "healthy"
-    SUSPECT = "suspect"  # a call failed, and nothing has told yet whether that was an outage
+    SUSPECT = "suspect"  # a call failed; whether this is an outage is not yet known
     DOWN = "down"
     SLOW_START = "slow start"
 
 
 @dataclass(frozen=True, slots=True)
 class PhaseChange:
-    """A change of phase and its reason, for the log."""
+    """A phase transition and its reason, for the log."""
 
     before: Phase
     after: Phase
@@ -66,36 +68,36 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointTraffic:
-    """What this sender knows of an endpoint's traffic."""
+    """What this sender knows about an endpoint's traffic."""
 
-    messages_per_s: float  # its own new messages for the endpoint
-    destination_per_s: float  # and for all endpoints of the destination
-    limit_per_s: float = 0.0  # calls that the endpoint takes from all senders, where it tells that; else 0
-    served_share: float = 1.0  # of its messages, that was delivered: less than 1 where more comes than fits
+    messages_per_s: float  # this sender's new messages for the endpoint
+    destination_per_s: float  # this sender's new messages for all endpoints of the destination
+    limit_per_s: float = 0.0  # announced rate limit for all senders together; 0: none announced
+    served_share: float = 1.0  # share of its messages that was delivered; below 1 under overload
 
 
 @dataclass(frozen=True, slots=True)
 class Budget:
-    """The settings' figures of a cold endpoint, and how many senders share it."""
+    """The configured properties of a cold endpoint, and the number of senders that share it."""
 
     senders: int
-    collapse_multiple: float  # of its present capacity that it bears
-    collapse_window_us: int  # sent more for so long, it falls over
+    collapse_multiple: float  # multiple of its present capacity that it can take
+    collapse_window_us: int  # more than that for so long causes an overload collapse
     cold_capacity_share: float  # share of its capacity at its return
-    warm_up_us: int  # until it has all of it
+    warm_up_us: int  # time from its return to full capacity
 
     @property
     def time_per_call_us(self) -> int:
         """Time in which one sender earns a call without any message.
 
-        In a small group it is short enough for a message that is held to be tried. In a large one it is not,
-        and what all earn by time only adds to what messages earn: there it is to be little.
+        In a small group it is short enough for a held message to be attempted. In a large group it is not;
+        there the calls earned by time only add to those earned by messages, so they are kept few.
         """
         windows = min(MAX_WINDOWS_PER_CALL, max(1.0, self.senders / SMALL_GROUP_SENDERS))
         return int(windows * self.collapse_window_us * self.senders)
 
     def credit_per_message(self, cold_for_us: int) -> float:
-        """Calls that a new message earns while the endpoint has been back for so long (0: not yet back)."""
+        """Return the calls that a new message earns ``cold_for_us`` after the return (0: none yet)."""
         warm_share = min(1.0, max(0, cold_for_us) / max(1, self.warm_up_us))
         return self.collapse_multiple * (
             self.cold_capacity_share + (1 - self.cold_capacity_share) * warm_share
@@ -103,7 +105,10 @@
 
 
 def notified_share(messages_per_s: float, outage_us: int) -> float:
-    """The part of a group's traffic whose senders have met an outage of that length, each sending alike."""
+    """Return the share of a group's traffic whose senders have observed an outage of that length.
+
+    All senders are taken to send at the same rate.
+    """
     return -math.expm1(-messages_per_s * outage_us / 1e6)
 
 
@@ -126,23 +131,23 @@
 
     def __init__(self) -> None:
         self.phase = Phase.HEALTHY
-        self.first_failure_us = NEVER_US  # when the first failure of this suspicion was known
-        self.last_success_us = NEVER_US  # the last success
-        self.cold_since_us = -1  # when the endpoint was found to be back; -1: it is not in slow start
+        self.first_failure_us = NEVER_US  # when the first failure of this suspicion was received
+        self.last_success_us = NEVER_US  # when the last success was received
+        self.cold_since_us = -1  # when the return was observed; -1: not in slow start
         self.batched = False  # whether a call may carry several messages
         self._credit = CallCredit()
         self._confirm_by_us = NEVER_US
         self._confirmation_call_made = False
-        self._refunded_credit = 0.0  # part of a call that the last failed one gave back
-        self._suspected_by_sibling = False  # no call has failed here, but one to a sibling
-        self.served_share = 1.0  # of the messages before the first failure
+        self._refunded_credit = 0.0  # fraction of a call refunded for the last failed one
+        self._suspected_by_sibling = False  # no call failed here, but one to a sibling did
+        self.served_share = 1.0  # share of messages delivered before the first failure
 
     def needs_credit(self, now_us: int) -> bool:
-        """Whether calls need credit now: not right behind a success, nor for a call that confirms."""
+        """Whether calls need credit now: not shortly after a success, nor for the confirmation call."""
         return self.phase is not Phase.HEALTHY and not self._call_is_free(now_us)
 
     def next_call_us(self, now_us: int, budget: Budget) -> int:
-        """When the next call may be made, if no message comes before."""
+        """Return when the next call may be made if no message arrives before."""
         return (
             self._credit.next_call_us(now_us, budget.time_per_call_us)
             if self.needs_credit(now_us)
@@ -152,20 +157,18 @@
     def on_message(
         self, now_us: int, budget: Budget, traffic: EndpointTraffic, endpoint_share: float
     ) -> None:
-        """A new message came, of which this endpoint has that share."""
+        """Credit a new message for the destination; ``endpoint_share`` of it counts for this endpoint."""
         if self.phase is not Phase.HEALTHY:
             credit = endpoint_share * self._credit_per_message(now_us, budget, traffic)
-            keep_one = (
-                self.phase is not Phase.SLOW_START
-            )  # what is not known to be back is tried call by call
+            keep_one = self.phase is not Phase.SLOW_START  # until the return is observed: one call at a time
             self._credit.earn(now_us, credit, budget.time_per_call_us, keep_one=keep_one)
 
     def pause(self, until_us: int) -> None:
-        """No call is made until then, a time that this sender has drawn for itself."""
+        """Make no call until then, a time that this sender drew at random for itself."""
         self._credit.pause(until_us)
 
     def spend(self, now_us: int, budget: Budget, weight: float, first: bool) -> None:
-        """A call of this weight is made, or (not ``first``) so much is added to one of this moment."""
+        """Charge a call of this weight, or (not ``first``) a further message in the call just made."""
         if self.phase is Phase.HEALTHY:
             return
         if self._call_is_free(now_us):
@@ -187,9 +190,11 @@
         outage: bool = False,
         hung: bool = False,
     ) -> PhaseChange | None:
-        """A call has failed. ``outage``: most calls fail. ``hung``: others may have failed in this moment.
+        """Record a failed call that was sent at ``sent_us``.
 
-        ``drawn``, in 0 to 1, is the credit to begin with.
+        ``outage``: the caller takes the failure for an outage. ``hung``: the connection was reset after a
+        long wait, as may have happened to all senders at this moment. ``initial_credit``: a random number
+        in 0 to 1.
         """
         if self.phase is Phase.DOWN:
             return None
@@ -200,7 +205,7 @@
             self._begin_suspicion(now_us)
             if self.phase is Phase.HEALTHY:
                 self.served_share = traffic.served_share
-                # The message that failed has had its first call; what it may earn beyond that is a retry.
+                # The failed message has had its first call; its credit beyond one call is for a retry.
                 retry_credit = (
                     0.0 if hung else max(0.0, self._credit_per_message(now_us, budget, traffic) - 1)
                 )
@@ -215,15 +220,16 @@
             if not outage:
                 return self._enter(Phase.SUSPECT, reason)
         elif not outage and (sent_us < self.first_failure_us or self._served_recently(now_us)):
-            return None  # it was out beside the one that failed first, or others are served
+            return None  # in flight at the first failure, or others succeed
         self.cold_since_us = -1
         return self._enter(Phase.DOWN, reason)
 
     def refund(self, now_us: int, budget: Budget, traffic: EndpointTraffic) -> None:
-        """A call was answered with an error: the outage goes on, and none before now weighs on the return.
+        """Refund a call that was answered with an error: the outage continues.
 
-        A sender that may send many calls while the endpoint falls may try again at once. Of many senders that
-        may send few, each would then have a call on its way at the return: they get a part of a call back.
+        Calls up to now do not count against the budget of the return. A sender whose share of the budget is
+        many calls per collapse window may retry at once. If each of many senders with small shares did so,
+        all of them would have a call in flight at the return, so they are refunded a fraction of a call.
         """
         if self.phase is Phase.DOWN:
             fraction = self._calls_per_collapse_window(now_us, budget, traffic) / FULL_REFUND_CALLS
@@ -231,45 +237,46 @@
             self._credit.ensure_at_least(now_us, self._refunded_credit, budget.time_per_call_us)
 
     def max_call_weight(self, now_us: int, budget: Budget, traffic: EndpointTraffic) -> float:
-        """What a call may weigh: this sender's part of a fall's budget, and a small batch at least."""
+        """Return a call's maximum weight: this sender's calls per collapse window, at least a small batch."""
         if self.phase is Phase.HEALTHY or (self.phase is Phase.SUSPECT and self._served_recently(now_us)):
             return math.inf
         return max(SMALL_BATCH_WEIGHT, self._calls_per_collapse_window(now_us, budget, traffic))
 
     def confirm_by(self, until_us: int) -> None:
-        """A call that is made until then may tell whether the first failure was an outage."""
+        """Allow one free call until then, which may show whether the first failure was an outage."""
         if self.phase is Phase.SUSPECT and self._confirm_by_us == NEVER_US:
             self._confirm_by_us = until_us
 
     def on_success(self, now_us: int, sent_us: int, budget: Budget) -> PhaseChange | None:
-        """A call was served."""
+        """Record a successful call that was sent at ``sent_us``."""
         if self.phase is Phase.HEALTHY:
             self.last_success_us = now_us
             return None
         served_recently, self.last_success_us = self._served_recently(now_us), now_us
         if self.phase is Phase.SLOW_START:
-            # A window that begins just before the endpoint is warm ends so much later.
+            # A collapse window that begins just before the endpoint is warm ends that much later.
             if now_us - self.cold_since_us > budget.warm_up_us + budget.collapse_window_us:
                 self.cold_since_us = -1
-                return self._enter(Phase.HEALTHY, "warm")
+                return self._enter(Phase.HEALTHY, "warm-up finished")
             return None
         if self.phase is Phase.SUSPECT and (
             served_recently or self._suspected_by_sibling or sent_us <= self._confirm_by_us
         ):
             self._suspected_by_sibling = False
             phase = Phase.HEALTHY if self.cold_since_us < 0 else Phase.SLOW_START
-            return self._enter(phase, "served again at once")
-        # The outage went on until the last failed call: of the calls so far this one weighs on the return.
+            return self._enter(phase, "call succeeded soon after the failure")
+        # The outage lasted until the last failed call, so only this call counts after the return.
         self._credit.ensure_at_least(now_us, self._refunded_credit, budget.time_per_call_us)
         self.cold_since_us, self._refunded_credit = now_us, 0.0
-        return self._enter(Phase.SLOW_START, "served again")
+        return self._enter(Phase.SLOW_START, "call succeeded after the outage")
 
     def on_sibling_failure(
         self, now_us: int, budget: Budget, traffic: EndpointTraffic, initial_credit: float, reason: str
     ) -> PhaseChange | None:
-        """A sibling failed: endpoints of one destination mostly fail together.
+        """Suspect this endpoint because a sibling failed: endpoints of one destination mostly fail together.
 
-        One that has just served is in no outage. Of another one nobody knows until it is called.
+        An endpoint that served a call recently is not in an outage. The state of any other is unknown until
+        it is called.
         """
         if self.phase is not Phase.HEALTHY or self._served_recently(now_us):
             return None
@@ -290,19 +297,19 @@
         cold_for_us: int = 0,
         served_share: float = 1.0,
     ) -> PhaseChange | None:
-        """Go on in the phase in which a former process was; in slow start, from the return that it saw.
+        """Continue in the phase before the restart; in slow start, from the return observed then.
 
-        Credit is drawn anew: many processes may have been restarted together.
+        The credit is drawn anew, as many processes may have been restarted together.
         """
         self.cold_since_us, self.first_failure_us, self.served_share = -1, now_us, served_share
         self._suspected_by_sibling = False
         self._credit.begin(now_us, initial_credit, budget.collapse_window_us, self._small_batch_credit)
         if phase is Phase.SLOW_START:
             self.cold_since_us = now_us - cold_for_us
-        return self._enter(phase, "known from before the restart")
+        return self._enter(phase, "restored after the restart")
 
     def resume(self, now_us: int, budget: Budget, cold_for_us: int, credit_in_us: int) -> None:
-        """Go on from where the process before this one, which has handed over, stood in a slow start."""
+        """Continue the slow start of the process that handed over; a call is due in ``credit_in_us``."""
         self.phase, self.last_success_us = Phase.SLOW_START, now_us
         self.cold_since_us = max(0, now_us - cold_for_us)
         call_weight = self._small_batch_credit
@@ -310,18 +317,18 @@
         self._credit.begin(now_us, fraction, budget.collapse_window_us, call_weight)
 
     def begin_cold(self, now_us: int, budget: Budget, initial_credit: float) -> None:
-        """The endpoint is known to be a new process: it is cold from now."""
+        """Begin a slow start now: the endpoint is known to be a new, cold process."""
         self.phase, self.cold_since_us = Phase.SLOW_START, now_us
         self._credit.begin(now_us, initial_credit, budget.collapse_window_us, self._small_batch_credit)
 
     def credit_available_in_us(self, now_us: int, budget: Budget) -> int:
-        """How long until a call is earned, if no message comes."""
+        """Return the time until a call is earned if no message arrives."""
         if self.phase is Phase.HEALTHY:
             return 0
         return self._credit.next_call_us(now_us, budget.time_per_call_us) - now_us
 
     def _credit_per_message(self, now_us: int, budget: Budget, traffic: EndpointTraffic) -> float:
-        """Calls that a new message earns, so that those of all notified senders fit the budget."""
+        """Return the calls that a new message earns so that all notified senders fit the budget together."""
         outage_us = min(ASSUMED_OUTAGE_US + max(0, now_us - self.first_failure_us), MAX_OUTAGE_US)
         notified = max(MIN_NOTIFIED_SHARE, notified_share(traffic.destination_per_s, outage_us))
         group_credit = budget.credit_per_message(self._cold_for_us(now_us))
@@ -329,7 +336,7 @@
         return credit * self.served_share
 
     def _calls_per_collapse_window(self, now_us: int, budget: Budget, traffic: EndpointTraffic) -> float:
-        """This sender's part of what a cold endpoint bears in the time in which it falls over."""
+        """Return this sender's share of the calls that a cold endpoint can take in a collapse window."""
         per_s = traffic.messages_per_s
         if traffic.limit_per_s:
             per_s = min(per_s, MAX_EQUAL_SHARES * traffic.limit_per_s / budget.senders)
@@ -337,27 +344,27 @@
 
     @property
     def _small_batch_credit(self) -> float:
-        """The credit for a call of a sender whose part of the budget is small or unknown."""
+        """The credit for a call of a sender whose share of the budget is small or unknown."""
         return SMALL_BATCH_CREDIT if self.batched else 1.0
 
     def _credit_for_call(self, now_us: int, budget: Budget, traffic: EndpointTraffic) -> float:
-        """The credit that a call needs.
+        """Return the credit that a call needs.
 
-        A sender whose part is larger than a small batch makes about one call in the time of a fall, and may
-        owe for it what is beyond one message.
+        A sender whose share is larger than a small batch makes about one call per collapse window. It needs
+        credit for one message only; its balance may go negative by the rest of the call's weight.
         """
         large = self._calls_per_collapse_window(now_us, budget, traffic) >= SMALL_BATCH_WEIGHT
         return 1.0 if large else self._small_batch_credit
 
     def _begin_suspicion(self, now_us: int) -> None:
-        """From now on something may be wrong, and no call has been allowed to tell."""
+        """Begin a suspicion now; no confirmation call has been allowed or made."""
         self.first_failure_us, self._confirmation_call_made, self._confirm_by_us = now_us, False, NEVER_US
 
     def _served_recently(self, now_us: int) -> bool:
         return now_us - self.last_success_us <= RECENT_SUCCESS_US
 
     def _call_is_free(self, now_us: int) -> bool:
-        """Whether a call needs no credit: right behind a success, or the one that may tell."""
+        """Whether a call needs no credit: shortly after a success, or as the confirmation call."""
         if self.phase is not Phase.SUSPECT or self.cold_since_us >= 0:
             return False
         return self._served_recently(now_us) or (
