--- a/tests/calls.py
+++ b/tests/calls.py
@@ -1,4 +1,4 @@
-"""Calls to one host at the level of ``Hosts``, and the outcomes that come of them."""
+"""Helpers to make calls to one host through ``Hosts`` and to wait for their outcomes."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class HostCalls:
-    """Hosts with one host on the list, and the outcomes that came of it."""
+    """``Hosts`` with one listed host; keeps the outcomes of the messages by id."""
 
     def __init__(self, port: int, connect_us: int = 10_000_000) -> None:
         self.outcomes: dict[str, PartOutcome] = {}
@@ -27,7 +27,7 @@
         self.apply_listing(port)
 
     def apply_listing(self, port: int, listing: Listing = Listing.READY) -> None:
-        """The host as the directory lists it."""
+        """Apply an endpoint list with the one host in this state."""
         entry = EndpointEntry("h1", 1, "a", "banks", listing)
         self.hosts.apply(EndpointList(1, False, (ResolvedEndpoint(entry, ("127.0.0.1", port)),)))
 
@@ -36,12 +36,12 @@
         self.outcome_received.set()
 
     def send(self, *refs: str, timeout_us: int = 60_000_000, body: bytes = b"x") -> Exchange:
-        """One call; its limit lies behind the bound of all tests, so no test passes by it."""
+        """Make one call; its default timeout exceeds every test's time limit, so no test passes by it."""
         call = Call("h1", [Part(ref, 0, "", body, timeout_us) for ref in refs], time.monotonic())
         return self.hosts.send(call)
 
     async def outcome(self, ref: str) -> PartOutcome:
-        """How a message's attempt ended."""
+        """Wait for the outcome of a message's attempt."""
         while ref not in self.outcomes:
             self.outcome_received.clear()
             await soon(self.outcome_received.wait())
@@ -49,7 +49,7 @@
 
 
 async def start_host(reply: object = delivered) -> HttpServer:
-    """A host that answers so."""
+    """Start a host that answers with ``reply``."""
     host = HttpServer(reply)  # type: ignore[arg-type]
     await host.start()
     return host
--- a/tests/checker.py
+++ b/tests/checker.py
@@ -1,7 +1,7 @@
-"""An independent check of the rules over what a relay was told and what it did.
+"""An independent check of the rules over the events that a relay received and the actions it returned.
 
-It keeps its own books and reads nothing of the module. ``Checker.step`` hands a batch to the relay and
-raises ``AssertionError`` with the broken rule's name at the first action that breaks one.
+It keeps its own state and reads none of the decision engine's. ``Checker.step`` passes a batch of events to
+the engine and raises ``AssertionError`` with the rule's name at the first action that breaks one.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 @dataclass
 class Attempt:
-    """One send as the checker saw it."""
+    """One attempt, from the checker's records."""
 
     host: str
     sent_us: int
@@ -26,7 +26,7 @@
 
 @dataclass
 class MessageState:
-    """One message as the checker saw it."""
+    """One message, from the checker's records."""
 
     event: api.Arrival
     cls: api.MessageClass
@@ -37,15 +37,15 @@
     answers: int = 0
 
     def in_doubt_attempts(self) -> list[Attempt]:
-        """Attempts that are out or may have run."""
+        """Return the attempts that are in flight or may have run."""
         return [a for a in self.attempts if a.open or a.may_have_run]
 
 
 class Checker:
-    """Runs a relay and audits each of its actions."""
+    """Runs a decision engine and checks each of its actions."""
 
     def __init__(self, settings: api.Settings, seed: int = 1) -> None:
-        """Start a relay under audit."""
+        """Start an engine to be checked."""
         self.settings, self.relay, self.now_us = settings, DecisionEngine(settings, seed), 0
         self.classes = {cls.name: cls for cls in settings.classes}
         self.separate_routes = {kind.name: kind.separate_routes for kind in settings.kinds}
@@ -59,12 +59,12 @@
         self.actions: list[api.Action] = []
 
     def route_name(self, host: str) -> str:
-        """The name of what shares waits with this host."""
+        """Return the name of the route whose waits apply to this host: the host or its destination."""
         entry = self.entries[host]
         return host if self.separate_routes.get(entry.kind, False) else f"dest {entry.dest}"
 
     def step(self, now_us: int, events: Sequence[api.Event] = ()) -> list[api.Action]:
-        """One batch through the relay, audited."""
+        """Pass one batch to the engine and check its actions."""
         assert now_us >= self.now_us, "the clock only advances"
         self.now_us = now_us
         for event in events:
@@ -74,7 +74,7 @@
         for action in actions:
             self._check_action(action, new_calls)
         self.open_calls = [(h, parts) for h, parts in self.open_calls if any(a.open for a in parts)]
-        assert len(self.open_calls) <= self.settings.max_calls, "slots: more calls out than slots"
+        assert len(self.open_calls) <= self.settings.max_calls, "max_calls: too many calls in flight"
         for case in self.messages.values():
             slack = self.settings.answer_slack_us + self.settings.round_us
             assert case.finished or now_us <= case.deadline_us + slack, f"lost message: {case.event.id}"
@@ -121,29 +121,31 @@
             self._check_send(self.messages[action.id], action, new_calls)
         elif isinstance(action, api.Refuse | api.Fail):
             case = self.messages[action.id]
-            assert not case.finished, f"answered twice: {action.id}"
+            assert not case.finished, f"duplicate final answer: {action.id}"
             case.finished, case.answers = True, case.answers + 1
             if isinstance(action, api.Refuse) and case.in_doubt_attempts():
                 keyed_all = case.cls.effect is api.Effect.KEYED and not case.cls.scope_is_zone
-                assert case.cls.effect is api.Effect.SAFE or keyed_all, "refused what may have run"
+                assert case.cls.effect is api.Effect.SAFE or keyed_all, "refused a message that may have run"
         elif isinstance(action, api.Cancel):
             assert self.settings.may_cancel, "cancel is not allowed here"
             assert action.attempt < len(self.messages[action.id].attempts), "cancelled an attempt never made"
         elif isinstance(action, api.Probe):
             assert self.settings.may_probe, "probes are not allowed here"
         elif isinstance(action, api.Subscribe):
-            assert self.settings.must_subscribe, "asked where the list is pushed"
+            assert self.settings.must_subscribe, "subscribed where the list is pushed"
         elif isinstance(action, api.SetTimer):
-            assert action.delay_us >= self.settings.round_us, "woken within the round"
+            assert action.delay_us >= self.settings.round_us, "timer shorter than the round"
 
     def _check_send(self, case: MessageState, action: api.Send, new_calls: dict[str, list[Attempt]]) -> None:
         cls, entry = case.cls, self.entries[action.host]
-        assert not case.finished, f"sent after its end: {action.id}"
+        assert not case.finished, f"sent after its final answer: {action.id}"
         assert entry.dest == case.event.dest, "sent to another destination"
         assert len(case.attempts) < self.settings.max_attempts, "too many attempts"
-        assert 0 < action.timeout_us <= case.deadline_us - self.now_us, "time-out past the message's time"
+        assert 0 < action.timeout_us <= case.deadline_us - self.now_us, (
+            "timeout beyond the message's deadline"
+        )
         if not self.settings.may_duplicate:
-            assert not any(a.open for a in case.attempts), "two attempts side by side"
+            assert not any(a.open for a in case.attempts), "two attempts in flight"
         in_doubt = case.in_doubt_attempts()
         if in_doubt and cls.effect is api.Effect.UNSAFE:
             raise AssertionError("double effect: an unsafe message sent again")
@@ -174,6 +176,6 @@
         for other in self.messages.values():
             if other.arrival_order < case.arrival_order and other.cls.in_order and other.event.key == key:
                 assert other.finished, "order: an earlier message is unfinished"
-                assert not any(a.open for a in other.attempts), "order: an earlier attempt is out"
+                assert not any(a.open for a in other.attempts), "order: an earlier attempt is in flight"
         if not case.attempts:
-            assert self.now_us >= self.key_paused_until_us.get(key, 0), "order: the key still rests"
+            assert self.now_us >= self.key_paused_until_us.get(key, 0), "order: the key is still paused"
--- a/tests/slow_start/__init__.py
+++ b/tests/slow_start/__init__.py
@@ -1,1 +1,1 @@
-"""Slow start over a group of relays that share nothing: a model of drawn outages, and what it has to show."""
+"""Slow start in a group of relays that share no state: a model of randomly drawn outages, and its tests."""
--- a/tests/slow_start/__main__.py
+++ b/tests/slow_start/__main__.py
@@ -1,4 +1,4 @@
-"""``python -m tests.slow_start``: many hard draws by hand, over several processes, one row a group size."""
+"""``python -m tests.slow_start``: plays many draws in several processes, prints one row per group size."""
 
 from __future__ import annotations
 
@@ -19,28 +19,29 @@
 
 
 def simulate_draw(key: tuple[str, int, int]) -> Result:
-    """Play one draw of a kind."""
+    """Simulate one draw: its kind, seed and number of relays."""
     kind, seed, relays = key
     return simulate(DRAWS[kind](seed, relays))
 
 
 def format_summary(totals: Summary) -> str:
-    """What many draws came to, in a line."""
+    """Format the totals of many draws as one line."""
     return (
-        f"{totals.over_limit} of {totals.draws} over, worst {totals.worst_ratio:.2f}; told of any endpoint "
+        f"{totals.over_limit} of {totals.draws} over, worst {totals.worst_ratio:.2f}; "
+        "notified by any endpoint "
         f"{totals.over_limit_any_endpoint}, worst {totals.worst_ratio_any_endpoint:.2f}; "
         f"by chance {totals.over_limit_by_chance}, served {totals.mean_served_share:.3f}"
     )
 
 
 def main() -> None:
-    """Play the draws that the arguments name and print what they came to."""
+    """Simulate the draws that the arguments name and print the totals."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--kind", choices=sorted(DRAWS), default="hard")
     parser.add_argument("--sizes", default="2,5,9,20,50,230")
     parser.add_argument("--seeds", default="0-99", help="first and last, with a hyphen")
     parser.add_argument("--jobs", type=int, default=6)
-    parser.add_argument("--show", type=int, default=0, help="worst draws to print in full")
+    parser.add_argument("--show", type=int, default=0, help="number of worst draws to print in full")
     args = parser.parse_args()
     first, last = map(int, args.seeds.split("-"))
     all_results = list[Result]()
--- a/tests/slow_start/moments.py
+++ b/tests/slow_start/moments.py
@@ -1,6 +1,7 @@
-"""Moments that all relays of a group have in common.
+"""Draws with a moment that all relays of a group have in common.
 
-Whatever ends for all (a wait, a hang, a stop, a list, a restart), the group may not act on it at once.
+A Retry-After wait, a hang or a pause ends, or a list update or a restart takes effect, for all relays at one
+time. The group must not act on it all at once. The functions' names are test ids and values of ``--kind``.
 """
 
 from __future__ import annotations
@@ -15,7 +16,7 @@
 
 
 def _single_destination_outage(seed: int, relays: int) -> OutageDraw:
-    """A whole destination of one to three endpoints, out once for 7 to 13 s, with no restart."""
+    """Draw one outage of 7 to 13 s of a whole destination of one to three endpoints, without restarts."""
     rng = random.Random(f"moment {relays} {seed}")
     endpoints = rng.choice((1, 2, 3))
     return replace(
@@ -31,69 +32,69 @@
 
 
 def told_wait(seed: int, relays: int) -> OutageDraw:
-    """Every refusal names the time of the opening."""
+    """Every refusal announces the time when the endpoint opens."""
     return replace(_single_destination_outage(seed, relays), failure=Failure.SHUT, retry_after_share=1.0)
 
 
 def long_told_wait(seed: int, relays: int) -> OutageDraw:
-    """The same, in an outage of 30 to 45 s."""
+    """As ``told_wait``, in an outage of 30 to 45 s."""
     length_s = random.Random(seed).uniform(30, 45)
     return replace(told_wait(seed, relays), length_s=length_s)
 
 
 def told_at_a_limit(seed: int, relays: int) -> OutageDraw:
-    """A limited endpoint that is shut, whose refusals use its limit up and mostly name a wait."""
+    """A shut endpoint with a rate limit: refusals use the limit up, and most announce a wait."""
     return replace(told_wait(seed, relays), kind="bank", refusals_use_limit=True, retry_after_share=0.8)
 
 
 def hung_calls(seed: int, relays: int) -> OutageDraw:
-    """Calls that hung break at the return, for all relays and endpoints at one time."""
+    """Connections of hung calls are reset at the return, for all relays and endpoints at one time."""
     return replace(_single_destination_outage(seed, relays), failure=Failure.TIMEOUT)
 
 
 def staggered(seed: int, relays: int) -> OutageDraw:
-    """One endpoint returns before the next."""
+    """The endpoints return one after the other."""
     return replace(_single_destination_outage(seed, relays), stagger_s=random.Random(seed).uniform(0.2, 4))
 
 
 def restarted(seed: int, relays: int) -> OutageDraw:
-    """All relays are restarted just behind the return, as behind a power loss."""
+    """All relays are restarted just after the return, as after a power loss."""
     return replace(_single_destination_outage(seed, relays), restart=Restart(1.0, 0.2))
 
 
 def restarted_from_silence(seed: int, relays: int) -> OutageDraw:
-    """The same with a destination that was silent: calls are out as the relays are killed."""
+    """As ``restarted``, with a destination that did not answer: calls are in flight at the kill."""
     return replace(restarted(seed, relays), failure=Failure.TIMEOUT)
 
 
 def restarted_late(seed: int, relays: int) -> OutageDraw:
-    """Four fifths are restarted behind an outage of 30 to 45 s, which the former lives saw begin."""
+    """Four fifths are restarted after an outage of 30 to 45 s whose beginning they observed before."""
     length_s = random.Random(seed).uniform(30, 45)
     return replace(_single_destination_outage(seed, relays), length_s=length_s, restart=Restart(0.8, 0.5))
 
 
 def stopped(seed: int, relays: int) -> OutageDraw:
-    """All relays stand still for two seconds around the return, and then run on."""
+    """All relays are suspended for two seconds around the return."""
     return replace(_single_destination_outage(seed, relays), paused_s=2.0)
 
 
 def relisted(seed: int, relays: int) -> OutageDraw:
-    """The list drops the endpoints while they are out, and names them again at their return."""
+    """The endpoint list drops the endpoints during the outage and lists them again at their return."""
     return replace(_single_destination_outage(seed, relays), relisted=True)
 
 
 def clumped(seed: int, relays: int) -> OutageDraw:
-    """Clients come back eight at a time."""
+    """Messages arrive in bursts of eight."""
     return replace(_single_destination_outage(seed, relays), burst_size=8)
 
 
 def overloaded(seed: int, relays: int) -> OutageDraw:
-    """More comes than the endpoints can take."""
+    """The load exceeds the endpoints' capacity."""
     return replace(_single_destination_outage(seed, relays), load=random.Random(seed).uniform(1.2, 1.6))
 
 
 def shut_near_capacity(seed: int, relays: int) -> OutageDraw:
-    """Two endpoints shut together, most refusals naming the opening, at a load near what they bear."""
+    """Two endpoints shut together under a load near their capacity; most refusals announce the opening."""
     rng = random.Random(f"near {seed}")
     return OutageDraw(
         seed=seed,
@@ -112,7 +113,7 @@
 
 
 def shut_batches(seed: int, relays: int) -> OutageDraw:
-    """The same at endpoints whose calls carry several messages."""
+    """As ``shut_near_capacity``, at endpoints whose calls carry several messages."""
     return replace(shut_near_capacity(seed, relays), kind="bank")
 
 
--- a/tests/slow_start/outages.py
+++ b/tests/slow_start/outages.py
@@ -1,8 +1,8 @@
-"""Drawn outages of one endpoint under a group of relays, and how far their sum goes beyond its budget.
+"""Randomly drawn outages under a group of relays, and by how much the group's calls exceed the budget.
 
-Each draw is a group size, a load, a kind of failure, a length and a set of restarts. The group's policies run
-in simulated time against one destination. Every call that reaches the endpoint behind its return is weighed
-and summed over the group, in any window of the length after which a cold endpoint falls over.
+Each draw is a group size, a load, a kind of failure, a length and a set of restarts. The group's decision
+engines run in simulated time against one destination. The weights of all calls that reach an endpoint after
+its return are summed over the group, in every window of the length of the collapse window.
 """
 
 from __future__ import annotations
@@ -22,22 +22,23 @@
 
 COLLAPSE_MULTIPLE, COLLAPSE_WINDOW_US, COLD_CAPACITY_SHARE, WARM_UP_US = 1.5, 3 * SECOND, 0.27, 13 * SECOND
 NEVER_US = 1 << 60
-ITEM_WEIGHT = 0.2  # of a further message in a call
-TRAFFIC_AFTER_RETURN_S = 15.0  # of traffic behind the last return
-QUEUE_S = 0.6  # of its present capacity that may wait at an endpoint before it refuses
-RETRY_AFTER_SHARE = 0.8  # share of refusals that name a wait
-NOTIFIED_CALL_SHARE = 2 / 3  # of a window's calls, from relays that were told: below that, no rule is broken
+ITEM_WEIGHT = 0.2  # weight of each further message in a call
+TRAFFIC_AFTER_RETURN_S = 15.0  # length of the traffic after the last return
+QUEUE_S = 0.6  # work that may wait at an endpoint before it refuses, in seconds of its present capacity
+RETRY_AFTER_SHARE = 0.8  # share of refusals that announce a wait
+# Share of a window's calls from relays that observed the outage, below which no rule is broken.
+NOTIFIED_CALL_SHARE = 2 / 3
 
 
 class Failure(Enum):
-    """What a call meets during an outage."""
+    """How a call fails during an outage."""
 
     REFUSED = "refused"
     RESET = "reset"
     TIMEOUT = "timeout"
     ERROR = "error"
-    FULL = "full"  # refused with no wait
-    SHUT = "shut"  # refused until a time that most refusals name
+    FULL = "full"  # refused without a wait
+    SHUT = "shut"  # refused until a time that most refusals announce
 
 
 VERDICTS = {
@@ -52,7 +53,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Restart:
-    """A share of the group that is killed and started again, so long behind the first return."""
+    """A restart of a share of the group, ``after_s`` after the first return."""
 
     share: float
     after_s: float
@@ -60,7 +61,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OutageDraw:
-    """One outage and the group that meets it. ``load`` is a share of the capacity of all endpoints."""
+    """One outage and the group that observes it. ``load`` is a share of the capacity of all endpoints."""
 
     seed: int
     relays: int
@@ -71,21 +72,21 @@
     failure: Failure
     start_s: float
     length_s: float
-    relay_weights: tuple[float, ...]  # of relays in turn: their shares of the traffic
+    relay_weights: tuple[float, ...]  # the relays' shares of the traffic, repeated over the group
     one_relay_has_half: bool = False  # one relay has half of all traffic
-    burst_size: int = 1  # messages that come together
+    burst_size: int = 1  # messages that arrive together
     restart: Restart | None = None
-    second_outage_after_s: float = 0.0  # behind the first return; 0: no second outage
-    refusals_use_limit: bool = False  # what is refused uses the limit up, also while the endpoint is shut
-    error_share: float = 0.0  # share of calls that fail on any day
-    failing_endpoints: int = 1  # endpoints that are out: the first ones
+    second_outage_after_s: float = 0.0  # time after the first return; 0: no second outage
+    refusals_use_limit: bool = False  # refused calls use the limit up, also while the endpoint is shut
+    error_share: float = 0.0  # share of calls that fail without an outage
+    failing_endpoints: int = 1  # number of endpoints with an outage: the first ones
     stagger_s: float = 0.0  # each further one returns so much later than the one before it
-    retry_after_share: float = RETRY_AFTER_SHARE  # share of refusals that name a wait
-    paused_s: float = 0.0  # all relays stand still for so long, half of it before the first return
-    relisted: bool = False  # the list drops the endpoints in the outage, and names them again at its end
+    retry_after_share: float = RETRY_AFTER_SHARE  # share of refusals that announce a wait
+    paused_s: float = 0.0  # all relays are suspended for so long, half of it before the first return
+    relisted: bool = False  # the list drops the endpoints in the outage and lists them again at its end
 
     def outages(self, endpoint: int = 0) -> list[tuple[int, int]]:
-        """Begin and end of each outage (us) of an endpoint."""
+        """Return begin and end (us) of each outage of an endpoint."""
         if endpoint >= self.failing_endpoints:
             return []
         start = int(self.start_s * 1e6)
@@ -101,7 +102,7 @@
 
 
 def draw_hard_outage(seed: int, relays: int) -> OutageDraw:
-    """A draw from the whole range that the operators' days may hold."""
+    """Draw from the whole range of conditions that may occur in operation."""
     rng = random.Random(f"{relays} {seed}")
     restart = None
     if rng.random() < 0.5:
@@ -127,10 +128,10 @@
 
 
 def draw_destination_outage(seed: int, relays: int) -> OutageDraw:
-    """A draw in which all endpoints of the destination are out together, as in report 4e6e9b.
+    """Draw an outage of all endpoints of the destination together, as in report 4e6e9b.
 
-    Two thirds return at one time, the others one behind the other; in a third of the draws most or all relays
-    are restarted around the return.
+    In two thirds of the draws all return at one time, in the others one after the other; in a third some,
+    most or all relays are restarted around the return.
     """
     rng = random.Random(f"whole {relays} {seed}")
     endpoints = rng.choice((1, 2, 2, 3, 4))
@@ -162,7 +163,7 @@
 
 @dataclass
 class Endpoint(Host):
-    """An endpoint with its outages; beyond its present capacity calls wait, and then are refused."""
+    """An endpoint with its outages; calls beyond its present capacity wait, and then are refused."""
 
     outages: list[tuple[int, int]] = field(default_factory=list)
     failure: Failure = Failure.RESET
@@ -170,14 +171,14 @@
     refusals_use_limit: bool = False
     error_share: float = 0.0
     retry_after_share: float = RETRY_AFTER_SHARE
-    busy_until_us: float = 0.0  # until when it works on what it has taken in
+    busy_until_us: float = 0.0  # when it finishes the calls accepted so far
 
     def down_until(self, now_us: int) -> int:
-        """The end of the outage that it is in, or 0."""
+        """Return the end of the present outage, or 0."""
         return next((end for start, end in self.outages if start <= now_us < end), 0)
 
     def last_return(self, now_us: int) -> cold.Return | None:
-        """The last return, where there was one."""
+        """Return the last return from an outage, if there was one."""
         ended = [end for _, end in self.outages if end <= now_us]
         return cold.Return(max(ended), self.rate, COLD_CAPACITY_SHARE, WARM_UP_US) if ended else None
 
@@ -186,7 +187,7 @@
         return last_return.share(now_us) if last_return else 1.0
 
     def serve(self, now_us: int, work: float, rng: random.Random) -> tuple[api.Verdict, int, int]:
-        """One call: how it ends, after how long (us; 0: at its time-out), and the wait that is told."""
+        """Serve a call; return verdict, duration (us; 0: until its timeout) and announced wait (us)."""
         latency_us = int(rng.uniform(20_000, 60_000))
         if until_us := self.down_until(now_us):
             announced = self.failure is Failure.SHUT and rng.random() < self.retry_after_share
@@ -207,7 +208,7 @@
         return verdict, int(self.busy_until_us - now_us) + latency_us, 0
 
     def report(self, now_us: int) -> tuple[float | None, float | None]:
-        """What is left of its limit, where it has one."""
+        """Return the remaining share of its limit and the limit (per s), if it has one."""
         if not self.limited:
             return None, None
         if self.refusals_use_limit and self.down_until(now_us):
@@ -218,7 +219,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Call:
-    """One call that reached the endpoint: when (us), its weight, and which relay made it."""
+    """One call that reached the endpoint."""
 
     at_us: int
     weight: float
@@ -226,7 +227,7 @@
 
 
 class RelayGroup(Fleet):
-    """A group through a draw; keeps the calls to each endpoint that is struck, and who saw it fail."""
+    """A group in a draw; records the calls to endpoints with outages and the relays that saw one fail."""
 
     def __init__(self, draw: OutageDraw, make: type[DecisionEngine] = DecisionEngine) -> None:
         self.draw = draw
@@ -252,10 +253,10 @@
         self.parts = shares
         failing_hosts = [host.name for host in hosts[: draw.failing_endpoints]]
         self.calls: dict[str, list[Call]] = {name: [] for name in failing_hosts}
-        # By endpoint: relay, and when it first saw a call fail there in an outage.
+        # By endpoint: relay, and when its first call was sent that failed there in an outage.
         self.notified_at_us: dict[str, dict[int, int]] = {name: {} for name in failing_hosts}
         self.restart_at_us = NEVER_US
-        self.restarted_relays = 0  # so many relays, the first ones, are restarted
+        self.restarted_relays = 0  # number of relays that are restarted: the first ones
         if draw.restart is not None:
             self.restart_at_us = outages[0][1] + int(draw.restart.after_s * 1e6)
             self.restarted_relays = round(draw.restart.share * draw.relays)
@@ -264,7 +265,7 @@
         self._pause_start_us, self._pause_end_us = back_us - half_us, back_us + half_us
 
     def run(self) -> None:
-        """Play the draw to its end."""
+        """Simulate the draw to its end."""
         if self.draw.relisted:
             self._relist()
         last_us = max(
@@ -273,7 +274,7 @@
         self.play(last_us / 1e6 + TRAFFIC_AFTER_RETURN_S)
 
     def _relist(self) -> None:
-        """A new version of the list reaches all relays at one time: all gone, and later all ready again."""
+        """Send list updates to all relays at one time: all endpoints gone, and later all ready again."""
         start_us, end_us = self.draw.outages()[0]
         for at_us, listing in (((start_us + end_us) // 2, api.Listing.GONE), (end_us, api.Listing.READY)):
             entries = tuple(
@@ -303,7 +304,7 @@
         super()._feed(at_us, relay, event)
 
     def _restart(self, at_us: int, number: int) -> None:
-        """A kill and a start: what was open is found again, and what was journaled about endpoints."""
+        """Kill and start a relay: it recovers its open messages and its outage records."""
         former = self.relays[number]
         self.relays[number] = self.make(self.set, self.seed * 1000 + number + len(self.relays))
         self._listed(number, at_us)
@@ -341,7 +342,7 @@
                 verdict, elapsed_us = (
                     api.Verdict.RESET,
                     back_us - at_us,
-                )  # what hung is broken off at the return
+                )  # hung calls are reset at the return
             if verdict is api.Verdict.OK and elapsed_us == carried[0].timeout_us:
                 verdict = api.Verdict.TIMEOUT
             self.tallies.calls[verdict.value] += 1
@@ -362,10 +363,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Result:
-    """The worst window of a draw, as a multiple of what is allowed there, and the share served in time.
+    """The worst window of a draw, as a multiple of the allowed weight, and the share served in time.
 
-    ``worst`` counts relays as told that saw a call to this endpoint fail, ``worst_any`` such that saw one
-    fail at any endpoint of the destination.
+    ``worst_ratio`` counts relays as notified that saw a call to this endpoint fail,
+    ``worst_ratio_any_endpoint`` those that saw one fail at any endpoint of the destination.
     """
 
     draw: OutageDraw
@@ -375,14 +376,17 @@
 
 
 def max_window_weight(budget: float) -> float:
-    """What a window may bring: its budget N and what is left to chance, by the operators' page."""
+    """Return the allowed weight of a window: its budget and an allowance for chance (operators' rule)."""
     return cold.most_in_window(budget)
 
 
 def worst_window_ratio(
     calls: Sequence[Call], notified: set[int], endpoint_return: cold.Return, end_us: int
 ) -> float:
-    """The fullest window behind a return over what is allowed, where most came from relays that were told."""
+    """Return the worst ratio of a window's weight to the allowed one, after a return.
+
+    Only windows with enough calls from notified relays count (``NOTIFIED_CALL_SHARE``).
+    """
     inside = [call for call in calls if endpoint_return.at_us <= call.at_us < end_us]
     times = [call.at_us for call in inside]
     worst = 0.0
@@ -404,7 +408,7 @@
 
 
 def simulate(draw: OutageDraw, make: type[DecisionEngine] = DecisionEngine) -> Result:
-    """Run a draw and find its worst window behind each of its returns, at each endpoint that was out."""
+    """Simulate a draw and find its worst window after every return of every endpoint with outages."""
     group = RelayGroup(draw, make)
     group.run()
     worst_ratio = worst_ratio_any_endpoint = 0.0
@@ -433,12 +437,12 @@
 
 
 def _notified_before(notified_at_us: dict[int, int], end_us: int) -> set[int]:
-    """The relays that were told before then."""
+    """Return the relays that were notified before then."""
     return {relay for relay, at_us in notified_at_us.items() if at_us < end_us}
 
 
 def chance_worst_ratio(draw: OutageDraw) -> float:
-    """The control: independent calls whose sum is the whole budget in the mean, and their worst window."""
+    """Return the control's worst ratio: independent calls whose sum equals the budget in the mean."""
     rng = random.Random(f"chance {draw.seed}")
     return max(_chance_worst_ratio_at(draw, number, rng) for number in range(draw.failing_endpoints))
 
@@ -463,7 +467,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Summary:
-    """Many draws: how many went beyond what is allowed, the worst, the mean served, and pure chance."""
+    """Totals of many draws; ``over_`` fields count draws whose worst ratio is above 1."""
 
     draws: int
     over_limit: int
@@ -475,7 +479,7 @@
 
 
 def summarize(results: Sequence[Result]) -> Summary:
-    """Add up results and their controls."""
+    """Summarize results and their controls."""
     return Summary(
         len(results),
         sum(result.worst_ratio > 1 for result in results),
--- a/tests/slow_start/test_call_credit.py
+++ b/tests/slow_start/test_call_credit.py
@@ -1,4 +1,4 @@
-"""Credit for calls: fractions last, whole calls lapse, and a group that waits for a moment holds few."""
+"""Credit for calls: fractions are kept, whole calls lapse, and a waiting group holds few calls."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def new_credit(fraction: float, call_weight: float = 1.0) -> CallCredit:
-    """Credit that begins with that part of a call."""
+    """Return credit that begins with that fraction of a call."""
     credit = CallCredit()
     credit.begin(0, fraction, COLLAPSE_WINDOW_US, call_weight)
     return credit
@@ -27,7 +27,7 @@
 
 
 def spend_available_calls(credit: CallCredit, now_us: int, time_per_call_us: int) -> int:
-    """Calls that can be made now."""
+    """Spend all calls that can be made now and return their number."""
     calls = 0
     while credit.next_call_us(now_us, time_per_call_us) <= now_us:
         credit.spend(now_us, 1.0, time_per_call_us)
@@ -83,7 +83,7 @@
 
 @pytest.mark.parametrize("call_weight", [1.0, 1.4])
 def test_blocked_senders_spend_only_what_is_earned_afterwards(call_weight: float) -> None:
-    """Whole calls lapse while none can be made; behind that moment as many are made as are earned."""
+    """Whole calls lapse while none can be made; afterwards only as many are made as are earned."""
     rng, spent_weight, senders, messages = random.Random(7), 0.0, 400, 40
     for _ in range(senders):
         credit = new_credit(rng.random(), call_weight)
@@ -123,7 +123,7 @@
 
 @pytest.mark.parametrize("paused_s", [10, 3600])
 def test_paused_senders_resume_without_accumulated_calls(paused_s: int) -> None:
-    """A stop of the process, or of the whole machine, is a moment that all senders have in common."""
+    """All senders may be paused together, as by a pause of the whole machine."""
     available = sum(
         spend_available_calls(new_credit(random.Random(number).random()), paused_s * SECOND, TIME_PER_CALL_US)
         for number in range(500)
@@ -134,7 +134,7 @@
 @pytest.mark.parametrize("relays", [2, 9, 50, 230, 1000])
 @pytest.mark.parametrize("waits_s", [0.5, 5.0, 40.0])
 def test_waiting_group_holds_what_it_earns_in_lapse_time(relays: int, waits_s: float) -> None:
-    """However long the wait: so many messages come for all together, and each earns 0.4 calls."""
+    """For any length of the wait; 20 messages per second for the whole group earn 0.4 calls each."""
     rng, per_s = random.Random(f"{relays} {waits_s}"), 20.0
     draws = 40
     available = 0
--- a/tests/slow_start/test_decisions.py
+++ b/tests/slow_start/test_decisions.py
@@ -1,4 +1,4 @@
-"""What the relay makes of failures, siblings, lists and former lives, by its actions alone."""
+"""The engine's phases and outage records after failures, sibling failures, list updates and restarts."""
 
 from __future__ import annotations
 
@@ -11,26 +11,26 @@
 from mossfront.slow_start import Phase
 from tests.support import SAFE, SECOND, arrival, attempt_outcome, endpoint_update, entry, sends, settings
 
-SPLIT = "split"  # a kind whose endpoints are routes of their own
+SPLIT = "split"  # a kind whose endpoints are separate routes
 GROUP = settings(group_size=50, max_calls=8)
 
 
 def relay_with(*hosts: str, group: api.Settings = GROUP) -> DecisionEngine:
-    """A relay of a group (of fifty) that knows these endpoints of one destination."""
+    """Return a relay that knows these endpoints of one destination; its group has fifty by default."""
     relay = DecisionEngine(group, 1)
     relay.step(0, [endpoint_update(*(entry(host, kind=SPLIT) for host in hosts))])
     return relay
 
 
 def phase(relay: DecisionEngine, host: str) -> Phase:
-    """What the relay takes an endpoint to be."""
+    """Return the phase of an endpoint at this relay."""
     return relay.endpoints[host].own.slow.phase
 
 
 def fail_one_call(
     relay: DecisionEngine, at_us: int, verdict: api.Verdict, retry_after_us: int = 0, elapsed_us: int = 1000
 ) -> str:
-    """A new message's call fails; the host that it went to."""
+    """Let a new message's call fail; return the host that it went to."""
     [send] = sends(relay.step(at_us, [arrival(f"m{at_us}", SAFE)]))
     relay.step(
         at_us + elapsed_us,
@@ -61,14 +61,14 @@
 
 
 def call_is_free_after_refusal(limit_remaining: float | None) -> bool:
-    """Whether a call is free behind a told wait, where refusals report that so much of a limit is left."""
+    """Whether a call is free after a Retry-After wait if refusals report so much of a limit remaining."""
     relay = relay_with("h1", group=settings(group_size=2, max_calls=8))
     [first] = sends(relay.step(SECOND, [arrival("m1", SAFE)]))
     relay.step(
         SECOND + 1000,
         [replace(attempt_outcome(first, elapsed_us=1000), limit_remaining=1.0, limit_per_s=4.0)],
     )
-    for at_us in (9 * SECOND, 15 * SECOND):  # of a limit that is used up the first refusal says nothing
+    for at_us in (9 * SECOND, 15 * SECOND):  # the first refusal of a used-up limit proves nothing
         [send] = sends(relay.step(at_us, [arrival(f"m{at_us}", SAFE)]))
         refusal = attempt_outcome(send, api.Verdict.FULL, elapsed_us=1000, retry_after_us=SECOND)
         relay.step(at_us + 1000, [replace(refusal, limit_remaining=limit_remaining, limit_per_s=4.0)])
@@ -79,7 +79,7 @@
 
 
 def test_no_free_call_after_retry_after_without_exhausted_limit() -> None:
-    """A shut endpoint names one time to all senders: calls that confirm would all be made then."""
+    """A shut endpoint announces one time to all senders, so all confirmation calls would be made then."""
     assert not call_is_free_after_refusal(limit_remaining=None) and not call_is_free_after_refusal(
         limit_remaining=1.0
     )
@@ -120,7 +120,7 @@
 
 
 def test_limit_refusal_is_recorded_as_suspicion_until_a_success() -> None:
-    """A shut endpoint may report its limit as used up: relays that all met it once may all be restarted."""
+    """A shut endpoint may report its limit as used up, and all relays that it refused may be restarted."""
     relay = relay_with("h1", group=settings(group_size=1, max_calls=8))
     [first] = sends(relay.step(SECOND, [arrival("m1", SAFE)]))
     relay.step(
@@ -133,21 +133,21 @@
     )
     actions = relay.step(2 * SECOND + 1000, [refusal])
     assert phase(relay, "h1") is Phase.HEALTHY
-    assert [care.kind for care in actions if isinstance(care, api.OutageRecord)] == [
+    assert [record.kind for record in actions if isinstance(record, api.OutageRecord)] == [
         api.OutageRecordKind.SUSPICION
     ]
     [again] = sends(relay.step(4 * SECOND, [api.TimerDue()]))
     actions = relay.step(4 * SECOND + 1000, [attempt_outcome(again, attempt=1, elapsed_us=1000)])
-    assert [care.valid_for_us for care in actions if isinstance(care, api.OutageRecord)] == [0]
+    assert [record.valid_for_us for record in actions if isinstance(record, api.OutageRecord)] == [0]
 
 
 def test_suspicion_in_slow_start_keeps_recovery_record() -> None:
-    """As an outage it would let a later life begin the warm-up anew, however warm the endpoint is."""
+    """A record of an outage would begin the warm-up anew after a restart, however warm the endpoint is."""
     relay = relay_with("h1", group=settings(group_size=1, max_calls=8))
     relay.step(SECOND, [api.OutageRecord("h1", 11 * SECOND, api.OutageRecordKind.RECOVERY, 1.0)])
     assert phase(relay, "h1") is Phase.SLOW_START
     at_us, outcome_actions = SECOND, list[api.Action]()
-    while phase(relay, "h1") is Phase.SLOW_START:  # the first call may have to wait for its credit
+    while phase(relay, "h1") is Phase.SLOW_START:  # the first call may have to wait for credit
         at_us += SECOND
         actions = relay.step(at_us, [arrival(f"m{at_us}", SAFE)])
         for send in sends(actions):
@@ -165,7 +165,7 @@
     outage_records = [
         action for action in relay.step(2 * SECOND, [refusal]) if isinstance(action, api.OutageRecord)
     ]
-    assert [care.kind for care in outage_records] == [api.OutageRecordKind.OUTAGE]
+    assert [record.kind for record in outage_records] == [api.OutageRecordKind.OUTAGE]
     assert outage_records[0].valid_for_us > 40 * SECOND + 30 * SECOND
 
 
@@ -177,7 +177,7 @@
 
 
 def test_recovered_messages_earn_credit_over_their_time() -> None:
-    """A hundred messages, as many relays would hold together, at an endpoint that was out."""
+    """A hundred messages, as many relays together would hold, for an endpoint that was down."""
     relay = relay_with("h1")
     recovered = [
         api.Arrival(f"f{number}", 1, SAFE.name, 6 * SECOND, recovered_untried=True) for number in range(100)
@@ -188,4 +188,4 @@
         for send in sends(relay.step(at_us, [api.TimerDue()]))
     ]  # fmt: skip
     assert len(at_once) <= 3, "one call, of up to three messages"
-    assert later, "some are tried"
+    assert later, "some are attempted"
--- a/tests/slow_start/test_moments.py
+++ b/tests/slow_start/test_moments.py
@@ -1,4 +1,4 @@
-"""Nothing is released to all relays at once: each moment that they have in common, in drawn outages."""
+"""A moment that all relays have in common releases no surge of calls, in drawn outages."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from tests.slow_start.outages import simulate, summarize
 
 SIZES = (20, 50, 230)
-DRAWS = 10  # of each size
+DRAWS = 10  # per size
 MAX_OVER_LIMIT = 1  # of the thirty draws of a moment
 MAX_RATIO = 1.5
 BATCH_SIZES = (20, 48, 100)
@@ -24,7 +24,7 @@
 
 
 def test_first_batches_stay_within_budget() -> None:
-    """Every sender's first call behind a common moment may be a batch; the budget is for their sum."""
+    """Every relay's first call after a common moment may be a batch; the budget limits their total weight."""
     draws = [shut_batches(seed, size) for size in BATCH_SIZES for seed in BATCH_SEEDS]
     totals = summarize([simulate(draw) for draw in draws])
     assert (totals.over_limit, totals.over_limit_any_endpoint) == (0, 0)
--- a/tests/slow_start/test_phases.py
+++ b/tests/slow_start/test_phases.py
@@ -1,4 +1,4 @@
-"""The phases of one endpoint's slow start, alone: what leads from one to the next, and what may be sent."""
+"""The phases of one endpoint's slow start: their transitions, and when a call may be made."""
 
 from __future__ import annotations
 
@@ -26,18 +26,18 @@
 
 
 def phase(slow: SlowStart) -> Phase:
-    """Its phase now."""
+    """Return the present phase."""
     return slow.phase
 
 
 def fail_call(slow: SlowStart, now_us: int, sent_us: int = -1, **named: bool) -> None:
-    """A call has failed that was made just before, with the least credit to begin with."""
+    """Record a failed call, made 1 ms before unless ``sent_us`` is given, with the initial credit 1."""
     sent_us = now_us - 1000 if sent_us < 0 else sent_us
     slow.on_failure(now_us, sent_us, BUDGET, TRAFFIC, 1.0, reason="reset", **named)
 
 
 def new_down_endpoint(now_us: int = 10 * SECOND) -> SlowStart:
-    """An endpoint that two calls have found out."""
+    """Return an endpoint that is down after two failed calls."""
     slow = SlowStart()
     fail_call(slow, now_us - SECOND)
     fail_call(slow, now_us)
@@ -49,7 +49,7 @@
     slow = SlowStart()
     fail_call(slow, 10 * SECOND)
     assert phase(slow) is Phase.SUSPECT
-    fail_call(slow, 11 * SECOND, sent_us=9 * SECOND)  # it was out beside the first one
+    fail_call(slow, 11 * SECOND, sent_us=9 * SECOND)  # was in flight at the first failure
     assert phase(slow) is Phase.SUSPECT
     fail_call(slow, 12 * SECOND)
     assert phase(slow) is Phase.DOWN
--- a/tests/slow_start/test_planted.py
+++ b/tests/slow_start/test_planted.py
@@ -1,4 +1,4 @@
-"""Planted faults of the slow start: the model has to find each of them, at each size where it can harm."""
+"""Seeded faults of the slow start: the model must detect each of them at every size where it does harm."""
 
 from __future__ import annotations
 
@@ -18,78 +18,78 @@
 Patch = Callable[[pytest.MonkeyPatch], None]
 DRAWS = 16
 SIZES = (9, 20, 50, 230)
-MIN_HARM_FACTOR = 1.15  # times the worst windows in the mean, at least
+MIN_HARM_FACTOR = 1.15  # lower bound of the factor by which a fault raises the sum of the worst ratios
 
 
 def no_credit(monkey: pytest.MonkeyPatch) -> None:
-    """No gap between calls to what is cold."""
+    """Calls to a cold endpoint need no credit."""
     monkey.setattr(SlowStart, "next_call_us", lambda *_: 0)
 
 
 def whole_budget_for_each(monkey: pytest.MonkeyPatch) -> None:
-    """Every message earns many calls, as if nobody else sent any."""
+    """Every message earns many calls, as if no other relay sent any."""
     monkey.setattr(Budget, "credit_per_message", lambda *_: 8.0)
 
 
 def ignore_two_failures(monkey: pytest.MonkeyPatch) -> None:
-    """As in the faulty release: fewer than three failures in a row say nothing, to a later life neither."""
+    """As in the faulty release: one or two failures in a row are ignored, also after a restart."""
     failed, succeeded = SlowStart.on_failure, SlowStart.on_success
     failures_in_row = dict[int, int]()
 
-    def third(slow: SlowStart, *told: Any, **named: Any) -> PhaseChange | None:
+    def on_third_failure(slow: SlowStart, *args: Any, **kwargs: Any) -> PhaseChange | None:
         failures_in_row[id(slow)] = failures_in_row.get(id(slow), 0) + 1
-        return failed(slow, *told, **named) if failures_in_row[id(slow)] > 2 else None
+        return failed(slow, *args, **kwargs) if failures_in_row[id(slow)] > 2 else None
 
-    def served(slow: SlowStart, *told: Any) -> PhaseChange | None:
+    def on_success(slow: SlowStart, *args: Any) -> PhaseChange | None:
         failures_in_row[id(slow)] = 0
-        return succeeded(slow, *told)
+        return succeeded(slow, *args)
 
-    def careless(relay: DecisionEngine, endpoint: Endpoint, care: OutageRecord) -> None:
-        if care.kind is not OutageRecordKind.SUSPICION:
-            beware(relay, endpoint, care)
+    def ignore_suspicions(relay: DecisionEngine, endpoint: Endpoint, record: OutageRecord) -> None:
+        if record.kind is not OutageRecordKind.SUSPICION:
+            apply_record(relay, endpoint, record)
 
-    beware = DecisionEngine._beware
-    monkey.setattr(SlowStart, "on_failure", third)
-    monkey.setattr(SlowStart, "on_success", served)
-    monkey.setattr(DecisionEngine, "_beware", careless)
+    apply_record = DecisionEngine._beware
+    monkey.setattr(SlowStart, "on_failure", on_third_failure)
+    monkey.setattr(SlowStart, "on_success", on_success)
+    monkey.setattr(DecisionEngine, "_beware", ignore_suspicions)
 
 
 def weight_not_charged(monkey: pytest.MonkeyPatch) -> None:
     """A batch is charged as one message."""
     spend = SlowStart.spend
 
-    def once(slow: SlowStart, now_us: int, budget: Budget, weight: float, first: bool) -> None:
+    def spend_once(slow: SlowStart, now_us: int, budget: Budget, weight: float, first: bool) -> None:
         if first:
             spend(slow, now_us, budget, weight, first)
 
-    monkey.setattr(SlowStart, "spend", once)
+    monkey.setattr(SlowStart, "spend", spend_once)
     monkey.setattr(SlowStart, "max_call_weight", lambda *_: 10.0)
 
 
 def restart_without_outage_records(monkey: pytest.MonkeyPatch) -> None:
-    """A new life does not know what the former one has seen."""
+    """A relay does not know after a restart what it observed before."""
     monkey.setattr(DecisionEngine, "_beware", lambda *_: None)
 
 
 def under_full_load(draw: OutageDraw) -> OutageDraw:
-    """A full load on one endpoint, so that much is held when it returns."""
+    """Put a full load on one endpoint, so that many messages are held when it returns."""
     return replace(draw, load=1.2, endpoints=1, failure=Failure.REFUSED, restart=None, error_share=0.0)
 
 
 def in_batches(draw: OutageDraw) -> OutageDraw:
-    """Clumps for an endpoint that takes ten messages in a call, whose rate few relays share."""
+    """Send bursts to an endpoint of low rate that takes ten messages per call."""
     return replace(under_full_load(draw), kind="bank", burst_size=8, capacity_per_s=3.0)
 
 
 def with_restarts(draw: OutageDraw) -> OutageDraw:
-    """Most of the group is restarted as the endpoint returns, and finds what it held."""
+    """Restart most of the group as the endpoint returns; it recovers the messages it held."""
     return replace(
         under_full_load(draw), failure=Failure.TIMEOUT, kind="lot", burst_size=1, restart=Restart(0.8, 0.3)
     )
 
 
 def total_worst_ratio(relays: int, shaped: Callable[[OutageDraw], OutageDraw]) -> float:
-    """The worst windows of some draws, added up."""
+    """Return the sum of the worst ratios of some draws."""
     return sum(simulate(shaped(draw_hard_outage(seed, relays))).worst_ratio for seed in range(DRAWS))
 
 
@@ -102,7 +102,7 @@
         *((ignore_two_failures, with_restarts, size) for size in (9, 20, 50)),
         *(
             (restart_without_outage_records, with_restarts, size) for size in (9, 20, 50)
-        ),  # of more, few have been told
+        ),  # in larger groups, few are notified
     ],
 )
 def test_seeded_fault_is_detected(
@@ -114,7 +114,7 @@
 
 
 def call_time_spread_s(initial_credits: list[float]) -> float:
-    """From the first to the last time at which relays that were restarted together may call."""
+    """Return the time from the first to the last call of relays that were restarted together."""
     budget = Budget(len(initial_credits), 1.5, 3 * SECOND, 0.27, 13 * SECOND)
     times = list[int]()
     for drawn in initial_credits:
@@ -125,6 +125,9 @@
 
 
 def test_equal_initial_credit_would_synchronize_relays() -> None:
-    """Planted: the same draw for all. What is drawn apart is spread over a fall for each relay."""
+    """With one random draw for all, restarted relays would call at the same time.
+
+    Independent draws spread the calls over one collapse window per relay.
+    """
     assert call_time_spread_s([number / 50 for number in range(50)]) > 140
     assert call_time_spread_s([0.5] * 50) == 0
--- a/tests/slow_start/test_processes.py
+++ b/tests/slow_start/test_processes.py
@@ -1,4 +1,4 @@
-"""The incident on real processes: fifty relays over loopback, endpoints out for nine seconds, kills."""
+"""The incident with real processes: fifty relays over loopback, endpoints down for nine seconds, kills."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 @pytest.fixture(scope="module")
 def run(tmp_path_factory: pytest.TempPathFactory) -> tuple[Done, rec.Record]:
-    """The scenario, played once."""
+    """Play the scenario once for all tests."""
     done = asyncio.run(play(load_real(SCENARIO), tmp_path_factory.mktemp("throng") / "run"))
     return done, rec.read(done.path)
 
@@ -29,6 +29,8 @@
 
 
 def test_no_returned_endpoint_collapses(run: tuple[Done, rec.Record]) -> None:
-    """Stricter than the rule: neither by relays that had not met the outage."""
-    fallen = {event.host for event in run[1].events if isinstance(event, rec.Life) and event.state == "fell"}
-    assert fallen == set()
+    """Stricter than the rule: calls of relays that had not observed the outage count, too."""
+    collapsed = {
+        event.host for event in run[1].events if isinstance(event, rec.Life) and event.state == "fell"
+    }
+    assert collapsed == set()
--- a/tests/slow_start/test_shut_destinations.py
+++ b/tests/slow_start/test_shut_destinations.py
@@ -1,4 +1,4 @@
-"""The incident of report 4e6e9b on 48 real processes, told when destinations that shut will open."""
+"""The incident of report 4e6e9b with 48 real processes: shut destinations announce when they will open."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from mallowlug.rig.world.scenario import load_real
 
 SCENARIO = Path(__file__).parents[2] / "scenarios" / "shut-destinations.toml"
-SEEDS = (21, 22, 23)  # each broke the rule on the release that failed
+SEEDS = (21, 22, 23)  # each broke the rule on the faulty release
 
 
 def test_common_retry_after_time_breaks_no_rule(tmp_path: Path) -> None:
--- a/tests/slow_start/test_soak.py
+++ b/tests/slow_start/test_soak.py
@@ -1,4 +1,4 @@
-"""A short seeded part of the soak: real relays, drawn outages and signals, judged by all rules."""
+"""A short seeded soak: real relays, drawn outages and signals, checked against all rules."""
 
 from __future__ import annotations
 
@@ -14,16 +14,16 @@
 RELAYS, LENGTH_S = 12, 24.0
 
 
-@pytest.mark.parametrize("seed", [2, 4, 5])  # troubles of all kinds; outages alone; many of them together
+@pytest.mark.parametrize("seed", [2, 4, 5])  # all kinds of faults; outages only; many at the same time
 def test_short_soak_breaks_no_rule(seed: int, tmp_path: Path) -> None:
     result = soak_seed(seed, RELAYS, LENGTH_S, tmp_path / "run")
     assert [str(breach) for breach in result.breaches] == []
     assert result.crashes == () and not result.failed
-    assert not (tmp_path / "run").exists(), "what was kept is not left behind"
+    assert not (tmp_path / "run").exists(), "the folder of a passed run is removed"
 
 
 def test_recovered_messages_are_attempted_at_exhausted_limits(tmp_path: Path) -> None:
-    """A crowd, lowered capacity, and a kill while a limit refuses; found in a soak of 40 relays."""
+    """A crowd, reduced capacity, and a kill while a limit refuses calls; found in a soak of 40 relays."""
     result = soak_seed(3007, 40, 34.0, tmp_path / "run")
     assert [str(breach) for breach in result.breaches] == []
 
--- a/tests/support.py
+++ b/tests/support.py
@@ -1,4 +1,4 @@
-"""Settings and events that the tests share."""
+"""Settings and events shared by the tests."""
 
 from __future__ import annotations
 
@@ -48,7 +48,7 @@
 
 
 def settings(**changes: object) -> api.Settings:
-    """The usual settings with some changed."""
+    """Return the default test settings with changes."""
     return replace(SETTINGS, **changes)  # type: ignore[arg-type]
 
 
@@ -60,14 +60,14 @@
     zone: str = "a",
     rate_hint: float = 1.0,
 ) -> api.EndpointEntry:
-    """One endpoint on the list."""
+    """Return one entry of the endpoint list."""
     return api.EndpointEntry(host, dest, zone, kind, listing, rate_hint)
 
 
 def endpoint_update(
     *entries: api.EndpointEntry, kind: api.EndpointUpdateKind = api.EndpointUpdateKind.FULL
 ) -> api.EndpointUpdate:
-    """News of the list."""
+    """Return an update of the endpoint list."""
     return api.EndpointUpdate(kind, entries)
 
 
@@ -79,7 +79,7 @@
     key: str = "",
     tenant: str = "",
 ) -> api.Arrival:
-    """A message handed in with all of its time left unless said otherwise."""
+    """Return a submitted message; ``time_left_us`` defaults to its class's whole deadline."""
     return api.Arrival(
         name, dest, cls.name, cls.deadline_us if time_left_us is None else time_left_us, tenant, key
     )
@@ -92,12 +92,12 @@
     elapsed_us: int = 100_000,
     retry_after_us: int = 0,
 ) -> api.Outcome:
-    """The outcome of a send; a success concludes its message."""
+    """Return the outcome of a send; a success concludes its message."""
     return api.Outcome(
         send.id, attempt, send.host, verdict, elapsed_us, verdict is api.Verdict.OK, retry_after_us
     )
 
 
 def sends(actions: list[api.Action]) -> list[api.Send]:
-    """The sends among actions."""
+    """Return the sends among actions."""
     return [action for action in actions if isinstance(action, api.Send)]
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings that change at SIGHUP: checked whole, then swapped; what is open keeps the rules it came under."""
+"""Reload of settings at SIGHUP: validated whole, then swapped; open messages keep their rules."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 
 
 async def wait_for_counter(console: int, name: str, value: int) -> None:
-    """Wait until a figure has a value."""
+    """Wait until a metric has a value."""
 
     async def reached() -> None:
         while f"relay_{name} {value}\n" not in (await called(console, "GET", "/metrics"))[1]:
@@ -56,14 +56,14 @@
     await world.reload()
     await wait_for_counter(console, "conf_loaded_total", 1)
     host.script.append(lambda request: request.answer(500))
-    assert await client.hand_in("m1", "new") == b"+OK"  # unsafe: it may have run, and is not repeated
+    assert await client.hand_in("m1", "new") == b"+OK"  # unsafe: it may have run and is not repeated
     assert (await world.directory.notice("m1"))["result"] == "dead"
     _, text = await called(console, "GET", "/metrics")
     assert 'relay_transactions_total{group="new",state="errored"} 1\n' in text
 
 
 async def test_open_message_keeps_its_rules_after_reload_and_restart(world: World) -> None:
-    """A class of the same name becomes unsafe while a message of it is out: what came as safe is repeated."""
+    """A safe message is repeated although its class became unsafe while the message was in flight."""
     host = await world.add("h1", silent)
     console = world.open_console()
     client = await world.run()
@@ -73,17 +73,17 @@
     await world.reload()
     await wait_for_counter(console, "conf_loaded_total", 1)
     call.reset()
-    await host.call(1)  # again, though the class of its name is unsafe now
+    await host.call(1)  # repeated, although the class of this name is unsafe now
     assert await client.hand_in("m2", "safe") == b"+OK"
     await host.until(lambda: any("m2" in request.ids for request in host.seen))
     world.settings["request_classes"] = CLASSES[:1]
-    await world.again()  # the last file dropped the class; both were out
+    await world.again()  # the last file dropped the class; both messages were in flight
     assert (await world.directory.notice("m2"))["result"] == "dead"
     await host.until(lambda: sum("m1" in request.ids for request in host.seen) == 3)
     assert sum("m2" in request.ids for request in host.seen) == 1
 
 
-async def test_removed_class_is_rejected_after_grace(world: World) -> None:
+async def test_removed_class_is_rejected_after_reload(world: World) -> None:
     await world.add("h1")
     client = await world.run()
     world.settings["request_classes"] = CLASSES[:1]
@@ -100,19 +100,19 @@
 
 
 def corrupt(path: str, value: Any) -> Any:
-    """A change of one place in the file; ``None`` in place of a value takes the key away."""
+    """Return a function that sets one value in the configuration, or deletes its key for ``None``."""
 
-    def change(told: dict[str, Any]) -> None:
-        *way, last = path.split(".")
-        at: Any = told
-        for step in way:
-            at = at[int(step)] if isinstance(at, list) else at[step]
+    def apply_change(config: dict[str, Any]) -> None:
+        *parents, last = path.split(".")
+        node: Any = config
+        for step in parents:
+            node = node[int(step)] if isinstance(node, list) else node[step]
         if value is None:
-            del at[last]
+            del node[last]
         else:
-            at[last] = value
+            node[last] = value
 
-    return change
+    return apply_change
 
 
 INVALID_COUNTS: tuple[Any, ...] = (0, -1, "x", 2.5, True, [], {})
@@ -140,7 +140,7 @@
 
 
 async def test_invalid_file_is_rejected_as_a_whole(world: World) -> None:
-    """Each of them also names another directory, one more class and fewer attempts."""
+    """Each invalid file also names another directory and one more class; neither takes effect."""
     host = await world.add("h1")
     console = world.open_console()
     client = await world.run()
@@ -160,7 +160,7 @@
     await host.call(0)
     assert not any(request.method == "GET" for request in world.directory.seen)
     assert elsewhere is original_directory
-    await world.reload()  # and a good one still counts
+    await world.reload()  # a valid file is still applied
     await wait_for_counter(console, "conf_loaded_total", 1)
 
 
@@ -190,7 +190,7 @@
 
 
 def test_journal_keeps_rules_only_while_in_use(tmp_path: Path) -> None:
-    """Settings that change all day fill neither journal nor memory."""
+    """Frequent changes of the settings must fill neither the journal nor memory."""
     journal = Journal(tmp_path, 1_000_000, POSIX.disk)
     first = journal.rules_number({"name": "first"}, ())
     journal.accept("m1", {"rules": first}, b"")
@@ -212,12 +212,12 @@
     relay.step(2 * SECOND, [api.SettingsChanged(fewer)])
     actions_now = relay.step(2 * SECOND + 1, [attempt_outcome(first, api.Verdict.ERROR)])
     now = 2 * SECOND
-    while not (again := sends(actions_now)):  # repeated: it came as safe, with three attempts
+    while not (again := sends(actions_now)):  # repeated: it was accepted as safe, with three attempts
         now += 50_000
         assert now < 6 * SECOND
         actions_now = relay.step(now, [api.TimerDue()])
     actions_now = relay.step(now + 1, [arrival("b", SAFE), attempt_outcome(again[0], attempt=1)])
-    while not (new := sends(actions_now)):  # behind a failure and a success it may be cold
+    while not (new := sends(actions_now)):  # after a failure and a success the endpoint may be cold
         now += 50_000
         assert now < 8 * SECOND
         actions_now = relay.step(now, [api.TimerDue()])
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -1,4 +1,4 @@
-"""The wire adapter over real frames through a subprocess."""
+"""The simulator adapter, run as a subprocess on real frames."""
 
 from __future__ import annotations
 
@@ -24,18 +24,18 @@
 
 
 def init_lines(relay_id: int) -> str:
-    """A start of one relay with its cached list."""
+    """Return the lines that start one relay with its cached endpoint list."""
     change = f"roster_change who={relay_id} form=2 gen=1 ref=0"
     return f"init who={relay_id} init_seed=5 {SETTINGS}\n{TABLE}\n{change}"
 
 
 def frame_text(now_us: int, *lines: str) -> str:
-    """One batch."""
+    """Return one batch as text."""
     return "\n".join([f"frame at_time_us={now_us}", *lines, "commit", ""])
 
 
 def request_line(relay_id: int, number: int) -> str:
-    """One message for the only destination."""
+    """Return the line of one message for the only destination."""
     return f"new_request who={relay_id} xid={number:016x} grace_us=5000000 terminates_at=7 tier_class=note"
 
 
@@ -97,19 +97,21 @@
 
 
 def test_relays_do_not_affect_each_other_in_one_process() -> None:
-    def lines_of(text: str, who: int) -> list[str]:
-        return [line for line in run_adapter(text).stdout.splitlines() if f"who={who} " in line]
+    def lines_of(text: str, relay_id: int) -> list[str]:
+        return [line for line in run_adapter(text).stdout.splitlines() if f"who={relay_id} " in line]
 
-    def talk(*whos: int) -> str:
-        batches = [frame_text(1000, *(init_lines(who) for who in whos))]
+    def conversation(*relay_ids: int) -> str:
+        batches = [frame_text(1000, *(init_lines(relay_id) for relay_id in relay_ids))]
         batches += [
-            frame_text(1000 + 5000 * n, *(request_line(who, 100 * who + n) for who in whos))
+            frame_text(
+                1000 + 5000 * n, *(request_line(relay_id, 100 * relay_id + n) for relay_id in relay_ids)
+            )
             for n in range(1, 9)
         ]
         return "".join(batches)
 
-    for who in (1, 2, 3):
-        assert lines_of(talk(1, 2, 3), who) == lines_of(talk(who), who) != []
+    for relay_id in (1, 2, 3):
+        assert lines_of(conversation(1, 2, 3), relay_id) == lines_of(conversation(relay_id), relay_id) != []
 
 
 @pytest.mark.parametrize(
