--- a/mossfront/interface.py
+++ b/mossfront/interface.py
@@ -94,9 +94,8 @@
     classes: tuple[MessageClass, ...]
     kinds: tuple[Kind, ...] = ()
     tenants: tuple[Tenant, ...] = ()
-    zone_fees: dict[str, float] = field(
-        default_factory=dict
-    )  # cost of a call into a zone, as a share of the deadline
+    # Cost of a call into a zone, as a share of the message's deadline.
+    zone_fees: dict[str, float] = field(default_factory=dict)
     group_size: int = 1  # relays that share the endpoints
     max_held_messages: int = 1000
     max_attempts: int = 1
--- a/tests/checker.py
+++ b/tests/checker.py
@@ -75,9 +75,11 @@
             self._check_action(action, new_calls)
         self.open_calls = [(h, parts) for h, parts in self.open_calls if any(a.open for a in parts)]
         assert len(self.open_calls) <= self.settings.max_calls, "max_calls: too many calls in flight"
-        for case in self.messages.values():
+        for message in self.messages.values():
             slack = self.settings.answer_slack_us + self.settings.round_us
-            assert case.finished or now_us <= case.deadline_us + slack, f"lost message: {case.event.id}"
+            assert message.finished or now_us <= message.deadline_us + slack, (
+                f"lost message: {message.event.id}"
+            )
         self.actions += actions
         return actions
 
@@ -102,30 +104,32 @@
             self._record_outcome(event)
 
     def _record_outcome(self, event: api.Outcome) -> None:
-        case = self.messages[event.id]
-        attempt = case.attempts[event.attempt]
+        message = self.messages[event.id]
+        attempt = message.attempts[event.attempt]
         attempt.open, attempt.may_have_run = False, not event.verdict.never_ran
         if event.complete:
-            case.finished = True
+            message.finished = True
         if event.retry_after_us:
             name = self.route_name(event.host)
             self.blocked_until_us[name] = max(
                 self.blocked_until_us.get(name, 0), self.now_us + event.retry_after_us
             )
         in_doubt_verdicts = (api.Verdict.TIMEOUT, api.Verdict.RESET, api.Verdict.CANCELLED)
-        if case.cls.in_order and case.event.key and event.verdict in in_doubt_verdicts:
-            self.key_paused_until_us[case.event.key] = self.now_us + self.settings.order_pause_us
+        if message.cls.in_order and message.event.key and event.verdict in in_doubt_verdicts:
+            self.key_paused_until_us[message.event.key] = self.now_us + self.settings.order_pause_us
 
     def _check_action(self, action: api.Action, new_calls: dict[str, list[Attempt]]) -> None:
         if isinstance(action, api.Send):
             self._check_send(self.messages[action.id], action, new_calls)
         elif isinstance(action, api.Refuse | api.Fail):
-            case = self.messages[action.id]
-            assert not case.finished, f"duplicate final answer: {action.id}"
-            case.finished, case.answers = True, case.answers + 1
-            if isinstance(action, api.Refuse) and case.in_doubt_attempts():
-                keyed_all = case.cls.effect is api.Effect.KEYED and not case.cls.scope_is_zone
-                assert case.cls.effect is api.Effect.SAFE or keyed_all, "refused a message that may have run"
+            message = self.messages[action.id]
+            assert not message.finished, f"duplicate final answer: {action.id}"
+            message.finished, message.answers = True, message.answers + 1
+            if isinstance(action, api.Refuse) and message.in_doubt_attempts():
+                keyed_all = message.cls.effect is api.Effect.KEYED and not message.cls.scope_is_zone
+                assert message.cls.effect is api.Effect.SAFE or keyed_all, (
+                    "refused a message that may have run"
+                )
         elif isinstance(action, api.Cancel):
             assert self.settings.may_cancel, "cancel is not allowed here"
             assert action.attempt < len(self.messages[action.id].attempts), "cancelled an attempt never made"
@@ -136,17 +140,19 @@
         elif isinstance(action, api.SetTimer):
             assert action.delay_us >= self.settings.round_us, "timer shorter than the round"
 
-    def _check_send(self, case: MessageState, action: api.Send, new_calls: dict[str, list[Attempt]]) -> None:
-        cls, entry = case.cls, self.entries[action.host]
-        assert not case.finished, f"sent after its final answer: {action.id}"
-        assert entry.dest == case.event.dest, "sent to another destination"
-        assert len(case.attempts) < self.settings.max_attempts, "too many attempts"
-        assert 0 < action.timeout_us <= case.deadline_us - self.now_us, (
+    def _check_send(
+        self, message: MessageState, action: api.Send, new_calls: dict[str, list[Attempt]]
+    ) -> None:
+        cls, entry = message.cls, self.entries[action.host]
+        assert not message.finished, f"sent after its final answer: {action.id}"
+        assert entry.dest == message.event.dest, "sent to another destination"
+        assert len(message.attempts) < self.settings.max_attempts, "too many attempts"
+        assert 0 < action.timeout_us <= message.deadline_us - self.now_us, (
             "timeout beyond the message's deadline"
         )
         if not self.settings.may_duplicate:
-            assert not any(a.open for a in case.attempts), "two attempts in flight"
-        in_doubt = case.in_doubt_attempts()
+            assert not any(a.open for a in message.attempts), "two attempts in flight"
+        in_doubt = message.in_doubt_attempts()
         if in_doubt and cls.effect is api.Effect.UNSAFE:
             raise AssertionError("double effect: an unsafe message sent again")
         if in_doubt and cls.effect is api.Effect.KEYED:
@@ -160,22 +166,22 @@
         assert self.now_us >= self.blocked_until_us.get(self.route_name(action.host), 0), (
             "wait: sent before its end"
         )
-        self._check_order(case)
+        self._check_order(message)
         attempt = Attempt(action.host, self.now_us, self.now_us + action.timeout_us)
-        case.attempts.append(attempt)
+        message.attempts.append(attempt)
         parts = new_calls.get(action.host)
         if parts is None or len(parts) >= self.batch_sizes.get(entry.kind, 1):
             parts = new_calls[action.host] = []
             self.open_calls.append((action.host, parts))
         parts.append(attempt)
 
-    def _check_order(self, case: MessageState) -> None:
-        key = case.event.key
-        if not (case.cls.in_order and key):
+    def _check_order(self, message: MessageState) -> None:
+        key = message.event.key
+        if not (message.cls.in_order and key):
             return
         for other in self.messages.values():
-            if other.arrival_order < case.arrival_order and other.cls.in_order and other.event.key == key:
+            if other.arrival_order < message.arrival_order and other.cls.in_order and other.event.key == key:
                 assert other.finished, "order: an earlier message is unfinished"
                 assert not any(a.open for a in other.attempts), "order: an earlier attempt is in flight"
-        if not case.attempts:
+        if not message.attempts:
             assert self.now_us >= self.key_paused_until_us.get(key, 0), "order: the key is still paused"
--- a/tests/slow_start/outages.py
+++ b/tests/slow_start/outages.py
@@ -219,7 +219,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Call:
-    """One call that reached the endpoint."""
+    """One call that reached the endpoint, and the relay that made it."""
 
     at_us: int
     weight: float
@@ -261,8 +261,8 @@
             self.restart_at_us = outages[0][1] + int(draw.restart.after_s * 1e6)
             self.restarted_relays = round(draw.restart.share * draw.relays)
         self._restarted = False
-        back_us, half_us = outages[0][1], int(draw.paused_s * 1e6) // 2
-        self._pause_start_us, self._pause_end_us = back_us - half_us, back_us + half_us
+        return_us, half_us = outages[0][1], int(draw.paused_s * 1e6) // 2
+        self._pause_start_us, self._pause_end_us = return_us - half_us, return_us + half_us
 
     def run(self) -> None:
         """Simulate the draw to its end."""
@@ -305,15 +305,15 @@
 
     def _restart(self, at_us: int, number: int) -> None:
         """Kill and start a relay: it recovers its open messages and its outage records."""
-        former = self.relays[number]
+        old_engine = self.relays[number]
         self.relays[number] = self.make(self.set, self.seed * 1000 + number + len(self.relays))
         self._listed(number, at_us)
-        for host, endpoint in former.endpoints.items():
+        for host, endpoint in old_engine.endpoints.items():
             if endpoint.care_us > at_us:
                 served = endpoint.own.slow.served_share
                 outage_record = api.OutageRecord(host, endpoint.care_us - at_us, endpoint.care_kind, served)
                 self._put(at_us, number, outage_record)
-        for message in former.messages.values():
+        for message in old_engine.messages.values():
             if message.done or message.deadline_us <= at_us:
                 continue
             send_times_us = [call.sent_us for call in message.out.values()]
@@ -338,11 +338,9 @@
             weight = cold.work_of(len(carried), ITEM_WEIGHT)
             verdict, elapsed_us, retry_after_us = host.serve(at_us, weight, self.rng)
             elapsed_us = min(elapsed_us or NEVER_US, carried[0].timeout_us)
-            if verdict is api.Verdict.TIMEOUT and at_us + elapsed_us > (back_us := host.down_until(at_us)):
-                verdict, elapsed_us = (
-                    api.Verdict.RESET,
-                    back_us - at_us,
-                )  # hung calls are reset at the return
+            if verdict is api.Verdict.TIMEOUT and at_us + elapsed_us > (return_us := host.down_until(at_us)):
+                # Connections of hung calls are reset at the return.
+                verdict, elapsed_us = api.Verdict.RESET, return_us - at_us
             if verdict is api.Verdict.OK and elapsed_us == carried[0].timeout_us:
                 verdict = api.Verdict.TIMEOUT
             self.tallies.calls[verdict.value] += 1
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -25,8 +25,10 @@
 
 def init_lines(relay_id: int) -> str:
     """Return the lines that start one relay with its cached endpoint list."""
-    change = f"roster_change who={relay_id} form=2 gen=1 ref=0"
-    return f"init who={relay_id} init_seed=5 {SETTINGS}\n{TABLE}\n{change}"
+    return (
+        f"init who={relay_id} init_seed=5 {SETTINGS}\n{TABLE}\n"
+        f"roster_change who={relay_id} form=2 gen=1 ref=0"
+    )
 
 
 def frame_text(now_us: int, *lines: str) -> str:
