--- a/mallowlug/fronts/resp2.py
+++ b/mallowlug/fronts/resp2.py
@@ -167,7 +167,7 @@
         self._scheduled_turn: asyncio.Handle | None = None
         self.closing = False
         self._client_eof, self._lingering = False, False  # end of stream: received; sent
-        self._close_reason: ClientClose | None = None  # None: the client closed
+        self._close_reason: ClientClose | None = None  # None: not closed by this side
 
     @property
     def request_in_progress(self) -> bool:
