--- a/mossfront/interface.py
+++ b/mossfront/interface.py
@@ -234,8 +234,8 @@
     elapsed_us: int
     complete: bool = False
     retry_after_us: int = 0
-    limit_remaining: float | None = None
-    limit_per_s: float | None = None
+    limit_remaining: float | None = None  # unused share of the announced rate limit; None: not reported
+    limit_per_s: float | None = None  # announced rate limit for all relays; None: not reported
     call_continues: bool = False  # the call remains open for other messages until ``CallEnded``
 
 
@@ -246,8 +246,8 @@
     host: str
     verdict: Verdict
     elapsed_us: int
-    limit_remaining: float | None = None
-    limit_per_s: float | None = None
+    limit_remaining: float | None = None  # unused share of the announced rate limit; None: not reported
+    limit_per_s: float | None = None  # announced rate limit for all relays; None: not reported
 
 
 @dataclass(frozen=True, slots=True)
