--- a/mallowlug/core/listings.py
+++ b/mallowlug/core/listings.py
@@ -49,7 +49,7 @@
     def __init__(self, max_active: int, min_idle_s: float) -> None:
         self._max_active, self._min_idle_s = max_active, min_idle_s
         self._rows: dict[int, bytes] = {}  # by destination: its endpoints, encoded
-        self.hosts = 0  # number of listed endpoints of all destinations
+        self.host_count = 0  # number of listed endpoints of all destinations
         # By destination, least recently used first: the time (s) of its last use or check.
         self._active: OrderedDict[int, float] = OrderedDict()
 
@@ -86,11 +86,11 @@
         """
         changed: dict[int, dict[str, ResolvedEndpoint]] = {}
         added_later = bool(self._rows)
-        for listed in update.hosts:
-            changed.setdefault(listed.entry.dest, {})[listed.entry.host] = listed
+        for endpoint in update.hosts:
+            changed.setdefault(endpoint.entry.dest, {})[endpoint.entry.host] = endpoint
         if update.full:
             for dest in [dest for dest in self._rows if dest not in changed]:
-                self.hosts -= len(ROWS_DECODER.decode(self._rows.pop(dest)))
+                self.host_count -= len(ROWS_DECODER.decode(self._rows.pop(dest)))
         for dest, hosts in changed.items():
             self._apply_destination(dest, hosts, update.full, added_later)
         for dest in changed:
@@ -106,11 +106,11 @@
         """Apply an update of one destination."""
         former = {row[0]: row for row in ROWS_DECODER.decode(self._rows[dest])} if dest in self._rows else {}
         rows = {} if full else dict(former)
-        for host, listed in hosts.items():
+        for host, endpoint in hosts.items():
             rows.pop(host, None)
-            if listed.entry.listing is not Listing.GONE:
-                rows[host] = row_from_endpoint(listed, former[host][-1] if host in former else added_later)
-        self.hosts += len(rows) - len(former)
+            if endpoint.entry.listing is not Listing.GONE:
+                rows[host] = row_from_endpoint(endpoint, former[host][-1] if host in former else added_later)
+        self.host_count += len(rows) - len(former)
         if rows:
             self._rows[dest] = pack(list(rows.values()))
         else:
--- a/mallowlug/core/reasons.py
+++ b/mallowlug/core/reasons.py
@@ -45,7 +45,7 @@
 
     FAILED = "its call failed"
     NOT_KEPT = "not kept for another call"
-    HOST_INACTIVE = "its host gets no more calls"
+    NO_MORE_CALLS = "its host gets no more calls"
     POLICY = "the next call opens a fresh one"
     IDLE = "idle too long, or ended by the host"
     DESCRIPTOR_NEEDED = "its descriptor is needed"
--- a/mallowlug/core/relay.py
+++ b/mallowlug/core/relay.py
@@ -140,12 +140,12 @@
             LOG.info("journal: %d unfinished messages recovered", count)
         self._journal.recovered.clear()
         self._journal.drop_expired_outages(now_us)
-        for listed in known_endpoints.hosts:
-            if listed.entry.host in self._journal.outages:
-                self._activate_destination(listed.entry.dest)
+        for endpoint in known_endpoints.hosts:
+            if endpoint.entry.host in self._journal.outages:
+                self._activate_destination(endpoint.entry.dest)
         for host, outage in self._journal.outages.items():
-            left_us, served_share = outage.until_us - now_us, outage.served_percent / 100
-            self._pending_events.append(api.OutageRecord(host, left_us, outage.kind, served_share))
+            remaining_us, served_share = outage.until_us - now_us, outage.served_percent / 100
+            self._pending_events.append(api.OutageRecord(host, remaining_us, outage.kind, served_share))
         if handover is not None:
             self._apply_handover(handover, now_us)
         self._step()
@@ -228,13 +228,14 @@
         if self.knows(submission.id):
             self._journal.record_spool_position(*spool_position)
             return
-        number = self._journal.rules_number(rules, self._rules_numbers.values())
-        if (delivery_rules := self._delivery_rules(number)) is None:  # unreadable: written by another version
+        rules_number = self._journal.rules_number(rules, self._rules_numbers.values())
+        # Unreadable rules were written by another version.
+        if (delivery_rules := self._delivery_rules(rules_number)) is None:
             self._journal.record_spool_position(*spool_position)
             self._notifier.send(Notice(submission.id, "dead"))
             return
         record_fields = {name: getattr(submission, name) for name in SUBMISSION_FIELDS}
-        self._journal.adopt(submission.id, record_fields | {"rules": number}, body, spool_position)
+        self._journal.adopt(submission.id, record_fields | {"rules": rules_number}, body, spool_position)
         self._schedule_flush()
         self._held_messages[submission.id] = HeldMessage(submission, body, delivery_rules.cls.effect)
         self._activate_destination(submission.dest)
@@ -294,9 +295,9 @@
         self._directory.change_address(discovery)
         self._notifier.change_address(discovery)
 
-    def shut_down(self, stop_s: float) -> None:
-        """Start only calls that end by ``stop_s`` (loop time); other messages stay in the journal."""
-        self._shutdown_at_s = stop_s if self._shutdown_at_s is None else min(stop_s, self._shutdown_at_s)
+    def shut_down(self, end_s: float) -> None:
+        """Start only calls that end by ``end_s`` (loop time); other messages stay in the journal."""
+        self._shutdown_at_s = end_s if self._shutdown_at_s is None else min(end_s, self._shutdown_at_s)
 
     def close(self) -> None:
         """Cancel the timers and close the adapters."""
@@ -342,11 +343,18 @@
     @property
     def gauges(self) -> Gauges:
         """The current values of the gauges, read at each scrape."""
-        listed_hosts, sent = self._listings.hosts, self.sent_by_former_core + self._partners.messages_written
+        host_count, sent_count = (
+            self._listings.host_count,
+            self.sent_by_former_core + self._partners.messages_written,
+        )
         inactive = (host for host in self._disabled_hosts.hosts if host not in self._engine.endpoints)
-        avoided = self._engine.avoided() + sum(self._listings.is_listed(host) for host in inactive)
+        avoided_count = self._engine.avoided() + sum(self._listings.is_listed(host) for host in inactive)
         return Gauges(
-            sent, len(self._held_messages), listed_hosts, min(listed_hosts, avoided), self._engine.phases()
+            sent_count,
+            len(self._held_messages),
+            host_count,
+            min(host_count, avoided_count),
+            self._engine.phases(),
         )
 
     def submit(self, submission: Submission, body: bytes) -> Answer:
@@ -381,8 +389,8 @@
             return self.refusal_for(RejectReason.BACKLOG_FULL)
         try:
             record_fields = {name: getattr(submission, name) for name in SUBMISSION_FIELDS}
-            number = self._rules_numbers[submission.cls]
-            self._journal.accept(submission.id, record_fields | {"rules": number}, body)
+            rules_number = self._rules_numbers[submission.cls]
+            self._journal.accept(submission.id, record_fields | {"rules": rules_number}, body)
         except JournalFullError as error:
             LOG.warning("message refused, not journaled: %s", error, extra={"message_id": submission.id})
             return self.refusal_for(RejectReason.JOURNAL_FULL)
@@ -390,21 +398,21 @@
             submission, body, self._message_class(submission.cls).effect
         )
         self._activate_destination(submission.dest)
-        rules = self._delivery_rules(number) if submission.cls in self._dropped_classes else None
+        rules = self._delivery_rules(rules_number) if submission.cls in self._dropped_classes else None
         self._post(self._arrival(submission, self.clock(), rules=rules))
         return Accepted()
 
     def _message_class(self, name: str) -> api.MessageClass:
         return self._classes.get(name) or self._dropped_classes[name]
 
-    def _delivery_rules(self, number: int) -> api.DeliveryRules | None:
+    def _delivery_rules(self, rules_number: int) -> api.DeliveryRules | None:
         """Return the rules with a journal number; None where they are unknown or unreadable."""
-        if (record := self._journal.rules.get(number)) is None:
+        if (record := self._journal.rules.get(rules_number)) is None:
             return None
         try:
             return rules_from_record(record)
         except (KeyError, TypeError, ValueError) as error:
-            LOG.error("journal: delivery rules %d are unreadable: %s", number, error)
+            LOG.error("journal: delivery rules %d are unreadable: %s", rules_number, error)
             return None
 
     def _arrival(self, submission: Submission, now_us: int, **extra_fields: Any) -> api.Arrival:
@@ -717,6 +725,6 @@
                 continue
             yield call
 
-    def _ends_before_shutdown(self, send: api.Send, stop_s: float) -> bool:
+    def _ends_before_shutdown(self, send: api.Send, end_s: float) -> bool:
         """Whether a call ends before the process does; else the message stays in the journal."""
-        return self._step_time_s + send.timeout_us / 1e6 <= stop_s
+        return self._step_time_s + send.timeout_us / 1e6 <= end_s
--- a/mallowlug/partners/http_calls.py
+++ b/mallowlug/partners/http_calls.py
@@ -170,7 +170,7 @@
             gone = self._listed.keys() - {listed.entry.host for listed in news.hosts}
             for host in gone:
                 del self._listed[host]
-                self.close_idle(host, HostClose.HOST_INACTIVE)
+                self.close_idle(host, HostClose.NO_MORE_CALLS)
         for listed in news.hosts:
             host = listed.entry.host
             known = self._listed.get(host)
@@ -179,7 +179,7 @@
             else:
                 self._listed[host] = listed
             if listed.entry.listing is not Listing.READY or (known and known.address != listed.address):
-                self.close_idle(host, HostClose.HOST_INACTIVE)
+                self.close_idle(host, HostClose.NO_MORE_CALLS)
 
     def set_kinds(self, kinds: Iterable[Kind]) -> None:
         """Go by these kinds from now on."""
@@ -188,7 +188,7 @@
     def set_disabled(self, host: str, out: bool) -> None:
         """A host is out by hand, or back: then as a new process, which no old connection reaches."""
         (self._out.add if out else self._out.discard)(host)
-        self.close_idle(host, HostClose.HOST_INACTIVE)
+        self.close_idle(host, HostClose.NO_MORE_CALLS)
 
     def _serves(self, host: str) -> bool:
         """Whether the list and the staff let calls go there."""
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -96,6 +96,6 @@
     entries = [api.EndpointEntry(host, n, "a", "plain", api.Listing.READY) for n, host in enumerate(HOSTS)]
     rows = (ResolvedEndpoint(entry, ("10.1.0.1", 6379)) for entry in entries)
     listings.apply(EndpointList(1, True, tuple(rows)), 0.0)
-    assert listings.hosts == len(listings) == HOST_COUNT + 1
+    assert listings.host_count == len(listings) == HOST_COUNT + 1
     messages = [arrival(f"m{n}", SAFE, n) for n in range(len(HOSTS))]
     assert {send.host for send in sends(relay.step(0, [roster(*entries), *messages]))} == set(HOSTS)
