--- a/mallowlug/partners/http_calls.py
+++ b/mallowlug/partners/http_calls.py
@@ -185,7 +185,7 @@
             removed = self._listed.keys() - {listed.entry.host for listed in news.hosts}
             for host in removed:
                 del self._listed[host]
-                self.close_idle(host, HostClose.HOST_INACTIVE)
+                self.close_idle(host, HostClose.NO_MORE_CALLS)
         for listed in news.hosts:
             host = listed.entry.host
             previous = self._listed.get(host)
@@ -194,7 +194,7 @@
             else:
                 self._listed[host] = listed
             if listed.entry.listing is not Listing.READY or (previous and previous.address != listed.address):
-                self.close_idle(host, HostClose.HOST_INACTIVE)
+                self.close_idle(host, HostClose.NO_MORE_CALLS)
 
     def set_kinds(self, kinds: Iterable[Kind]) -> None:
         """Replace the endpoint kinds."""
@@ -203,7 +203,7 @@
     def set_disabled(self, host: str, disabled: bool) -> None:
         """Disable or enable a host for an operator; its idle connections would not reach a new process."""
         (self._disabled.add if disabled else self._disabled.discard)(host)
-        self.close_idle(host, HostClose.HOST_INACTIVE)
+        self.close_idle(host, HostClose.NO_MORE_CALLS)
 
     def _may_call(self, host: str) -> bool:
         """Whether the host is listed as ready and not disabled by an operator."""
