--- a/mallowlug/rig/sim/exhaust.py
+++ b/mallowlug/rig/sim/exhaust.py
@@ -14,7 +14,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from mallowlug.rig.sim.sweep import WHEN, Result, played
+from mallowlug.rig.sim.sweep import WHEN, Result, run_scenario
 from mallowlug.rig.world.scenario import Scenario, StrikeTable
 
 QUICK: dict[str, Any] = {"work_ms": 15.0, "aim_s": 0.5, "deadline_s": 1.0, "share": 1.0}
@@ -51,18 +51,18 @@
 Strikes = tuple[StrikeTable, ...]
 
 
-def strike(life: int, at: int, when: str) -> StrikeTable:
+def strike(lifetime: int, at: int, when: str) -> StrikeTable:
     """A kill at a system call of a life."""
-    return StrikeTable.model_validate({"life": life, "at": at, "when": when})
+    return StrikeTable.model_validate({"life": lifetime, "at": at, "when": when})
 
 
-def small(strikes: Sequence[StrikeTable] = ()) -> Scenario:
+def small_scenario(strikes: Sequence[StrikeTable] = ()) -> Scenario:
     """The small world with these strikes."""
     return Scenario.model_validate(WORLD).model_copy(update={"strikes": tuple(strikes)})
 
 
 @dataclass(slots=True)
-class Found:
+class Exploration:
     """What was explored: how many cases of how many strikes, and those that failed."""
 
     cases: Counter[int] = field(default_factory=Counter)
@@ -75,44 +75,46 @@
             self.failed.append((strikes, result))
 
 
-def kills(strikes: Strikes, calls: int) -> Iterator[Strikes]:
+def kills_at_calls(strikes: Strikes, calls: int) -> Iterator[Strikes]:
     """Every kill at the first so many system calls of the life behind these strikes."""
     for at in range(1, calls + 1):
         for when in WHEN:
             yield (*strikes, strike(len(strikes), at, when))
 
 
-def calls_of(result: Result, life: int) -> tuple[int, int]:
+def calls_of(result: Result, lifetime: int) -> tuple[int, int]:
     """System calls of a life: until it listened, and in all; none where there was no such life."""
-    return result.calls[life] if life < len(result.calls) else (0, 0)
+    return result.calls[lifetime] if lifetime < len(result.calls) else (0, 0)
 
 
-def one(strikes: Strikes) -> Result:
+def run_case(strikes: Strikes) -> Result:
     """Play a case."""
-    return played(small(strikes))
+    return run_scenario(small_scenario(strikes))
 
 
-def after(strikes: Strikes) -> Iterator[Strikes]:
+def kills_after(strikes: Strikes) -> Iterator[Strikes]:
     """Every kill of the life behind these strikes."""
-    return kills(strikes, calls_of(one(strikes), len(strikes))[1])
+    return kills_at_calls(strikes, calls_of(run_case(strikes), len(strikes))[1])
 
 
-def seconds(first: Strikes) -> list[tuple[Strikes, Result]]:
+def second_kills(first: Strikes) -> list[tuple[Strikes, Result]]:
     """Every second kill behind a first one, and every third within the replay that follows."""
-    found = [(pair, one(pair)) for pair in after(first)]
-    thirds = [third for pair, result in found for third in kills(pair, calls_of(result, len(pair))[0])]
-    return found + [(third, one(third)) for third in thirds]
+    found = [(pair, run_case(pair)) for pair in kills_after(first)]
+    thirds = [
+        third for pair, result in found for third in kills_at_calls(pair, calls_of(result, len(pair))[0])
+    ]
+    return found + [(third, run_case(third)) for third in thirds]
 
 
-def explore(jobs: int, depth: int, most: int = 0) -> Found:
+def explore(jobs: int, depth: int, max_firsts: int = 0) -> Exploration:
     """Every single kill; with ``depth`` 2 every pair and third, of ``most`` of the first kills (0: all)."""
-    found, firsts = Found(), list(after(()))
+    found, firsts = Exploration(), list(kills_after(()))
     with ProcessPoolExecutor(jobs) as pool:
-        for strikes, result in zip(firsts, pool.map(one, firsts, chunksize=4), strict=True):
+        for strikes, result in zip(firsts, pool.map(run_case, firsts, chunksize=4), strict=True):
             found.add(strikes, result)
         if depth > 1:
-            step = max(1, len(firsts) // most) if most else 1
-            for results in pool.map(seconds, firsts[::step]):
+            step = max(1, len(firsts) // max_firsts) if max_firsts else 1
+            for results in pool.map(second_kills, firsts[::step]):
                 for strikes, result in results:
                     found.add(strikes, result)
     return found
--- a/mallowlug/rig/sim/faults.py
+++ b/mallowlug/rig/sim/faults.py
@@ -14,16 +14,16 @@
 from mallowlug.rig.world.scenario import STRUCK, SYNCS, EventTable, NetTable, Scenario, StrikeTable
 
 Row = dict[str, Any]
-ON = 0.35  # chance that a kind of fault is on
-LIVES = 4  # lives of a relay that strikes reach
+KIND_PROBABILITY = 0.35  # chance that a kind of fault is on
+MAX_LIFETIMES = 4  # lives of a relay that strikes reach
 # About how often a life makes each call in such a world, so that strikes fall; the others are made often.
-RARE = {
+RARE_CALLS = {
     "open": 3, "truncate": 2, "replace": 2, "unlink": 2, "read": 3, "write.journal.new": 2, "sync_folder": 3,
     "send.watch": 4, "send.notice": 8, "write.end": 12,
 }  # fmt: skip
 
 
-class Drawing:
+class FaultPlan:
     """One seed's drawing for one scenario."""
 
     def __init__(self, scenario: Scenario, seed: int) -> None:
@@ -42,119 +42,121 @@
     def _relay(self) -> int:
         return self.rng.randrange(self.scenario.relays.count)
 
-    def _many(self, most: int) -> range:
-        return range(self.rng.randint(1, most))
+    def _repeats(self, maximum: int) -> range:
+        return range(self.rng.randint(1, maximum))
 
-    def _event(self, what: str, **more: Any) -> None:
-        self.events.append({"at_s": self._at(), "what": what, **more})
+    def _add_event(self, what: str, **fields: Any) -> None:
+        self.events.append({"at_s": self._at(), "what": what, **fields})
 
-    def _strike(self, **more: Any) -> None:
+    def _add_strike(self, **fields: Any) -> None:
         life = self.rng.choice((0, 0, 0, 1, 1, 2))
-        self.strikes.append({"relay": self._relay(), "life": life, **more})
+        self.strikes.append({"relay": self._relay(), "life": life, **fields})
 
     def kills(self) -> None:
         """Kills at any time."""
-        for _ in self._many(3):
-            self._event("kill", relay=self._relay())
+        for _ in self._repeats(3):
+            self._add_event("kill", relay=self._relay())
 
     def terms(self) -> None:
         """Orderly restarts."""
-        for _ in self._many(2):
-            self._event("term", relay=self._relay())
+        for _ in self._repeats(2):
+            self._add_event("term", relay=self._relay())
 
     def moves(self) -> None:
         """The directory moves, and SIGHUP."""
-        self._event("move")
+        self._add_event("move")
 
     def wipes(self) -> None:
         """A machine is lost with its folder."""
-        self._event("wipe", relay=self._relay())
+        self._add_event("wipe", relay=self._relay())
 
     def kills_at_calls(self) -> None:
         """Kills before, within and after single system calls, in one life after another of a relay."""
         relay = self._relay()
-        for life in range(self.rng.randint(1, LIVES)):
+        for life in range(self.rng.randint(1, MAX_LIFETIMES)):
             when, call = self.rng.choice(("before", "within", "after")), self.rng.choice(STRUCK)
-            at = self._nth(RARE.get(call, 60))
+            at = self._draw_index(RARE_CALLS.get(call, 60))
             self.strikes.append({"relay": relay, "life": life, "call": call, "at": at, "when": when})
 
-    def _nth(self, most: int) -> int:
+    def _draw_index(self, maximum: int) -> int:
         """Early calls as often as late ones: what happens at a start happens early."""
-        return max(1, int(most ** self.rng.random()))
+        return max(1, int(maximum ** self.rng.random()))
 
     def kills_at_steps(self) -> None:
         """Kills between two steps of the loop."""
-        for _ in self._many(3):
-            self._strike(unit="step", at=self._nth(3000))
+        for _ in self._repeats(3):
+            self._add_strike(unit="step", at=self._draw_index(3000))
 
     def disk_errors(self) -> None:
         """Single failing and short writes, and failing renames."""
-        for _ in self._many(4):
+        for _ in self._repeats(4):
             call = self.rng.choice(("write", "write", "write", "replace", "truncate"))
             what = self.rng.choice(("short", "ENOSPC", "EIO") if call == "write" else ("EIO",))
-            self._strike(call=call, what=what, at=self._nth(200 if call == "write" else 3))
+            self._add_strike(call=call, what=what, at=self._draw_index(200 if call == "write" else 3))
 
     def disk_full(self) -> None:
         """A disk that stays full for a while, or to the end."""
-        self._event("full", relay=self._relay(), len_s=self._len(0.2, self.scenario.length_s))
+        self._add_event("full", relay=self._relay(), len_s=self._len(0.2, self.scenario.length_s))
 
     def stalls(self) -> None:
         """A process that stands still."""
-        for _ in self._many(2):
-            self._event("stall", relay=self._relay(), len_s=self._len(0.1, 5.0))
+        for _ in self._repeats(2):
+            self._add_event("stall", relay=self._relay(), len_s=self._len(0.1, 5.0))
 
     def jumps(self) -> None:
         """A wall clock that jumps."""
-        for _ in self._many(2):
+        for _ in self._repeats(2):
             back, size = self.rng.random() < 0.5, self._len(0.1, 60.0)
-            self._event("jump", relay=self._relay(), size=size, back=back)
+            self._add_event("jump", relay=self._relay(), size=size, back=back)
 
     def partitions(self) -> None:
         """A relay that nothing reaches."""
-        for _ in self._many(2):
-            self._event("apart", relay=self._relay(), len_s=self._len(0.05, 4.0))
+        for _ in self._repeats(2):
+            self._add_event("apart", relay=self._relay(), len_s=self._len(0.05, 4.0))
 
     def outages(self) -> None:
         """Endpoints that refuse, hang, crawl or are shut."""
-        for _ in self._many(3):
+        for _ in self._repeats(3):
             what = self.rng.choice(("refuse", "silent", "slow", "shut"))
             dest = self.rng.randrange(self.scenario.partners.destinations) if self.rng.random() < 0.5 else -1
-            self._event(what, dest=dest, part=round(self.rng.uniform(0.1, 0.4), 2), len_s=self._len(0.5, 6))
+            self._add_event(
+                what, dest=dest, part=round(self.rng.uniform(0.1, 0.4), 2), len_s=self._len(0.5, 6)
+            )
 
     def churn(self) -> None:
         """Endpoints that drain, go, or are replaced."""
-        for _ in self._many(4):
+        for _ in self._repeats(4):
             what = self.rng.choice(("drain", "remove", "replace"))
-            self._event(what, count=self.rng.randint(1, 2), len_s=self._len(0.5, 4))
+            self._add_event(what, count=self.rng.randint(1, 2), len_s=self._len(0.5, 4))
 
-    def blind(self) -> None:
+    def directory_outages(self) -> None:
         """The directory is away."""
-        self._event("directory_out", len_s=self._len(0.5, 6))
+        self._add_event("directory_out", len_s=self._len(0.5, 6))
 
-    def spoilt(self) -> None:
+    def corrupt_responses(self) -> None:
         """Spoilt answers."""
-        self._event("garble", part=round(self.rng.uniform(0.05, 0.5), 2), len_s=self._len(1, 6))
+        self._add_event("garble", part=round(self.rng.uniform(0.05, 0.5), 2), len_s=self._len(1, 6))
 
-    def rude(self) -> None:
+    def malformed_clients(self) -> None:
         """Clients that send nonsense."""
-        self._event("rude", count=self.rng.randint(3, 20), len_s=self._len(0.5, 3))
+        self._add_event("rude", count=self.rng.randint(3, 20), len_s=self._len(0.5, 3))
 
     def tails(self) -> None:
         """A class with a heavy tail."""
         cls = self.rng.choice(self.scenario.classes).name
-        self._event("heavy_tail", cls=cls, part=0.05, size=15.0, len_s=self._len(1, 6))
+        self._add_event("heavy_tail", cls=cls, part=0.05, size=15.0, len_s=self._len(1, 6))
 
     def links(self) -> None:
         """Links that delay, cut, drip or fall silent."""
-        for _ in self._many(3):
+        for _ in self._repeats(3):
             between = self.rng.choice(("hosts", "directory", "clients"))
             # Byte by byte, notices take longer than their time: no relay could keep the rule then.
             dripping = ("drip",) if between != "directory" else ()
             what = self.rng.choice(("delay", "cut", "silence", *dripping))
-            more: Row = {"size": 80.0} if what == "delay" else {}
+            fields: Row = {"size": 80.0} if what == "delay" else {}
             if what == "cut":
-                more["after_bytes"] = self.rng.choice((0, 20, 150, 400, 2000))
-            self._event(what, between=between, len_s=self._len(0.2, 3), **more)
+                fields["after_bytes"] = self.rng.choice((0, 20, 150, 400, 2000))
+            self._add_event(what, between=between, len_s=self._len(0.2, 3), **fields)
 
     def power(self) -> None:
         """Durable journals, machines that lose power, and syncs that fail.
@@ -163,14 +165,14 @@
         """
         self.relays["durable"] = True
         if all(row["what"] != "jump" for row in self.events):
-            for _ in self._many(3):
-                self._event("power", relay=self._relay())
-        for _ in self._many(3):
+            for _ in self._repeats(3):
+                self._add_event("power", relay=self._relay())
+        for _ in self._repeats(3):
             call, when = self.rng.choice(SYNCS), self.rng.choice(("before", "within", "after"))
             what = self.rng.choice(("EIO", "kill"))
-            self._strike(call=call, what=what, when=when, at=self._nth(RARE.get(call, 200)))
+            self._add_strike(call=call, what=what, when=when, at=self._draw_index(RARE_CALLS.get(call, 200)))
 
-    def sleepers(self) -> None:
+    def inactive_destinations(self) -> None:
         """Next to no destination stays awake without being used."""
         self.relays |= {"awake": self.rng.randint(1, 2), "rest_s": self._len(0.05, 1.0)}
 
@@ -178,22 +180,24 @@
         """Upgrades, most of them while a process is killed, at a time or at one of its system calls."""
         if not self.scenario.relays.console:
             return
-        for _ in self._many(3):
-            more: Row = {"relay": self._relay()}
+        for _ in self._repeats(3):
+            fields: Row = {"relay": self._relay()}
             if self.rng.random() < 0.5:
-                more |= {"len_s": self._len(0.01, 3.0), "back": self.rng.random() < 0.5}
-            self._event("upgrade", **more)
+                fields |= {"len_s": self._len(0.01, 3.0), "back": self.rng.random() < 0.5}
+            self._add_event("upgrade", **fields)
         for _ in range(self.rng.randint(0, 2)):
             self.strikes.append({
-                "relay": self._relay(), "life": self.rng.randint(0, 3), "at": self._nth(400),
+                "relay": self._relay(), "life": self.rng.randint(0, 3), "at": self._draw_index(400),
                 "when": self.rng.choice(("before", "within", "after")),
             })  # fmt: skip
 
-    def hands(self) -> None:
+    def operator_disables(self) -> None:
         """Staff take hosts out, and back."""
         if self.scenario.relays.staff:
-            for _ in self._many(3):
-                self._event("out", relay=self._relay(), count=self.rng.randint(1, 2), len_s=self._len(0.3, 4))
+            for _ in self._repeats(3):
+                self._add_event(
+                    "out", relay=self._relay(), count=self.rng.randint(1, 2), len_s=self._len(0.3, 4)
+                )
 
     def reloads(self) -> None:
         """The file changes while one process follows another: another address of the directory, other
@@ -230,35 +234,38 @@
         }
 
 
-KINDS: dict[str, Callable[[Drawing], None]] = {
-    name: getattr(Drawing, name)
+KINDS: dict[str, Callable[[FaultPlan], None]] = {
+    name: getattr(FaultPlan, name)
     for name in (
         "kills", "terms", "moves", "wipes", "kills_at_calls", "kills_at_steps", "disk_errors", "disk_full",
-        "stalls", "jumps", "partitions", "outages", "churn", "blind", "spoilt", "rude", "tails", "links",
-        "network", "power", "sleepers", "upgrades",
-        "hands",
+        "stalls", "jumps", "partitions", "outages", "churn", "directory_outages", "corrupt_responses",
+        "malformed_clients", "tails", "links", "network", "power", "inactive_destinations", "upgrades",
+        "operator_disables",
     )
 }  # fmt: skip
 
 
 def swarm(scenario: Scenario, seed: int) -> Scenario:
     """The scenario with this seed, and with the faults that the seed draws beside the scenario's own."""
-    drawing = Drawing(scenario, seed)
+    plan = FaultPlan(scenario, seed)
     for draw in KINDS.values():
-        always = draw in (Drawing.upgrades, Drawing.hands)  # they draw nothing where relays have no staff
-        if always or drawing.rng.random() < ON:
-            draw(drawing)
+        always = draw in (
+            FaultPlan.upgrades,
+            FaultPlan.operator_disables,
+        )  # they draw nothing where relays have no staff
+        if always or plan.rng.random() < KIND_PROBABILITY:
+            draw(plan)
     if scenario.relays.reloads:
-        drawing.reloads()
+        plan.reloads()
     # By a source of its own, so that the seeds stay what they are: no site's rules say what may go wrong.
     copies = random.Random(f"copies {seed}").random() < 0.5
     return scenario.model_copy(
         update={
             "seed": seed,
             "rules": scenario.rules.model_copy(update={"second_copies": copies}),
-            "relays": scenario.relays.model_copy(update=drawing.relays),
-            "events": (*scenario.events, *(EventTable.model_validate(row) for row in drawing.events)),
-            "strikes": (*scenario.strikes, *(StrikeTable.model_validate(row) for row in drawing.strikes)),
-            "net": NetTable.model_validate(drawing.net) if drawing.net else scenario.net,
+            "relays": scenario.relays.model_copy(update=plan.relays),
+            "events": (*scenario.events, *(EventTable.model_validate(row) for row in plan.events)),
+            "strikes": (*scenario.strikes, *(StrikeTable.model_validate(row) for row in plan.strikes)),
+            "net": NetTable.model_validate(plan.net) if plan.net else scenario.net,
         }
     )
--- a/mallowlug/rig/sim/ground.py
+++ b/mallowlug/rig/sim/ground.py
@@ -19,33 +19,33 @@
 from mallowlug.rig.run.play import Options, play
 from mallowlug.rig.run.relays import Relay
 from mallowlug.rig.sim.disk import SimDisk
-from mallowlug.rig.sim.guards import Watch
+from mallowlug.rig.sim.guards import InvariantMonitor
 from mallowlug.rig.sim.loop import START_S, SimLoop
 from mallowlug.rig.sim.net import Link, Network
-from mallowlug.rig.sim.process import Kernel, LifeLog, Machine, SimProcess, SimRelay, Struck
+from mallowlug.rig.sim.process import InjectedFault, Kernel, LifetimeLog, Machine, SimProcess, SimRelay
 from mallowlug.rig.sim.upgrade import Upgrade
 from mallowlug.rig.world.httpd import Place
 from mallowlug.rig.world.scenario import EventTable, Scenario
 from mossfront import interface as api
 
 
-class SimGround:
+class SimBackend:
     """The simulation as the world sees it."""
 
     def __init__(self, loop: SimLoop, scenario: Scenario) -> None:
         self.loop, self.scenario = loop, scenario
         self.net = loop.net = Network(loop, random.Random(f"net {scenario.seed}"))
-        self.net.links, self.net.dialled = self._link, self._dialled
+        self.net.new_link, self.net.on_connect = self._draw_link, self._report_connect
         self.dialled: Callable[[str, tuple[str, int]], None] | None = lambda _relay, _address: None
         self.kernel = Kernel(loop, self.net, scenario.strikes)
-        self.place = Place(self.net.address, itertools.count(1))
+        self.place = Place(self.net.allocate_address, itertools.count(1))
         self.relays: list[SimRelay] = []
-        self.seeds: list[str] = []  # of their fleet
+        self.fleet_seeds: list[str] = []  # of their fleet
         self.writer: rec.Writer | None = None
-        self.net.most_sockets = lambda _life: scenario.relays.sockets
-        self.kernel.told = self._struck
+        self.net.max_sockets = lambda _life: scenario.relays.sockets
+        self.kernel.on_injected = self._record_fault
 
-    def _link(self) -> Link:
+    def _draw_link(self) -> Link:
         told, draw = self.scenario.net, self.net.rng.uniform
         return Link(
             draw(*told.latency_ms) / 1000,
@@ -54,13 +54,13 @@
             self.net.rng.randint(*told.piece),
         )
 
-    def _dialled(self, place: str, address: tuple[str, int]) -> None:
+    def _report_connect(self, place: str, address: tuple[str, int]) -> None:
         if self.dialled is not None:
             self.dialled(place, address)
 
-    def _struck(self, struck: Struck) -> None:
+    def _record_fault(self, fault: InjectedFault) -> None:
         assert self.writer is not None
-        detail = f"{struck.relay} life {struck.life} {struck.point}"
+        detail = f"{fault.relay} life {fault.lifetime} {fault.point}"
         self.writer.add(rec.Mark(self.writer.now, "strike", detail))
 
     def now_us(self) -> int:
@@ -82,31 +82,31 @@
             durable=told.durable,
             active_destinations=told.awake,
             inactive_after_s=told.rest_s,
-            fleet=self._place(told.fleet),
+            fleet=self._fleet_plan(told.fleet),
         )
         relay = SimRelay(name, self.kernel, Machine(name, disk, extras), writer, config)
-        relay.staffed = told.console
+        relay.has_console = told.console
         self.relays.append(relay)
         return relay
 
-    def _place(self, on: bool) -> FleetPlan | None:
+    def _fleet_plan(self, on: bool) -> FleetPlan | None:
         """A relay's place in the fleet: the first two are everybody's seeds, and times a fifth of usual."""
         if not on:
             return None
-        address = self.net.address()
+        address = self.net.allocate_address()
         told = "{}:{}".format(*address)
         if len(self.relays) < 2:
-            self.seeds.append(told)
-        return FleetPlan("sim", address, told, tuple(self.seeds), period_s=0.2, settle_s=2.0)
+            self.fleet_seeds.append(told)
+        return FleetPlan("sim", address, told, tuple(self.fleet_seeds), period_s=0.2, settle_s=2.0)
 
     async def strike(self, relay: Relay, event: EventTable) -> None:
         """What a real process can't be made to suffer, for as long as it lasts."""
         assert isinstance(relay, SimRelay)
         machine = relay.machine
         if event.what == "jump":
-            machine.wall_off_ns += int(event.size * 1e9) * (-1 if event.back else 1)
+            machine.wall_offset_ns += int(event.size * 1e9) * (-1 if event.back else 1)
         elif event.what == "full":
-            await self._fill(relay, event.len_s)
+            await self._fill_disk(relay, event.len_s)
         elif event.what == "power":
             relay.cut_power()
         elif event.what == "reload":
@@ -114,42 +114,42 @@
             if event.len_s:
                 await asyncio.sleep(event.len_s)
                 relay.write_config()
-                relay.signal_hup(False)
+                relay.send_sighup(False)
         elif event.what == "upgrade":
             await Upgrade(relay, event).play()
         elif event.what == "stall":
-            await self._stall(relay, event.len_s)
+            await self._suspend(relay, event.len_s)
         else:
             assert event.what == "apart"
-            await self._part(relay, event.len_s)
+            await self._partition(relay, event.len_s)
 
-    async def _fill(self, relay: SimRelay, len_s: float) -> None:
+    async def _fill_disk(self, relay: SimRelay, len_s: float) -> None:
         """Its disk takes nothing; of two such times that overlap the last one makes room."""
         machine = relay.machine
-        machine.fills += 1
-        if machine.fills == 1:
+        machine.full_reasons += 1
+        if machine.full_reasons == 1:
             machine.disk.full = True
             relay.note("full")
         await asyncio.sleep(len_s)
-        machine.fills -= 1
-        if not machine.fills:
+        machine.full_reasons -= 1
+        if not machine.full_reasons:
             machine.disk.full = False
             relay.note("room")
 
-    async def _stall(self, relay: SimRelay, len_s: float) -> None:
+    async def _suspend(self, relay: SimRelay, len_s: float) -> None:
         process = relay.process
         assert isinstance(process, SimProcess)
-        process.life.still = True
+        process.lifetime.suspended = True
         relay.note("deaf", "stands still")
         with contextlib.suppress(TimeoutError):  # its end may come first
             await asyncio.wait_for(process.wait(), len_s)
         relay.note("hears")
-        self.loop.go_on(process.life)
+        self.loop.resume(process.lifetime)
 
-    async def _part(self, relay: SimRelay, len_s: float) -> None:
+    async def _partition(self, relay: SimRelay, len_s: float) -> None:
         relay.note("deaf", "cut off")
         for pair in ((relay.name, ""), ("", relay.name)):
-            self.net.part(*pair)
+            self.net.partition(*pair)
         await asyncio.sleep(len_s)
         relay.note("hears")
         for pair in ((relay.name, ""), ("", relay.name)):
@@ -157,16 +157,16 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Simulated:
+class SimulatedRun:
     """What a simulated run leaves beside its record."""
 
     path: Path
     crashed: tuple[str, ...]
     bad_calls: int
-    lapses: tuple[str, ...]  # of the modules' own guards
+    violations: tuple[str, ...]  # of the modules' own guards
     unhandled: tuple[str, ...]  # exceptions that nobody handled, anywhere
-    left: tuple[str, ...]  # what an orderly end left open
-    struck: tuple[Struck, ...]
+    leaks: tuple[str, ...]  # what an orderly end left open
+    injected: tuple[InjectedFault, ...]
     calls: tuple[tuple[int, int], ...]  # of relay 0, by life: system calls until it listened, and in all
     length_s: float  # simulated
     logs: dict[str, list[str]]
@@ -175,68 +175,68 @@
     def complaints(self) -> list[str]:
         """What is wrong with the run beside broken rules."""
         found = [f"unhandled: {line}" for line in self.unhandled]
-        found += [f"left open: {line}" for line in self.left]
+        found += [f"left open: {line}" for line in self.leaks]
         found += [f"crashed: {line}" for line in self.crashed]
-        found += self.lapses
+        found += self.violations
         if self.bad_calls:
             found.append(f"{self.bad_calls} calls that the protocol does not know")
         return found
 
 
-def watched(module: Any, lapses: list[str]) -> Any:
+def monitored(engine: Any, violations: list[str]) -> Any:
     """The module with a watch on each of its steps."""
 
-    class Module(module):  # type: ignore[misc]
+    class MonitoredEngine(engine):  # type: ignore[misc]
         """What a relay's core steps."""
 
         def __init__(self, settings: api.Settings, seed: int) -> None:
             super().__init__(settings, seed)
-            self._watch = Watch(settings, lapses.append)
+            self._monitor = InvariantMonitor(settings, violations.append)
 
         def step(self, now_us: int, events: Iterable[api.Event]) -> list[api.Action]:
             """As the module does."""
             told = list(events)
             actions: list[api.Action] = super().step(now_us, told)
-            self._watch.step(now_us, told, actions)
+            self._monitor.step(now_us, told, actions)
             return actions
 
-    return Module
+    return MonitoredEngine
 
 
-def simulate(scenario: Scenario, folder: Path, options: Options | None = None) -> Simulated:
+def simulate(scenario: Scenario, folder: Path, options: Options | None = None) -> SimulatedRun:
     """Play a scenario in simulated time into ``folder``.
 
     Only the scenario and its seed decide what happens. The garbage collector is off meanwhile: finalizers
     would run at any time.
     """
     loop = SimLoop()
-    ground, lapses, module = SimGround(loop, scenario), list[str](), vars(core)["DecisionEngine"]
-    log, logger = LifeLog(loop), logging.getLogger("mallowlug")
+    backend, violations, engine = SimBackend(loop, scenario), list[str](), vars(core)["DecisionEngine"]
+    log, logger = LifetimeLog(loop), logging.getLogger("mallowlug")
     former, collects = logger.level, gc.isenabled()
     logger.addHandler(log)
     logger.setLevel(logging.INFO)
     logger.propagate = False
     gc.disable()
-    vars(core)["DecisionEngine"] = watched(module, lapses)
+    vars(core)["DecisionEngine"] = monitored(engine, violations)
     try:
-        done = loop.complete(play(scenario, folder, options, ground))
+        done = loop.run_main(play(scenario, folder, options, backend))
     finally:
         logger.removeHandler(log)
         logger.setLevel(former)
         logger.propagate = True
-        vars(core)["DecisionEngine"] = module
+        vars(core)["DecisionEngine"] = engine
         if collects:
             gc.enable()
-    relays = ground.relays
-    return Simulated(
+    relays = backend.relays
+    return SimulatedRun(
         path=done.path,
         crashed=tuple(crash for relay in relays for crash in relay.crashes),
         bad_calls=done.bad_calls,
-        lapses=tuple(lapses),
+        violations=tuple(violations),
         unhandled=tuple(loop.unhandled),
-        left=tuple(f"{relay.name}: {item}" for relay in relays for item in relay.left),
-        struck=tuple(ground.kernel.struck),
-        calls=tuple((p.life.calls_to_listen, p.life.calls) for p in relays[0].processes),
+        leaks=tuple(f"{relay.name}: {item}" for relay in relays for item in relay.leaks),
+        injected=tuple(backend.kernel.injected),
+        calls=tuple((p.lifetime.calls_before_listen, p.lifetime.calls) for p in relays[0].processes),
         length_s=loop.now_s - START_S,
         logs=log.lines,
     )
--- a/mallowlug/rig/sim/hours.py
+++ b/mallowlug/rig/sim/hours.py
@@ -19,26 +19,26 @@
 
 from mallowlug.rig.run.play import Options, World, sleep_until
 from mallowlug.rig.sim.disk import SimDisk
-from mallowlug.rig.sim.ground import Simulated, simulate
-from mallowlug.rig.sim.guards import Watch
-from mallowlug.rig.sim.loop import Life, SimLoop
+from mallowlug.rig.sim.ground import SimulatedRun, simulate
+from mallowlug.rig.sim.guards import InvariantMonitor
+from mallowlug.rig.sim.loop import Lifetime, SimLoop
 from mallowlug.rig.sim.net import Network
 from mallowlug.rig.sim.process import SimProcess, SimRelay, SimSystem
 from mallowlug.rig.world import draw
 from mallowlug.rig.world.scenario import Scenario
 
-OUTSIDE = (  # what belongs to the simulation or to the interpreter, and not to a relay
-    SimLoop, SimDisk, SimSystem, Network, Life, Watch, Context, types.ModuleType, type, types.FunctionType,
-    types.BuiltinFunctionType, types.CodeType, types.FrameType,
+EXCLUDED_TYPES = (  # what belongs to the simulation or to the interpreter, and not to a relay
+    SimLoop, SimDisk, SimSystem, Network, Lifetime, InvariantMonitor, Context, types.ModuleType, type,
+    types.FunctionType, types.BuiltinFunctionType, types.CodeType, types.FrameType,
 )  # fmt: skip
-LULL_S = 60.0  # s at an hour's end without traffic or troubles
-SPARE = 0.02  # growth that is no leak: tables keep room for what they once held
+QUIET_S = 60.0  # s at an hour's end without traffic or troubles
+GROWTH_TOLERANCE = 0.02  # growth that is no leak: tables keep room for what they once held
 # Bytes for each that is in it.
-EACH: dict[type[Sized], int] = {bytearray: 1, list: 8, dict: 100, set: 40, deque: 8}
-SHOWN = 5  # types that a leak is told by
+BYTES_PER_ITEM: dict[type[Sized], int] = {bytearray: 1, list: 8, dict: 100, set: 40, deque: 8}
+TYPES_SHOWN = 5  # types that a leak is told by
 
 
-class LullError(ValueError):
+class QuietPeriodError(ValueError):
     """A scenario whose hour does not end quietly."""
 
 
@@ -48,16 +48,16 @@
 
     hour: int
     relay: str
-    life: int
+    lifetime: int
     descriptors: int
     tasks: int
     size: int
     objects: Counter[str] = field(hash=False)
 
 
-def roots_of(life: Life) -> list[object]:
+def roots_of(lifetime: Lifetime) -> list[object]:
     """The composition root's own values: the locals of ``serve`` as it waits."""
-    for task in life.tasks:
+    for task in lifetime.tasks:
         waiting: object = task.get_coro()
         while isinstance(waiting, types.CoroutineType):
             if waiting.cr_code.co_name == "serve" and waiting.cr_frame is not None:
@@ -66,56 +66,58 @@
     return []
 
 
-def reached(roots: Sequence[object]) -> Iterator[object]:
+def reachable(roots: Sequence[object]) -> Iterator[object]:
     """Every object that hangs on these, each once; what is outside a relay ends the search."""
     seen: set[int] = set()
-    front = list(roots)
-    while front:
-        found = front.pop()
-        if id(found) in seen or isinstance(found, OUTSIDE):
+    pending = list(roots)
+    while pending:
+        item = pending.pop()
+        if id(item) in seen or isinstance(item, EXCLUDED_TYPES):
             continue
-        seen.add(id(found))
-        yield found
-        front += gc.get_referents(found)
+        seen.add(id(item))
+        yield item
+        pending += gc.get_referents(item)
 
 
-def size_of(found: object) -> int:
+def size_of(item: object) -> int:
     """Bytes of an object alone. What grows in leaps counts by what is in it: spare room comes and goes."""
-    for kind, each in EACH.items():
-        if isinstance(found, kind):
-            return len(found) * each
-    return sys.getsizeof(found)
+    for kind, each in BYTES_PER_ITEM.items():
+        if isinstance(item, kind):
+            return len(item) * each
+    return sys.getsizeof(item)
 
 
 def sample(hour: int, relay: SimRelay) -> Sample:
     """Count what a relay holds now."""
     process = relay.process
     assert isinstance(process, SimProcess)
-    life, objects, size = process.life, Counter[str](), 0
-    for found in reached(roots_of(life)):
-        objects[type(found).__qualname__] += 1
-        size += size_of(found)
-    files = relay.machine.disk.opened_by(life)
-    return Sample(hour, relay.name, life.number, len(life.sockets) + files, len(life.tasks), size, objects)
+    lifetime, objects, size = process.lifetime, Counter[str](), 0
+    for item in reachable(roots_of(lifetime)):
+        objects[type(item).__qualname__] += 1
+        size += size_of(item)
+    files = relay.machine.disk.descriptor_count(lifetime)
+    return Sample(
+        hour, relay.name, lifetime.number, len(lifetime.sockets) + files, len(lifetime.tasks), size, objects
+    )
 
 
-def grown(samples: Sequence[Sample]) -> list[str]:
+def find_growth(samples: Sequence[Sample]) -> list[str]:
     """What did not come back, against the same life's first full hour."""
     problems, firsts = list[str](), dict[tuple[str, int], Sample]()
     for now in samples:
-        first = firsts.setdefault((now.relay, now.life), now)
-        place = f"{now.relay} life {now.life} hour {now.hour}"
+        first = firsts.setdefault((now.relay, now.lifetime), now)
+        place = f"{now.relay} life {now.lifetime} hour {now.hour}"
         for name in ("descriptors", "tasks"):
             if (held := getattr(now, name)) > (before := getattr(first, name)):
                 problems.append(f"{place}: {held} {name}, {before} in hour {first.hour}")
-        if now.size > first.size * (1 + SPARE):
-            more = (now.objects - first.objects).most_common(SHOWN)
+        if now.size > first.size * (1 + GROWTH_TOLERANCE):
+            more = (now.objects - first.objects).most_common(TYPES_SHOWN)
             told = ", ".join(f"{count} {name}" for name, count in more)
             problems.append(f"{place}: {now.size} bytes, {first.size} in hour {first.hour}; more: {told}")
     return problems
 
 
-def repeated(scenario: Scenario, hours: int) -> Scenario:
+def repeat_hours(scenario: Scenario, hours: int) -> Scenario:
     """The scenario's hour so many times; its last ``LULL_S`` are without traffic, and events end before."""
     hour_s = scenario.length_s
     events = [
@@ -127,30 +129,32 @@
 
 
 @dataclass(slots=True)
-class Hours:
+class HourlyResult:
     """What hours of simulated time say."""
 
-    done: Simulated
+    done: SimulatedRun
     samples: list[Sample]
 
     @property
     def problems(self) -> list[str]:
         """What did not come back."""
-        return grown(self.samples)
+        return find_growth(self.samples)
 
 
-def played(scenario: Scenario, hours: int, folder: Path, lull_s: float = LULL_S) -> Hours:
+def run_hours(scenario: Scenario, hours: int, folder: Path, quiet_s: float = QUIET_S) -> HourlyResult:
     """Play an hour (the scenario's length) again and again, and count at each one's end.
 
     ``LullError`` where the scenario leaves no room for its lull.
     """
     hour_s, samples = scenario.length_s, list[Sample]()
-    if hour_s <= lull_s:
-        raise LullError(f"{hour_s:g} s leave no room for a lull of {lull_s:g} s")
-    if late := [event for event in scenario.events if event.at_s + event.len_s > hour_s - lull_s]:
-        raise LullError(f"{late[0].what} at {late[0].at_s} s is not over {lull_s:g} s before the hour's end")
-    long = repeated(scenario, hours)
-    traffic = [arrival for arrival in draw.arrivals_of(long) if arrival.at_s % hour_s < hour_s - lull_s]
+    if hour_s <= quiet_s:
+        raise QuietPeriodError(f"{hour_s:g} s leave no room for a lull of {quiet_s:g} s")
+    if late := [event for event in scenario.events if event.at_s + event.len_s > hour_s - quiet_s]:
+        raise QuietPeriodError(
+            f"{late[0].what} at {late[0].at_s} s is not over {quiet_s:g} s before the hour's end"
+        )
+    long = repeat_hours(scenario, hours)
+    traffic = [arrival for arrival in draw.arrivals_of(long) if arrival.at_s % hour_s < hour_s - quiet_s]
 
     async def count(world: World) -> None:
         start_s = asyncio.get_running_loop().time()
@@ -159,4 +163,4 @@
             samples.extend(sample(hour, relay) for relay in world.relays if isinstance(relay, SimRelay))
 
     done = simulate(long, folder, Options(traffic=traffic, started=count))
-    return Hours(done, samples)
+    return HourlyResult(done, samples)
--- a/mallowlug/rig/sim/process.py
+++ b/mallowlug/rig/sim/process.py
@@ -25,8 +25,8 @@
 from mallowlug.rig.judge import record as rec
 from mallowlug.rig.run.relays import Process, Relay, asked
 from mallowlug.rig.sim.disk import SimDisk
-from mallowlug.rig.sim.loop import LIFE, Killed, Life, SimLoop, vars_of
-from mallowlug.rig.sim.net import Network, SimSocket, failure
+from mallowlug.rig.sim.loop import CURRENT_LIFETIME, Killed, Lifetime, SimLoop, untyped
+from mallowlug.rig.sim.net import Network, SimSocket, os_error
 from mallowlug.rig.world.scenario import EventTable, StrikeTable
 
 EPOCH_NS = 1_750_000_000 * 10**9  # the wall clock's time when the simulation's monotonic clock shows 0
@@ -34,7 +34,7 @@
 ERRNO = {"ENOSPC": 28, "EIO": 5}
 
 
-class LifeLog(logging.Handler):
+class LifetimeLog(logging.Handler):
     """Each life's log lines, by simulated time."""
 
     def __init__(self, loop: SimLoop) -> None:
@@ -43,9 +43,9 @@
         self.lines: dict[str, list[str]] = {}  # by relay
 
     def emit(self, record: logging.LogRecord) -> None:
-        if (life := LIFE.get()) is not None and life.alive:
-            line = f"{self._loop.now_s:.6f} {life.number} {record.levelname} {record.getMessage()}"
-            self.lines.setdefault(life.name, []).append(line)
+        if (lifetime := CURRENT_LIFETIME.get()) is not None and lifetime.alive:
+            line = f"{self._loop.now_s:.6f} {lifetime.number} {record.levelname} {record.getMessage()}"
+            self.lines.setdefault(lifetime.name, []).append(line)
 
 
 @dataclass(slots=True)
@@ -55,9 +55,9 @@
     name: str
     disk: SimDisk
     extras: config.Extras
-    wall_off_ns: int = 0
-    boots: int = 1
-    fills: int = 0  # reasons for which its disk takes nothing now
+    wall_offset_ns: int = 0
+    boot_count: int = 1
+    full_reasons: int = 0  # reasons for which its disk takes nothing now
     console: tuple[str, int] | None = None  # of the life that is started next; None: it has none
 
 
@@ -73,11 +73,11 @@
 
     def wall_ns(self) -> int:
         """The machine's wall clock, which may have jumped."""
-        return EPOCH_NS + int(self._loop.now_s * 1e6) * 1000 + self._machine.wall_off_ns
+        return EPOCH_NS + int(self._loop.now_s * 1e6) * 1000 + self._machine.wall_offset_ns
 
     def boot(self) -> str:
         """What names this run of the machine."""
-        return f"boot-{self._machine.boots}"
+        return f"boot-{self._machine.boot_count}"
 
     def stream(self, family: int) -> socket.socket:
         """A simulated socket."""
@@ -85,9 +85,9 @@
 
     def listener(self, address: tuple[str, int], shared: bool = False) -> socket.socket:
         """A simulated socket that listens."""
-        life = LIFE.get()
-        assert isinstance(life, SimLife)
-        life.calls_to_listen = life.calls
+        lifetime = CURRENT_LIFETIME.get()
+        assert isinstance(lifetime, SimLifetime)
+        lifetime.calls_before_listen = lifetime.calls
         return cast(socket.socket, self._net.listener(address, shared))
 
     def datagram(self, address: tuple[str, int]) -> socket.socket:
@@ -100,7 +100,7 @@
         return True
 
 
-def name_of(call: str, data: bytes) -> str:
+def call_name(call: str, data: bytes) -> str:
     """A system call's name for those who count what was struck: with what it writes."""
     if call == "write":
         head = data.partition(b'["')[2].partition(b'"')[0] or data
@@ -114,12 +114,12 @@
 
 
 @dataclass(slots=True)
-class Struck:
+class InjectedFault:
     """A strike that fell."""
 
     at_us: int
     relay: str
-    life: int
+    lifetime: int
     point: str
 
 
@@ -129,64 +129,67 @@
     def __init__(self, loop: SimLoop, net: Network, strikes: Sequence[StrikeTable]) -> None:
         self.loop, self.net = loop, net
         self._strikes = strikes
-        self.struck: list[Struck] = []
-        self.told: Callable[[Struck], None] = lambda _struck: None
+        self.injected: list[InjectedFault] = []
+        self.on_injected: Callable[[InjectedFault], None] = lambda _fault: None
 
-    def enter(self, life: SimLife, call: str, data: bytes) -> str:
+    def intercept_call(self, lifetime: SimLifetime, call: str, data: bytes) -> str:
         """A life makes a system call: how it is to end; ``Killed`` or ``OSError`` where it does not begin."""
-        life.calls += 1
-        if not life.strikes:
+        lifetime.calls += 1
+        if not lifetime.strikes:
             return ""
-        name = name_of(call, data)
-        life.by_call.update({call, name})
-        for strike in life.strikes:
-            count = life.by_call[strike.call] if strike.call else life.calls
+        name = call_name(call, data)
+        lifetime.call_counts.update({call, name})
+        for strike in lifetime.strikes:
+            count = lifetime.call_counts[strike.call] if strike.call else lifetime.calls
             if strike.unit == "call" and strike.call in ("", call, name) and strike.at == count:
-                return self._strike(life, strike, name)
+                return self._inject(lifetime, strike, name)
         return ""
 
-    def _strike(self, life: SimLife, strike: StrikeTable, name: str) -> str:
+    def _inject(self, lifetime: SimLifetime, strike: StrikeTable, name: str) -> str:
         if strike.what == "kill":
-            self._note(life, f"{name}.{strike.when}")
+            self._record_injection(lifetime, f"{name}.{strike.when}")
             if strike.when == "before":
-                self.kill(life)
+                self.kill(lifetime)
                 raise Killed
             return strike.when
-        self._note(life, f"{name}.{strike.what}")
-        life.excused = True
+        self._record_injection(lifetime, f"{name}.{strike.what}")
+        lifetime.disk_failed = True
         if strike.what == "short":
             return "short"
-        raise failure(ERRNO[strike.what])
+        raise os_error(ERRNO[strike.what])
 
-    def _note(self, life: SimLife, point: str) -> None:
-        found = Struck(int(self.loop.now_s * 1e6), life.name, life.number, point)
-        self.struck.append(found)
-        self.told(found)
+    def _record_injection(self, lifetime: SimLifetime, point: str) -> None:
+        found = InjectedFault(int(self.loop.now_s * 1e6), lifetime.name, lifetime.number, point)
+        self.injected.append(found)
+        self.on_injected(found)
 
     def start(self, machine: Machine, number: int) -> SimProcess:
         """The next life of a machine's relay."""
-        mine = [s for s in self._strikes if f"n{s.relay}" == machine.name and s.life == number]
-        life = SimLife(machine, number, mine)
-        life.enter, life.die = partial(self.enter, life), partial(self.kill, life)
-        steps = {strike.at for strike in mine if strike.unit == "step"}
+        own_strikes = [s for s in self._strikes if f"n{s.relay}" == machine.name and s.life == number]
+        lifetime = SimLifetime(machine, number, own_strikes)
+        lifetime.intercept_call, lifetime.terminate = (
+            partial(self.intercept_call, lifetime),
+            partial(self.kill, lifetime),
+        )
+        steps = {strike.at for strike in own_strikes if strike.unit == "step"}
         if steps:
-            life.before_step = lambda: self._step(life, steps)
-        process = SimProcess(self, life)
-        life.context = copy_context()
-        life.context.run(LIFE.set, life)
+            lifetime.before_step = lambda: self._check_step(lifetime, steps)
+        process = SimProcess(self, lifetime)
+        lifetime.context = copy_context()
+        lifetime.context.run(CURRENT_LIFETIME.set, lifetime)
         system = SimSystem(self.loop, self.net, machine)
-        life.context.run(self.loop.create_task, self._main(life, system))
+        lifetime.context.run(self.loop.create_task, self._run_program(lifetime, system))
         return process
 
-    def _step(self, life: SimLife, steps: set[int]) -> None:
-        if life.steps in steps:
-            self._note(life, "step")
-            self.kill(life)
+    def _check_step(self, lifetime: SimLifetime, steps: set[int]) -> None:
+        if lifetime.steps in steps:
+            self._record_injection(lifetime, "step")
+            self.kill(lifetime)
 
-    async def _main(self, life: SimLife, system: SimSystem) -> None:
+    async def _run_program(self, lifetime: SimLifetime, system: SimSystem) -> None:
         """What ``mallowlug run`` does, and the end of the process behind it."""
         try:
-            code = await serve(config.load(system), system, life.machine.extras)
+            code = await serve(config.load(system), system, lifetime.machine.extras)
         except config.ConfigError as error:
             logging.getLogger("mallowlug").critical("configuration: %s", error)
             code = 2
@@ -194,80 +197,84 @@
             logging.getLogger("mallowlug").exception("the process broke")
             code = 1
         me = asyncio.current_task()
-        rest = [task for task in life.tasks if task is not me]
+        rest = [task for task in lifetime.tasks if task is not me]
         for task in rest:
             task.cancel()
         await asyncio.gather(*rest, return_exceptions=True)
-        life.left = [f"socket {sock.state}" for sock in life.sockets.values() if sock.state == "listening"]
-        life.left += [f"task {task.get_name()}" for task in life.tasks if task is not me and not task.done()]
-        self.end(life, code)
-
-    def kill(self, life: SimLife) -> None:
+        lifetime.leaks = [
+            f"socket {sock.state}" for sock in lifetime.sockets.values() if sock.state == "listening"
+        ]
+        lifetime.leaks += [
+            f"task {task.get_name()}" for task in lifetime.tasks if task is not me and not task.done()
+        ]
+        self.end(lifetime, code)
+
+    def kill(self, lifetime: SimLifetime) -> None:
         """SIGKILL."""
-        self.end(life, -signal.SIGKILL)
+        self.end(lifetime, -signal.SIGKILL)
 
-    def end(self, life: SimLife, code: int) -> None:
+    def end(self, lifetime: SimLifetime, code: int) -> None:
         """The process is gone; what it held the kernel closes."""
-        if not life.alive:
+        if not lifetime.alive:
             return
-        life.alive = False
-        self.loop.forget(life)
-        self.net.vanish(life)
-        life.machine.disk.release(life)
-        for task in list(life.tasks):
-            vars_of(task)._log_destroy_pending = False
+        lifetime.alive = False
+        self.loop.cancel_handles_of(lifetime)
+        self.net.close_sockets_of(lifetime)
+        lifetime.machine.disk.close_descriptors_of(lifetime)
+        for task in list(lifetime.tasks):
+            untyped(task)._log_destroy_pending = False
             # Its coroutines are unwound now, in order, where nothing that they do has an effect any more;
             # left to the garbage collector they would be at any time. One that is running unwinds by itself.
             with contextlib.suppress(RuntimeError, ValueError, Killed):
-                life.context.copy().run(vars_of(task.get_coro()).close)
-        if not life.over.done():
-            life.over.set_result(code)
+                lifetime.context.copy().run(untyped(task.get_coro()).close)
+        if not lifetime.exit_future.done():
+            lifetime.exit_future.set_result(code)
 
 
-class SimLife(Life):
+class SimLifetime(Lifetime):
     """A life with its machine and what is to strike it."""
 
     def __init__(self, machine: Machine, number: int, strikes: Sequence[StrikeTable]) -> None:
         super().__init__(machine.name, number)
         self.machine, self.strikes = machine, tuple(strikes)
-        self.calls, self.by_call = 0, Counter[str]()
-        self.calls_to_listen = 0  # system calls before it could take anything on
+        self.calls, self.call_counts = 0, Counter[str]()
+        self.calls_before_listen = 0  # system calls before it could take anything on
         self.context = copy_context()
-        self.over: asyncio.Future[int] = asyncio.get_running_loop().create_future()
-        self.left: list[str] = []  # what was not closed at an orderly end
-        self.excused = False  # its disk failed: it may give up, and say so
+        self.exit_future: asyncio.Future[int] = asyncio.get_running_loop().create_future()
+        self.leaks: list[str] = []  # what was not closed at an orderly end
+        self.disk_failed = False  # its disk failed: it may give up, and say so
 
 
 class SimProcess(Process):
     """A life as its supervisor sees it."""
 
-    def __init__(self, kernel: Kernel, life: SimLife) -> None:
-        self._kernel, self.life = kernel, life
+    def __init__(self, kernel: Kernel, lifetime: SimLifetime) -> None:
+        self._kernel, self.lifetime = kernel, lifetime
         self.console: tuple[str, int] | None = None
 
     @property
     def returncode(self) -> int | None:
         """Its exit code, negative for a signal; None while it runs."""
-        return self.life.over.result() if self.life.over.done() else None
+        return self.lifetime.exit_future.result() if self.lifetime.exit_future.done() else None
 
     async def wait(self) -> int:
         """Wait for its end; the exit code."""
-        return await asyncio.shield(self.life.over)
+        return await asyncio.shield(self.lifetime.exit_future)
 
     def send_signal(self, signal: int) -> None:
         """Signal it: its handler runs as its next step; without one SIGTERM ends it and SIGHUP is ignored."""
-        life = self.life
-        if signal in life.handlers:
-            self._kernel.loop.call_soon(life.handlers[signal], context=life.context.copy())
+        lifetime = self.lifetime
+        if signal in lifetime.handlers:
+            self._kernel.loop.call_soon(lifetime.handlers[signal], context=lifetime.context.copy())
         elif signal in (9, 15):
-            self._kernel.end(life, -signal)
+            self._kernel.end(lifetime, -signal)
 
     def kill(self) -> None:
         """SIGKILL."""
-        self._kernel.kill(self.life)
+        self._kernel.kill(self.lifetime)
 
 
-def edited(classes: list[dict[str, Any]], edit: str, number: int) -> None:
+def edit_classes(classes: list[dict[str, Any]], edit: str, number: int) -> None:
     """Change settings in a way that no rule depends on: one class more, or aims a little shorter."""
     if edit == "classes":
         classes.append(classes[0] | {"name": f"more-{number}"})
@@ -286,30 +293,34 @@
         writer: rec.Writer,
         config: Callable[[], dict[str, Any]],
     ) -> None:
-        super().__init__(name, kernel.net.address(), writer, config)
-        self.kernel, self.machine, self.staffed = kernel, machine, False  # staffed: its lives have a console
+        super().__init__(name, kernel.net.allocate_address(), writer, config)
+        self.kernel, self.machine, self.has_console = (
+            kernel,
+            machine,
+            False,
+        )  # staffed: its lives have a console
         self.processes: list[SimProcess] = []
-        self.edits: list[str] = []  # what staff have changed in its settings: classes, deadlines
+        self.config_edits: list[str] = []  # what staff have changed in its settings: classes, deadlines
 
     def write_config(self) -> None:
-        self.machine.disk.put(CONFIG, self.told())
+        self.machine.disk.install_file(CONFIG, self.told())
 
     def told(self) -> bytes:
         raw = json.loads(super().told())
-        for number, edit in enumerate(self.edits):
-            edited(raw["settings"]["request_classes"], edit, number)
+        for number, edit in enumerate(self.config_edits):
+            edit_classes(raw["settings"]["request_classes"], edit, number)
         return json.dumps(raw).encode()
 
     def reload(self, event: EventTable) -> None:
         """Staff put another file in place and tell one of its processes, as the event says."""
         if event.file in ("classes", "deadlines"):
-            self.edits.append(event.file)
+            self.config_edits.append(event.file)
         whole = self.told()
-        self.machine.disk.put(CONFIG, whole[: len(whole) // 2] if event.file == "broken" else whole)
+        self.machine.disk.install_file(CONFIG, whole[: len(whole) // 2] if event.file == "broken" else whole)
         if not event.unsaid:
-            self.signal_hup(event.back)
+            self.send_sighup(event.back)
 
-    def signal_hup(self, last: bool) -> None:
+    def send_sighup(self, last: bool) -> None:
         """SIGHUP to the process that its supervisor goes by, or to the ``last`` one that was started."""
         process = self.processes[-1] if last and self.processes else self.process
         if process is not None and process.returncode is None:
@@ -317,24 +328,24 @@
             process.send_signal(signal.SIGHUP)
 
     async def spawn(self) -> SimProcess:
-        if self.staffed:
-            self.machine.console = self.kernel.net.address()
+        if self.has_console:
+            self.machine.console = self.kernel.net.allocate_address()
         process = self.kernel.start(self.machine, self.lives)
         process.console = self.machine.console
         self.processes.append(process)
         return process
 
     @property
-    def left(self) -> list[str]:
+    def leaks(self) -> list[str]:
         """What its lives left open at an orderly end."""
-        return [item for process in self.processes for item in process.life.left]
+        return [item for process in self.processes for item in process.lifetime.leaks]
 
     @property
     def crashes(self) -> list[str]:
         """Lives that ended by themselves, and not by an order, a strike or a failing disk."""
-        ends = [(process.life, process.returncode) for process in self.processes]
-        return [f"{life.name} life {life.number} ended with {code}" for life, code in ends
-                if code not in (0, -9, None) and not life.excused]  # fmt: skip
+        ends = [(process.lifetime, process.returncode) for process in self.processes]
+        return [f"{lifetime.name} life {lifetime.number} ended with {code}" for lifetime, code in ends
+                if code not in (0, -9, None) and not lifetime.disk_failed]  # fmt: skip
 
     async def kill(self) -> None:
         """SIGKILL, to all processes that it has."""
@@ -351,13 +362,13 @@
         target = f"/hosts/{'disable' if out else 'enable'}?name={host}"
         return await asked(self.kernel.net.rng.choice(alive), "POST", target) == 200
 
-    def owner(self) -> Life | None:
+    def owning_lifetime(self) -> Lifetime | None:
         """Which life holds the lock of the folder's owner, as the kernel knows."""
-        return self.machine.disk.holder(STATE / "owner")
+        return self.machine.disk.lock_holder(STATE / "owner")
 
     def lose(self) -> None:
         self.machine.disk.wipe()
-        self.machine.boots += 1
+        self.machine.boot_count += 1
 
     def cut_power(self) -> None:
         """The machine stops at once and comes back with its disk: what was synced, and perhaps more."""
@@ -365,4 +376,4 @@
         for process in self.processes:
             process.kill()
         self.machine.disk.crash()
-        self.machine.boots += 1
+        self.machine.boot_count += 1
--- a/mallowlug/rig/sim/shrink.py
+++ b/mallowlug/rig/sim/shrink.py
@@ -17,15 +17,15 @@
 from mallowlug.rig.judge import record as rec
 from mallowlug.rig.judge.rule import Breach
 from mallowlug.rig.judge.rules import judge
-from mallowlug.rig.sim.sweep import Result, played
+from mallowlug.rig.sim.sweep import Result, run_scenario
 from mallowlug.rig.world import draw
 from mallowlug.rig.world.scenario import MessageTable, NetTable, Scenario
 
-MOST_STORY = 14  # events that a story tells
+MAX_STORY_EVENTS = 14  # events that a story tells
 
 
 @dataclass(frozen=True, slots=True)
-class Small:
+class MinimizedCase:
     """A small scenario that still fails, and what happens in it."""
 
     scenario: Scenario
@@ -37,17 +37,17 @@
 class Shrinker:
     """Tries smaller scenarios, so many at most."""
 
-    def __init__(self, tries: int, signs: frozenset[str], tell: Callable[[str], None]) -> None:
-        self.left, self.runs, self._signs, self._tell = tries, 0, signs, tell
+    def __init__(self, tries: int, failure_signature: frozenset[str], report: Callable[[str], None]) -> None:
+        self.left, self.runs, self._signature, self._report = tries, 0, failure_signature, report
 
     def fails(self, scenario: Scenario) -> bool:
         """Whether it still fails in the same way."""
         if self.left <= 0:
             return False
         self.left, self.runs = self.left - 1, self.runs + 1
-        return bool(played(scenario).signs & self._signs)
+        return bool(run_scenario(scenario).failure_signature & self._signature)
 
-    def fewer(self, scenario: Scenario, name: str) -> Scenario:
+    def remove_items(self, scenario: Scenario, name: str) -> Scenario:
         """The scenario with as few of a list's items as still fail."""
         items: Sequence[Any] = getattr(scenario, name)
         size = max(1, len(items) // 2) if items else 0
@@ -60,10 +60,10 @@
                 else:
                     at += size
             size //= 2
-        self._tell(f"{name}: {len(items)} left after {self.runs} runs")
+        self._report(f"{name}: {len(items)} left after {self.runs} runs")
         return scenario
 
-    def plainer(self, scenario: Scenario) -> Scenario:
+    def simplify(self, scenario: Scenario) -> Scenario:
         """The scenario on plain links, with the fewest relays."""
         if scenario.net != NetTable():
             plain = scenario.model_copy(update={"net": NetTable()})
@@ -77,13 +77,13 @@
         return scenario
 
 
-def shrink(scenario: Scenario, tries: int, tell: Callable[[str], None]) -> Small | None:
+def shrink(scenario: Scenario, tries: int, report: Callable[[str], None]) -> MinimizedCase | None:
     """The smallest scenario found that fails as this one does; None where it does not fail."""
-    first = played(scenario)
+    first = run_scenario(scenario)
     if first.passed:
         return None
-    tell(f"fails by {', '.join(sorted(first.signs))}")
-    shrinker = Shrinker(tries, first.signs, tell)
+    report(f"fails by {', '.join(sorted(first.failure_signature))}")
+    shrinker = Shrinker(tries, first.failure_signature, report)
     traffic = tuple(
         MessageTable.model_validate({name: getattr(arrival, name) for name in MessageTable.model_fields})
         for arrival in draw.arrivals_of(scenario)
@@ -92,21 +92,23 @@
     if shrinker.fails(listed):
         scenario = listed
     for name in ("events", "strikes", "messages", "events", "strikes"):
-        scenario = shrinker.fewer(scenario, name)
-    scenario = shrinker.plainer(scenario)
+        scenario = shrinker.remove_items(scenario, name)
+    scenario = shrinker.simplify(scenario)
     with tempfile.TemporaryDirectory(prefix="sim-") as folder:
-        result = played(scenario, Path(folder))
+        result = run_scenario(scenario, Path(folder))
         story = story_of(rec.read(Path(folder) / "record.jsonl")) if result.state != "error" else []
-    return Small(scenario, result, tuple(story) or result.complaints[:MOST_STORY], shrinker.runs)
+    return MinimizedCase(
+        scenario, result, tuple(story) or result.complaints[:MAX_STORY_EVENTS], shrinker.runs
+    )
 
 
-def write(small: Small, folder: Path) -> Path:
+def write(minimized: MinimizedCase, folder: Path) -> Path:
     """Write the small scenario and its story; the scenario's path."""
     folder.mkdir(parents=True, exist_ok=True)
-    told = small.scenario.model_dump(by_alias=True, mode="json", exclude_defaults=True)
+    settings = minimized.scenario.model_dump(by_alias=True, mode="json", exclude_defaults=True)
     path = folder / "small.toml"
-    path.write_text(tomli_w.dumps(told), encoding="utf-8")
-    (folder / "story.txt").write_text("\n".join(small.story) + "\n", encoding="utf-8")
+    path.write_text(tomli_w.dumps(settings), encoding="utf-8")
+    (folder / "story.txt").write_text("\n".join(minimized.story) + "\n", encoding="utf-8")
     return path
 
 
@@ -116,24 +118,24 @@
     if not breaches:
         return []
     breach = breaches[0]
-    calls = {e.call: e for e in record.events if isinstance(e, rec.Call) and touches(e, breach)}
+    calls = {e.call: e for e in record.events if isinstance(e, rec.Call) and concerns(e, breach)}
     hosts = {call.host for call in calls.values()}
     lines = list[tuple[int, str]]()
     for event in record.events:
-        if event.at <= breach.at_us and (line := told(event, breach, calls, hosts)):
+        if event.at <= breach.at_us and (line := describe(event, breach, calls, hosts)):
             lines.append((event.at, line))
     lines.append((breach.at_us, f"BROKEN {breach.rule}: {breach.detail}"))
-    if len(lines) > MOST_STORY:  # what came first and what came last say most
-        lines = [*lines[: MOST_STORY // 3], *lines[-(MOST_STORY - MOST_STORY // 3) :]]
+    if len(lines) > MAX_STORY_EVENTS:  # what came first and what came last say most
+        lines = [*lines[: MAX_STORY_EVENTS // 3], *lines[-(MAX_STORY_EVENTS - MAX_STORY_EVENTS // 3) :]]
     return [f"{at / 1e6:10.6f} s  {line}" for at, line in lines]
 
 
-def touches(call: rec.Call, breach: Breach) -> bool:
+def concerns(call: rec.Call, breach: Breach) -> bool:
     """Whether a call has to do with a breach: its messages, or its endpoint where that is the breach's."""
     return bool(set(call.ids) & set(breach.ids)) or call.host in breach.ids
 
 
-def told(event: rec.AnyEvent, breach: Breach, calls: dict[int, rec.Call], hosts: set[str]) -> str:
+def describe(event: rec.AnyEvent, breach: Breach, calls: dict[int, rec.Call], hosts: set[str]) -> str:
     """One event in a reader's words; empty where it has nothing to do with the breach."""
     match event:
         case rec.Ask() if event.id in breach.ids:
--- a/mallowlug/rig/sim/sweep.py
+++ b/mallowlug/rig/sim/sweep.py
@@ -15,7 +15,7 @@
 from mallowlug.rig.judge.life import walk
 from mallowlug.rig.judge.rules import judge
 from mallowlug.rig.sim.faults import swarm
-from mallowlug.rig.sim.ground import Simulated, simulate
+from mallowlug.rig.sim.ground import SimulatedRun, simulate
 from mallowlug.rig.world.scenario import STRUCK, SYNCS, Scenario
 
 WHEN = ("before", "within", "after")
@@ -43,13 +43,13 @@
         return self.state == "kept" and not self.complaints
 
     @property
-    def signs(self) -> frozenset[str]:
+    def failure_signature(self) -> frozenset[str]:
         """What it failed by, for whoever looks for the same failure: rules, else the complaints' kinds."""
         kinds = {complaint.partition(":")[0] for complaint in self.complaints}
         return frozenset(self.rules) or frozenset(kinds) or frozenset({self.state} - {"kept"})
 
 
-def result_of(seed: int, done: Simulated) -> Result:
+def judge_run(seed: int, done: SimulatedRun) -> Result:
     """Judge a run."""
     record = rec.read(done.path)
     verdict = judge(record)
@@ -63,18 +63,18 @@
             *(verdict.reasons if verdict.state == "unknown" else ()),
             *(f"model: {line}" for line in walk(record)),
         ),
-        points=tuple((struck.relay, struck.life, struck.point) for struck in done.struck),
+        points=tuple((fault.relay, fault.lifetime, fault.point) for fault in done.injected),
         messages=sum(isinstance(event, rec.Ask) for event in record.events),
         length_s=done.length_s,
         calls=done.calls,
     )
 
 
-def played(scenario: Scenario, folder: Path | None = None) -> Result:
+def run_scenario(scenario: Scenario, folder: Path | None = None) -> Result:
     """Play a scenario as it stands and judge it; its record is kept only where a folder is named."""
     where = folder or Path(tempfile.mkdtemp(prefix="sim-"))
     try:
-        return result_of(scenario.seed, simulate(scenario, where))
+        return judge_run(scenario.seed, simulate(scenario, where))
     except Exception:
         return Result(scenario.seed, "error", complaints=(f"simulation: {traceback.format_exc()}",))
     finally:
@@ -82,18 +82,18 @@
             shutil.rmtree(where, ignore_errors=True)
 
 
-def one(scenario: Scenario, seed: int) -> Result:
+def run_seed(scenario: Scenario, seed: int) -> Result:
     """One seed of a sweep."""
-    return played(swarm(scenario, seed))
+    return run_scenario(swarm(scenario, seed))
 
 
-def results(scenario: Scenario, seeds: Sequence[int], jobs: int) -> Iterator[Result]:
+def run_seeds(scenario: Scenario, seeds: Sequence[int], jobs: int) -> Iterator[Result]:
     """Every seed's result, in order of seeds; ``jobs`` processes work on them side by side."""
     if jobs == 1:
-        yield from (one(scenario, seed) for seed in seeds)
+        yield from (run_seed(scenario, seed) for seed in seeds)
         return
     with ProcessPoolExecutor(jobs) as pool:
-        yield from pool.map(one, [scenario] * len(seeds), seeds, chunksize=4)
+        yield from pool.map(run_seed, [scenario] * len(seeds), seeds, chunksize=4)
 
 
 @dataclass(slots=True)
@@ -119,7 +119,7 @@
 
 
 @dataclass(slots=True)
-class Sum:
+class SweepSummary:
     """What a sweep says as a whole."""
 
     seeds: int = 0
@@ -128,13 +128,13 @@
     messages: int = 0
     length_s: float = 0.0
 
-    def add(self, found: Iterable[Result], told: Callable[[Result], None]) -> None:
+    def add(self, results: Iterable[Result], on_failure: Callable[[Result], None]) -> None:
         """Take results in as they come."""
-        for result in found:
+        for result in results:
             self.seeds += 1
             self.messages += result.messages
             self.length_s += result.length_s
             self.coverage.add(result)
             if not result.passed:
                 self.failed.append(result)
-                told(result)
+                on_failure(result)
--- a/mallowlug/rig/sim/upgrade.py
+++ b/mallowlug/rig/sim/upgrade.py
@@ -15,8 +15,8 @@
 from mallowlug.rig.world.scenario import EventTable
 
 READY_S = 6.0  # s in which the new process has to say yes
-LOOK_S = 0.02
-BACK_S = 3.0  # s in which a process that is left alone has to own the messages again
+POLL_S = 0.02
+FALLBACK_S = 3.0  # s in which a process that is left alone has to own the messages again
 
 
 class Upgrade:
@@ -39,17 +39,17 @@
             watching = self._loop.create_task(self._watch(old, new))
             if self._event.len_s:
                 self._killing = self._loop.create_task(self._kill_later(new if self._event.back else old))
-            yes = await self._yes(new)
-            if yes and new.returncode is None:
+            ready = await self._becomes_ready(new)
+            if ready and new.returncode is None:
                 self._relay.process = new
-                self._begun()
+                self._note_ready()
                 following = self._loop.create_task(self._note_end(new))
                 await self._end(old)
                 following.cancel()
                 return
             watching.cancel()
             new.kill()
-            if await self._goes_back_to(old):
+            if await self._falls_back_to(old):
                 return
             # Both are gone: a supervisor starts it anew.
             await asyncio.sleep(0.05)
@@ -57,23 +57,23 @@
 
     async def _kill_later(self, process: SimProcess) -> None:
         await asyncio.sleep(self._event.len_s)
-        self._strike(process)
+        self._kill_process(process)
 
-    def _strike(self, process: SimProcess) -> None:
+    def _kill_process(self, process: SimProcess) -> None:
         """SIGKILL; where it owned the messages, the relay has ended for a moment."""
         if process.returncode is None:
-            if self._relay.owner() is process.life and not self._ended:
+            if self._relay.owning_lifetime() is process.lifetime and not self._ended:
                 self._relay.note("kill")
-                self._exit(-9)
+                self._note_exit(-9)
             process.kill()
 
-    def _exit(self, code: int) -> None:
+    def _note_exit(self, code: int) -> None:
         """Who owned the messages is gone; noted once until another one owns them."""
         if not self._ended:
             self._relay.note("exit", str(code))
             self._ended = True
 
-    def _begun(self) -> None:
+    def _note_ready(self) -> None:
         if self._ended:
             self._relay.note("ready")
             self._ended = False
@@ -81,36 +81,36 @@
     async def _watch(self, old: SimProcess, new: SimProcess) -> None:
         """Note the old one's end at once, also by a strike of the kernel, if it owned the messages."""
         code = await old.wait()
-        if self._relay.process is old and self._relay.owner() is not new.life:
-            self._exit(code)
+        if self._relay.process is old and self._relay.owning_lifetime() is not new.lifetime:
+            self._note_exit(code)
 
     async def _note_end(self, owner: SimProcess) -> None:
         """Note the end of one that has said yes, while the old one still keeps the door."""
-        self._exit(await owner.wait())
+        self._note_exit(await owner.wait())
 
-    async def _yes(self, new: SimProcess) -> bool:
+    async def _becomes_ready(self, new: SimProcess) -> bool:
         """Whether the new process says at its console that it is ready, in time."""
-        last_s = self._loop.time() + READY_S
+        deadline_s = self._loop.time() + READY_S
         console = self._relay.machine.console
         assert console is not None
-        while self._loop.time() < last_s and new.returncode is None:
+        while self._loop.time() < deadline_s and new.returncode is None:
             if await asked(console, "GET", "/ready") == 200:
                 return True
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(POLL_S)
         return False
 
-    async def _goes_back_to(self, old: SimProcess) -> bool:
+    async def _falls_back_to(self, old: SimProcess) -> bool:
         """The new process is gone: whether the old one owns the messages (again)."""
-        last_s = self._loop.time() + BACK_S
-        while old.returncode is None and self._loop.time() < last_s:
-            if self._relay.owner() is old.life:
-                self._begun()
+        deadline_s = self._loop.time() + FALLBACK_S
+        while old.returncode is None and self._loop.time() < deadline_s:
+            if self._relay.owning_lifetime() is old.lifetime:
+                self._note_ready()
                 return True
-            self._exit(-9)
-            await asyncio.sleep(LOOK_S)
+            self._note_exit(-9)
+            await asyncio.sleep(POLL_S)
         if old.returncode is None:
             old.kill()
-        self._exit(-9)
+        self._note_exit(-9)
         return False
 
     async def _end(self, old: SimProcess) -> None:
@@ -119,4 +119,4 @@
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(TERM_S):
                 await old.wait()
-        self._strike(old)
+        self._kill_process(old)
--- a/mallowlug/rig/sim_cli.py
+++ b/mallowlug/rig/sim_cli.py
@@ -85,7 +85,7 @@
 @rig.usable
 def swept(file: Path, seeds: range, jobs: int, some_points: bool) -> int:
     """Play every seed; each failure with the command that plays it again."""
-    world, total, start_s = scenario.load(file), sweep.Sum(), time.perf_counter()
+    world, total, start_s = scenario.load(file), sweep.SweepSummary(), time.perf_counter()
 
     def told(result: sweep.Result) -> None:
         print(f"seed {result.seed}: {result.state}, {len(result.breaches)} breaches")
@@ -93,7 +93,7 @@
             print(f"    {line}")
         print(f"    mallowlug sim run {file} --seed {result.seed} --faults", flush=True)
 
-    total.add(sweep.results(world, seeds, jobs), told)
+    total.add(sweep.run_seeds(world, seeds, jobs), told)
     took_s, cover = time.perf_counter() - start_s, total.coverage
     length = f"{total.messages} messages, {total.length_s:.0f} s simulated in {took_s:.0f} s"
     print(f"{total.seeds} seeds, {length}: {len(total.failed)} failed")
@@ -116,11 +116,11 @@
     """Play hour after hour and say what a relay holds at the end of each."""
     world = world_of(file, seed, faults)
     try:
-        found = hours.played(world, count, rig.fresh(out, world.name))
-    except hours.LullError as error:
+        found = hours.run_hours(world, count, rig.fresh(out, world.name))
+    except hours.QuietPeriodError as error:
         raise click.UsageError(str(error)) from None
     for held in found.samples:
-        place = f"hour {held.hour} {held.relay} life {held.life}"
+        place = f"hour {held.hour} {held.relay} life {held.lifetime}"
         print(f"{place}: {held.descriptors} descriptors, {held.tasks} tasks, {held.size} bytes")
     problems = [*found.problems, *found.done.complaints]
     print("\n".join(problems) if problems else "all of it came back")
--- a/tests/sim/test_cases.py
+++ b/tests/sim/test_cases.py
@@ -44,7 +44,7 @@
 )
 def test_kills_around_a_batch_a_replay_and_a_compaction(strikes: list[Any], tmp_path: Path) -> None:
     rows = [{"call": call, "at": at, "when": when, "life": life} for call, at, when, life in strikes]
-    record = kept(exhaust.small(world(strike=rows).strikes), tmp_path)
+    record = kept(exhaust.small_scenario(world(strike=rows).strikes), tmp_path)
     assert len([e for e in record.events if isinstance(e, rec.Mark) and e.what == "strike"]) == len(strikes)
 
 
--- a/tests/sim/test_guards.py
+++ b/tests/sim/test_guards.py
@@ -15,8 +15,8 @@
 
 from mallowlug.partners import http_calls
 from mallowlug.rig.sim.faults import swarm
-from mallowlug.rig.sim.guards import MOST_TOLD, Watch
-from mallowlug.rig.sim.sweep import played
+from mallowlug.rig.sim.guards import MAX_REPORTS, InvariantMonitor
+from mallowlug.rig.sim.sweep import run_scenario
 from mallowlug.rig.world import scenario
 from mossfront import engine
 from mossfront import interface as api
@@ -111,9 +111,9 @@
 @pytest.mark.parametrize("name", MODULE)
 def test_a_guard_of_the_module_is_missed_though_the_adapter_keeps_the_rule(name: str) -> None:
     patch, world, seed, rule = MODULE[name]
-    assert played(swarm(world, seed)).complaints == ()
+    assert run_scenario(swarm(world, seed)).complaints == ()
     with planted(patch):
-        result = played(swarm(world, seed))
+        result = run_scenario(swarm(world, seed))
     assert any(line.startswith(f"guard: {rule}: ") for line in result.complaints)
     if name in HELD_BY_THE_ADAPTER:  # so a judge alone finds nothing wrong
         assert result.rules == ()
@@ -146,9 +146,9 @@
 def test_a_guard_of_the_adapter_is_missed_though_the_module_has_its_own(
     patch: Patch, world: Callable[[], scenario.Scenario], rule: str
 ) -> None:
-    before = played(world())
+    before = run_scenario(world())
     with planted(patch):
-        result = played(world())
+        result = run_scenario(world())
     assert rule not in before.rules and rule in result.rules
     assert not any(line.startswith("guard: ") for line in (*before.complaints, *result.complaints))
 
@@ -156,14 +156,14 @@
 def test_of_what_is_handed_over_nothing_is_lost_on_endpoints_that_are_listed_later() -> None:
     """An upgrade whose new process is killed at once: the old one knew waits, and no list (seed 70640)."""
     world = scenario.load(ROOT / "scenarios" / "upgrade.toml")
-    result = played(swarm(world, 70640))
+    result = run_scenario(swarm(world, 70640))
     assert (result.rules, result.complaints) == ((), ())
 
 
 def lapses(*steps: tuple[list[api.Event], list[api.Action]]) -> list[str]:
     """What a watch says of steps 100 ms apart."""
     said = list[str]()
-    watch = Watch(settings(), said.append)
+    watch = InvariantMonitor(settings(), said.append)
     for at, (events, actions) in enumerate(steps):
         watch.step((1 + at) * SECOND // 10, events, actions)
     return [line.split(": ")[1] for line in said]
@@ -203,5 +203,5 @@
 
 
 def test_a_broken_module_is_not_told_of_without_end() -> None:
-    sends: list[api.Action] = [api.Send(f"m{at}", "g", SECOND) for at in range(3 * MOST_TOLD)]
-    assert len(lapses(([SPOTS], sends))) == MOST_TOLD
+    sends: list[api.Action] = [api.Send(f"m{at}", "g", SECOND) for at in range(3 * MAX_REPORTS)]
+    assert len(lapses(([SPOTS], sends))) == MAX_REPORTS
--- a/tests/sim/test_hours.py
+++ b/tests/sim/test_hours.py
@@ -33,7 +33,7 @@
 def test_memory_and_descriptors_come_back(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     # Ids of completed messages: as many after every hour.
     monkeypatch.setattr(relay, "MAX_REMEMBERED_IDS", 50)
-    found = hours.played(HOUR, 4, tmp_path, lull_s=45.0)
+    found = hours.run_hours(HOUR, 4, tmp_path, quiet_s=45.0)
     assert found.done.complaints == []
     assert found.problems == []
     assert [held.hour for held in found.samples] == [1, 2, 3, 4]
@@ -43,11 +43,11 @@
 def test_a_leak_is_found_by_its_type(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     """Hosts that are gone are never forgotten."""
     monkeypatch.setattr(engine.DecisionEngine, "_forget_gone_hosts", lambda self: None)
-    problems = hours.played(HOUR, 4, tmp_path, lull_s=45.0).problems
+    problems = hours.run_hours(HOUR, 4, tmp_path, quiet_s=45.0).problems
     assert problems
     assert "DecayingCounter" in problems[-1]
 
 
 def test_an_hour_without_a_lull_is_refused(tmp_path: Path) -> None:
-    with pytest.raises(hours.LullError, match="replace at"):
-        hours.played(HOUR, 2, tmp_path, lull_s=55.0)
+    with pytest.raises(hours.QuietPeriodError, match="replace at"):
+        hours.run_hours(HOUR, 2, tmp_path, quiet_s=55.0)
--- a/tests/sim/test_kernel.py
+++ b/tests/sim/test_kernel.py
@@ -28,8 +28,8 @@
     loop = SimLoop()
     loop.net = Network(loop, random.Random(seed))
     if link is not None:
-        loop.net.links = lambda: link
-    return loop.complete(main), loop
+        loop.net.new_link = lambda: link
+    return loop.run_main(main), loop
 
 
 @given(
@@ -39,7 +39,7 @@
         latency_s=st.floats(0, 0.1),
         jitter_s=st.floats(0, 0.1),
         bytes_per_s=st.sampled_from([0.0, 1e6]),
-        piece=st.sampled_from([0, 3000]),
+        max_segment=st.sampled_from([0, 3000]),
     ),
     seed=st.integers(0, 9),
 )
@@ -111,7 +111,7 @@
         with pytest.raises(ConnectionRefusedError):
             await asyncio.open_connection(*AT)
         net.listener(AT)
-        net.part("", "")
+        net.partition("", "")
         loop.call_later(5, net.heal, "", "")
         start_s = loop.time()
         await loop.sock_connect(net.stream(), AT)
--- a/tests/sim/test_members.py
+++ b/tests/sim/test_members.py
@@ -17,7 +17,7 @@
 from mallowlug.rig.sim.ground import simulate
 from mallowlug.rig.sim.loop import SimLoop
 from mallowlug.rig.sim.net import Network
-from mallowlug.rig.sim.sweep import played
+from mallowlug.rig.sim.sweep import run_scenario
 from mallowlug.rig.world import scenario
 from tests.world import ROOT
 
@@ -67,7 +67,7 @@
 
 @pytest.mark.parametrize("seed", range(1, 6))
 def test_no_rule_breaks_where_relays_know_of_each_other(seed: int) -> None:
-    result = played(swarm(FLEET, seed))
+    result = run_scenario(swarm(FLEET, seed))
     assert (result.state, result.rules, result.complaints) == ("kept", (), ())
 
 
@@ -81,15 +81,15 @@
 
         async def send() -> None:
             for number in range(300):
-                one.sendto(bytes([number % 256]), other.here)
+                one.sendto(bytes([number % 256]), other.local_address)
             await asyncio.sleep(5)
 
-        loop.complete(send())
+        loop.run_main(send())
         return [data[0] for data, _ in other.queue]
 
     plain = await asyncio.to_thread(run)
     assert plain == list(range(256))
     assert 100 < len(await asyncio.to_thread(run, loss=0.5)) < 200
-    late = await asyncio.to_thread(run, late_s=1.0)
+    late = await asyncio.to_thread(run, max_delay_s=1.0)
     assert late != sorted(late)
-    assert len(set(await asyncio.to_thread(run, doubled=1.0))) < 256
+    assert len(set(await asyncio.to_thread(run, duplication=1.0))) < 256
--- a/tests/sim/test_sweep.py
+++ b/tests/sim/test_sweep.py
@@ -35,7 +35,7 @@
 
 
 def test_no_single_kill_breaks_a_rule_and_every_kind_of_call_is_struck() -> None:
-    results = [exhaust.one(strikes) for strikes in exhaust.after(())]
+    results = [exhaust.run_case(strikes) for strikes in exhaust.kills_after(())]
     assert [result.points for result in results if not result.passed] == []
     cover = sweep.Coverage()
     for result in results:
@@ -47,14 +47,14 @@
 
 @pytest.mark.parametrize("seed", REGRESSIONS)
 def test_a_seed_that_broke_a_rule_once_is_kept(seed: int) -> None:
-    result = sweep.one(scenario.load(SWARM), seed)
+    result = sweep.run_seed(scenario.load(SWARM), seed)
     assert (result.breaches, result.complaints) == ((), ())
 
 
 @pytest.mark.parametrize("name", SMALL)
 def test_a_fault_planted_in_the_real_code_is_found_by_a_kill(name: str) -> None:
     with planted(PLANTS[name]):
-        assert any(not exhaust.one(case).passed for case in ((), *exhaust.after(())))
+        assert any(not exhaust.run_case(case).passed for case in ((), *exhaust.kills_after(())))
 
 
 @pytest.mark.parametrize("name", SEEDS)
@@ -65,12 +65,16 @@
     if name in BUSY:
         world = world.model_copy(update={"load": world.load.model_copy(update={"rate_per_s": 60.0})})
     with planted(PLANTS[name]):
-        assert not sweep.played(world).passed
+        assert not sweep.run_scenario(world).passed
 
 
 def test_a_failure_is_made_small_and_told(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
     with planted(PLANTS["attempts_forgotten"]):
-        world = next(exhaust.small(case) for case in exhaust.after(()) if not exhaust.one(case).passed)
+        world = next(
+            exhaust.small_scenario(case)
+            for case in exhaust.kills_after(())
+            if not exhaust.run_case(case).passed
+        )
         small = shrink.shrink(world, 60, lambda line: None)
         assert small is not None
         assert len(small.scenario.messages) <= 2
--- a/tests/sim/test_upgrades.py
+++ b/tests/sim/test_upgrades.py
@@ -17,7 +17,7 @@
 from mallowlug.rig.sim.disk import SimDisk
 from mallowlug.rig.sim.faults import swarm
 from mallowlug.rig.sim.process import STATE
-from mallowlug.rig.sim.sweep import WHEN, played
+from mallowlug.rig.sim.sweep import WHEN, run_scenario
 from mallowlug.rig.world import scenario
 from mallowlug.rig.world.scenario import EventTable, Scenario
 from mallowlug.upgrade import spool
@@ -60,7 +60,7 @@
 
 @pytest.mark.parametrize("seed", ONCE_FAILED)
 def test_seeds_that_once_failed_keep_every_rule(seed: int) -> None:
-    result = played(swarm(UPGRADE, seed))
+    result = run_scenario(swarm(UPGRADE, seed))
     assert (result.state, result.breaches, result.complaints) == ("kept", (), ())
 
 
@@ -78,12 +78,12 @@
 @pytest.mark.parametrize("when", WHEN)
 def test_no_kill_at_a_call_of_either_process_breaks_a_rule(life: int, when: str) -> None:
     """Every third call of the handover, and some behind it; each way begins at another one."""
-    listens, calls = played(small()).calls[life]
+    listens, calls = run_scenario(small()).calls[life]
     first = max(1, calls - 60) if life == 0 else 1  # an old one hands over with its last calls
     last = calls if life == 0 else listens + 15
     failed = []
     for at in (*range(first + WHEN.index(when), last + 1, 3), *range(last + 1, calls + 1, 25)):
-        result = played(small({"life": life, "at": at, "when": when}))
+        result = run_scenario(small({"life": life, "at": at, "when": when}))
         if result.state == "error" or result.breaches or result.complaints:
             failed.append((at, result.breaches, result.complaints))
     assert calls > 20
@@ -184,7 +184,7 @@
 @pytest.mark.parametrize("seed", [*range(1, 9), 103, 131, 135, 1123, 1229])
 def test_whoever_takes_over_goes_by_what_is_in_force(seed: int) -> None:
     """The file changes at every stage of a handover, told to either process or to none."""
-    result = played(swarm(HANDOVER, seed))
+    result = run_scenario(swarm(HANDOVER, seed))
     assert (result.state, result.breaches, result.complaints) == ("kept", (), ())
 
 
@@ -214,9 +214,9 @@
     ids=lambda value: value.__name__,
 )
 def test_a_stale_configuration_at_a_take_over_is_caught(plant: Patch, world: Any) -> None:
-    assert played(world()).breaches == ()
+    assert run_scenario(world()).breaches == ()
     with planted(plant):
-        result = played(world())
+        result = run_scenario(world())
     assert "lost" in result.rules
 
 
--- a/tests/sim/test_vast.py
+++ b/tests/sim/test_vast.py
@@ -14,7 +14,7 @@
 
 
 def test_forty_relays_keep_the_rules() -> None:
-    result = sweep.played(scenario.load(VAST))
+    result = sweep.run_scenario(scenario.load(VAST))
     assert (result.breaches, result.complaints) == ((), ())
     assert result.messages > 1_500
 
@@ -25,5 +25,5 @@
     """Planted: no part of what a cold destination bears is another relay's."""
     monkeypatch.setattr(Budget, "credit_per_message", lambda *_: 1e6)
     monkeypatch.setattr(DecisionEngine, "_restore_outage_record", lambda *_: None)
-    result = sweep.played(scenario.load(VAST))
+    result = sweep.run_scenario(scenario.load(VAST))
     assert result.rules == ("returns",)
--- a/tests/sim/worlds.py
+++ b/tests/sim/worlds.py
@@ -18,7 +18,7 @@
 from mallowlug.partners import http_calls
 from mallowlug.rig.judge import record as rec
 from mallowlug.rig.judge.rules import Verdict, judge
-from mallowlug.rig.sim.ground import Simulated, simulate
+from mallowlug.rig.sim.ground import SimulatedRun, simulate
 from mallowlug.rig.world.scenario import Scenario
 from mossfront import engine
 from mossfront import interface as api
@@ -26,7 +26,7 @@
 Patch = Callable[[MonkeyPatch], None]
 
 
-def judged(scenario: Scenario, folder: Path) -> tuple[Simulated, rec.Record, Verdict]:
+def judged(scenario: Scenario, folder: Path) -> tuple[SimulatedRun, rec.Record, Verdict]:
     """Play a scenario in simulated time."""
     done = simulate(scenario, folder)
     record = rec.read(done.path)
--- a/tests/test_power.py
+++ b/tests/test_power.py
@@ -12,7 +12,7 @@
 
 from mallowlug.core.journal import Attempt, Journal, JournalFullError
 from mallowlug.rig.sim.disk import SimDisk
-from mallowlug.rig.sim.net import failure
+from mallowlug.rig.sim.net import os_error
 
 STATE_FOLDER, DISK_BYTES = Path("/state"), 3_000_000
 
@@ -34,7 +34,7 @@
     def call(*args: object) -> None:
         if remaining[0]:
             remaining[0] -= 1
-            raise failure(5)
+            raise os_error(5)
         real(*args)
 
     setattr(disk, name, call)
