--- a/mallowlug/rig/sim/disk.py
+++ b/mallowlug/rig/sim/disk.py
@@ -1,8 +1,8 @@
-"""A simulated disk: what a process wrote outlasts it; what was synced, and only that, outlasts the machine.
+"""A simulated disk: written data survives the process; only synced data survives the loss of the machine.
 
-POSIX promises an order between a rename and what follows it only once the folder is synced: at the loss of a
-machine each change of a folder that was not may be there or not, in order, and of bytes that were not synced
-any number from the front may be there.
+POSIX orders a rename before what follows it only once the directory is synced. After the loss of a machine,
+unsynced directory changes survive up to any point of their order, and any prefix of the unsynced bytes of a
+file may be there.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 @dataclass(slots=True, eq=False)
 class Inode:
-    """An inode: what a reader sees, and what is safe from the loss of the machine."""
+    """An inode: the content that readers see, and the content that survives the loss of the machine."""
 
     data: bytearray = field(default_factory=bytearray)
     synced: bytes = b""
@@ -30,7 +30,7 @@
 
 @dataclass(slots=True)
 class OpenFile:
-    """A descriptor."""
+    """An open file descriptor."""
 
     path: Path
     file: Inode
@@ -39,24 +39,25 @@
 
 
 class SimDisk:
-    """One machine's files, over all lives of its relay."""
+    """The files of one machine, across all process lifetimes of its relay."""
 
     def __init__(self, rng: random.Random) -> None:
         self.rng = rng
         self.files: dict[Path, Inode] = {}
-        self._synced_names: dict[Path, Inode] = {}  # names as they are known to be on the disk
+        self._synced_names: dict[Path, Inode] = {}  # directory entries as of the last directory sync
         self._unsynced_changes: list[
             Callable[[dict[Path, Inode]], object]
-        ] = []  # of names, since the last sync
+        ] = []  # directory changes since then, in order
         self._descriptors: dict[int, OpenFile] = {}
         self._next_descriptor = 3
-        self.full = False  # nothing more fits, until it does again
+        self.full = False  # while set, writes get only the rest of the last block, then ENOSPC
 
     @staticmethod
     def _begin_call(call: str, data: bytes = b"") -> tuple[Lifetime | None, str]:
-        """A system call begins (``data``: what the journal gets, or another file's name).
+        """Begin a system call; return the current process and the outcome.
 
-        ``Killed`` where its life ends before it, ``OSError`` where it fails.
+        ``data``: what is written to the journal, or the name of another file. Raises ``Killed`` if the process
+        dies before the call, and ``OSError`` if the call fails.
         """
         lifetime = CURRENT_LIFETIME.get()
         return lifetime, "" if lifetime is None else lifetime.begin_call(call, data)
@@ -67,7 +68,7 @@
             lifetime.end_call(outcome)
 
     def read(self, path: Path) -> bytes:
-        """A file's whole content."""
+        """Return the whole content of a file."""
         lifetime, outcome = self._begin_call("read")
         self._end_call(lifetime, outcome)
         if path not in self.files:
@@ -75,7 +76,7 @@
         return bytes(self.files[path].data)
 
     def open(self, path: Path, flags: int) -> int:
-        """A descriptor, of a new file where there was none."""
+        """Open a file and return its descriptor; create the file if it does not exist."""
         lifetime, outcome = self._begin_call("open")
         file = self.files.get(path)
         if file is None:
@@ -94,13 +95,13 @@
         return self._descriptors[fd].file
 
     def write(self, fd: int, data: bytes) -> int:
-        """Append; fewer bytes than asked for where the disk is full or the fault says so."""
+        """Append and return the number of bytes written: fewer on a full disk or an injected short write."""
         file = self._inode_of(fd)
         name = self._descriptors[fd].path.name
         lifetime, outcome = self._begin_call("write", data if name == "journal" else name.encode())
         taken = data[: len(data) // 2] if outcome in ("within", "short") else data
         if self.full:
-            free_in_block = -len(file.data) % BLOCK_BYTES  # what is left of the last block
+            free_in_block = -len(file.data) % BLOCK_BYTES  # the rest of the last block
             taken = taken[:free_in_block]
             if not taken:
                 raise os_error(errno.ENOSPC)
@@ -109,21 +110,21 @@
         return len(taken)
 
     def truncate(self, fd: int, size: int) -> None:
-        """Cut a file off."""
+        """Truncate a file."""
         lifetime, outcome = self._begin_call("truncate")
         if outcome != "within":
             del self._inode_of(fd).data[size:]
         self._end_call(lifetime, outcome)
 
     def close(self, fd: int) -> None:
-        """Let go of a descriptor; a dead life has none."""
+        """Close a descriptor; those of a dead process are closed already."""
         lifetime = CURRENT_LIFETIME.get()
         if lifetime is None or lifetime.alive:
             self._inode_of(fd)
             del self._descriptors[fd]
 
     def replace(self, source: Path, target: Path) -> None:
-        """Put one file in another's place."""
+        """Rename a file over another."""
         lifetime, outcome = self._begin_call("replace")
         if outcome != "within":
             if source not in self.files:
@@ -141,14 +142,14 @@
         self._end_call(lifetime, outcome)
 
     def unlink(self, path: Path) -> None:
-        """Remove a file; one that is not there is no error."""
+        """Remove a file; a missing file is not an error."""
         lifetime, outcome = self._begin_call("unlink")
         if outcome != "within" and self.files.pop(path, None) is not None:
             self._unsynced_changes.append(lambda names: names.pop(path, None))
         self._end_call(lifetime, outcome)
 
     def lock(self, fd: int) -> bool:
-        """Lock the file; False where another descriptor has it."""
+        """Lock the file; return False if another descriptor holds the lock."""
         file = self._inode_of(fd)
         lifetime, outcome = self._begin_call("lock")
         held = [entry for entry in self._descriptors.values() if entry.locked and entry.file is file]
@@ -157,13 +158,13 @@
         return self._descriptors[fd].locked
 
     def names(self, _folder: Path) -> list[str]:
-        """What the machine's one folder holds."""
+        """List the files of the directory."""
         lifetime, outcome = self._begin_call("names")
         self._end_call(lifetime, outcome)
         return [path.name for path in self.files if path.parent == _folder]
 
     def sync(self, fd: int) -> None:
-        """What the file holds is safe from the loss of the machine."""
+        """Make the file's content durable."""
         lifetime, outcome = self._begin_call("sync")
         if outcome != "within":
             file = self._inode_of(fd)
@@ -171,30 +172,30 @@
         self._end_call(lifetime, outcome)
 
     def sync_folder(self, _path: Path) -> None:
-        """The names are safe from it; a machine here has one folder."""
+        """Make all directory entries durable; a simulated machine has a single directory."""
         lifetime, outcome = self._begin_call("sync_folder")
         if outcome != "within":
             self._synced_names, self._unsynced_changes = dict(self.files), []
         self._end_call(lifetime, outcome)
 
     def lock_holder(self, path: Path) -> Lifetime | None:
-        """Who has a file's lock."""
+        """Return the process that holds a file's lock."""
         file = self.files.get(path)
         locks = (entry for entry in self._descriptors.values() if entry.locked and entry.file is file)
         return next((entry.owner for entry in locks), None)
 
     def descriptor_count(self, lifetime: Lifetime) -> int:
-        """How many descriptors a life has."""
+        """Count the open descriptors of a process."""
         return sum(entry.owner is lifetime for entry in self._descriptors.values())
 
     def close_descriptors_of(self, lifetime: Lifetime) -> None:
-        """A life has ended: its descriptors go."""
+        """Close all descriptors of a process that has ended."""
         self._descriptors = {
             fd: entry for fd, entry in self._descriptors.items() if entry.owner is not lifetime
         }
 
     def crash(self) -> None:
-        """The machine is lost and comes back: some of what was not synced is gone."""
+        """Lose power and restart: a random part of the unsynced data and directory changes is lost."""
         names = dict(self._synced_names)
         for change in self._unsynced_changes[: self.rng.randint(0, len(self._unsynced_changes))]:
             change(names)
@@ -202,18 +203,18 @@
             held, safe = bytes(file.data), file.synced
             if held.startswith(safe):
                 kept = held[: self.rng.randint(len(safe), len(held))]
-            else:  # cut off since, and perhaps written again: either state may be there
+            else:  # truncated since the sync, and perhaps rewritten: either state may survive
                 kept = self.rng.choice((safe, held))
             file.data, file.synced = bytearray(kept), kept
         self.files, self._synced_names, self._unsynced_changes = names, dict(names), []
         self._descriptors.clear()
 
     def wipe(self) -> None:
-        """The machine is lost with its disk."""
+        """Lose the machine together with its disk."""
         self.files, self._synced_names, self._unsynced_changes = {}, {}, []
         self._descriptors.clear()
 
     def install_file(self, path: Path, data: bytes) -> None:
-        """A file that somebody else brings; no fault of the disk touches it."""
+        """Create a durable file from outside the relay; disk faults do not apply."""
         self.files[path] = Inode(bytearray(data), data)
         self._synced_names[path] = self.files[path]
--- a/mallowlug/rig/sim/faults.py
+++ b/mallowlug/rig/sim/faults.py
@@ -1,8 +1,8 @@
-"""What a seed lets go wrong: swarm testing over all faults that a scenario can name. No I/O.
+"""Random fault plans: swarm testing over all faults that a scenario can name. No I/O.
 
-After Groce et al., "Swarm Testing" (ISSTA 2012): every seed switches a random part of the fault kinds on,
-each with a rate of its own, so that one kind does not hide another. What is drawn is an ordinary scenario: it
-can be written down, played again, and made smaller.
+After Groce et al., "Swarm Testing" (ISSTA 2012): every seed enables a random subset of the fault kinds, each
+at its own rate, so that one kind does not mask another. The result is an ordinary scenario, which can be
+written down, replayed and minimized.
 """
 
 from __future__ import annotations
@@ -14,9 +14,10 @@
 from mallowlug.rig.world.scenario import STRUCK, SYNCS, EventTable, NetTable, Scenario, StrikeTable
 
 Row = dict[str, Any]
-KIND_PROBABILITY = 0.35  # chance that a kind of fault is on
-MAX_LIFETIMES = 4  # lives of a relay that strikes reach
-# About how often a life makes each call in such a world, so that strikes fall; the others are made often.
+KIND_PROBABILITY = 0.35  # probability that a kind of fault is enabled
+MAX_LIFETIMES = 4  # process lifetimes of a relay in which calls are killed
+# Approximate number of each call per process lifetime, so that injected faults are reached. All other calls
+# are frequent.
 RARE_CALLS = {
     "open": 3, "truncate": 2, "replace": 2, "unlink": 2, "read": 3, "write.journal.new": 2, "sync_folder": 3,
     "send.watch": 4, "send.notice": 8, "write.end": 12,
@@ -24,14 +25,14 @@
 
 
 class FaultPlan:
-    """One seed's drawing for one scenario."""
+    """The faults drawn by one seed for one scenario."""
 
     def __init__(self, scenario: Scenario, seed: int) -> None:
         self.scenario, self.seed, self.rng = scenario, seed, random.Random(f"faults {seed}")
         self.events: list[Row] = []
         self.strikes: list[Row] = []
         self.net: Row = {}
-        self.relays: Row = {}  # what is told to the relays
+        self.relays: Row = {}  # changed settings of the relays
 
     def _at(self) -> float:
         return round(self.rng.uniform(0.05, 0.9) * self.scenario.length_s, 3)
@@ -53,25 +54,25 @@
         self.strikes.append({"relay": self._relay(), "life": life, **fields})
 
     def kills(self) -> None:
-        """Kills at any time."""
+        """Kills at random times."""
         for _ in self._repeats(3):
             self._add_event("kill", relay=self._relay())
 
     def terms(self) -> None:
-        """Orderly restarts."""
+        """Orderly restarts by SIGTERM."""
         for _ in self._repeats(2):
             self._add_event("term", relay=self._relay())
 
     def moves(self) -> None:
-        """The directory moves, and SIGHUP."""
+        """The directory moves to another address, announced by SIGHUP."""
         self._add_event("move")
 
     def wipes(self) -> None:
-        """A machine is lost with its folder."""
+        """The loss of a machine with its state folder."""
         self._add_event("wipe", relay=self._relay())
 
     def kills_at_calls(self) -> None:
-        """Kills before, within and after single system calls, in one life after another of a relay."""
+        """Kills before, within and after single system calls, in successive processes of a relay."""
         relay = self._relay()
         for life in range(self.rng.randint(1, MAX_LIFETIMES)):
             when, call = self.rng.choice(("before", "within", "after")), self.rng.choice(STRUCK)
@@ -79,27 +80,27 @@
             self.strikes.append({"relay": relay, "life": life, "call": call, "at": at, "when": when})
 
     def _draw_index(self, maximum: int) -> int:
-        """Early calls as often as late ones: what happens at a start happens early."""
+        """Draw a call number log-uniformly, as what happens at a start happens in early calls."""
         return max(1, int(maximum ** self.rng.random()))
 
     def kills_at_steps(self) -> None:
-        """Kills between two steps of the loop."""
+        """Kills between two steps of the event loop."""
         for _ in self._repeats(3):
             self._add_strike(unit="step", at=self._draw_index(3000))
 
     def disk_errors(self) -> None:
-        """Single failing and short writes, and failing renames."""
+        """Single failing or short writes, failing renames and truncations."""
         for _ in self._repeats(4):
             call = self.rng.choice(("write", "write", "write", "replace", "truncate"))
             what = self.rng.choice(("short", "ENOSPC", "EIO") if call == "write" else ("EIO",))
             self._add_strike(call=call, what=what, at=self._draw_index(200 if call == "write" else 3))
 
     def disk_full(self) -> None:
-        """A disk that stays full for a while, or to the end."""
+        """A disk that is full for a while or to the end of the run."""
         self._add_event("full", relay=self._relay(), len_s=self._len(0.2, self.scenario.length_s))
 
     def stalls(self) -> None:
-        """A process that stands still."""
+        """A process that is suspended."""
         for _ in self._repeats(2):
             self._add_event("stall", relay=self._relay(), len_s=self._len(0.1, 5.0))
 
@@ -110,12 +111,12 @@
             self._add_event("jump", relay=self._relay(), size=size, back=back)
 
     def partitions(self) -> None:
-        """A relay that nothing reaches."""
+        """A relay that is partitioned from everything."""
         for _ in self._repeats(2):
             self._add_event("apart", relay=self._relay(), len_s=self._len(0.05, 4.0))
 
     def outages(self) -> None:
-        """Endpoints that refuse, hang, crawl or are shut."""
+        """Endpoints that refuse connections, hang, are slow or are shut down."""
         for _ in self._repeats(3):
             what = self.rng.choice(("refuse", "silent", "slow", "shut"))
             dest = self.rng.randrange(self.scenario.partners.destinations) if self.rng.random() < 0.5 else -1
@@ -124,33 +125,33 @@
             )
 
     def churn(self) -> None:
-        """Endpoints that drain, go, or are replaced."""
+        """Endpoints that drain, are removed or are replaced."""
         for _ in self._repeats(4):
             what = self.rng.choice(("drain", "remove", "replace"))
             self._add_event(what, count=self.rng.randint(1, 2), len_s=self._len(0.5, 4))
 
     def directory_outages(self) -> None:
-        """The directory is away."""
+        """The directory is unavailable."""
         self._add_event("directory_out", len_s=self._len(0.5, 6))
 
     def corrupt_responses(self) -> None:
-        """Spoilt answers."""
+        """Corrupt responses."""
         self._add_event("garble", part=round(self.rng.uniform(0.05, 0.5), 2), len_s=self._len(1, 6))
 
     def malformed_clients(self) -> None:
-        """Clients that send nonsense."""
+        """Clients that send malformed requests."""
         self._add_event("rude", count=self.rng.randint(3, 20), len_s=self._len(0.5, 3))
 
     def tails(self) -> None:
-        """A class with a heavy tail."""
+        """A class whose processing times have a heavy tail."""
         cls = self.rng.choice(self.scenario.classes).name
         self._add_event("heavy_tail", cls=cls, part=0.05, size=15.0, len_s=self._len(1, 6))
 
     def links(self) -> None:
-        """Links that delay, cut, drip or fall silent."""
+        """Links that delay, cut, slow to single bytes, or go silent."""
         for _ in self._repeats(3):
             between = self.rng.choice(("hosts", "directory", "clients"))
-            # Byte by byte, notices take longer than their time: no relay could keep the rule then.
+            # Byte by byte, notices exceed their time limit, so that no relay could keep the rule.
             dripping = ("drip",) if between != "directory" else ()
             what = self.rng.choice(("delay", "cut", "silence", *dripping))
             fields: Row = {"size": 80.0} if what == "delay" else {}
@@ -161,7 +162,7 @@
     def power(self) -> None:
         """Durable journals, machines that lose power, and syncs that fail.
 
-        Not beside a clock that was set: after a new start of the machine the wall clock is believed.
+        Not together with wall clock jumps: after a boot the relay trusts the wall clock.
         """
         self.relays["durable"] = True
         if all(row["what"] != "jump" for row in self.events):
@@ -173,11 +174,11 @@
             self._add_strike(call=call, what=what, when=when, at=self._draw_index(RARE_CALLS.get(call, 200)))
 
     def inactive_destinations(self) -> None:
-        """Next to no destination stays awake without being used."""
+        """Few destinations stay active without use, and only for a short time."""
         self.relays |= {"awake": self.rng.randint(1, 2), "rest_s": self._len(0.05, 1.0)}
 
     def upgrades(self) -> None:
-        """Upgrades, most of them while a process is killed, at a time or at one of its system calls."""
+        """Upgrades, most of them with a process killed at some time or at one of its system calls."""
         if not self.scenario.relays.console:
             return
         for _ in self._repeats(3):
@@ -192,7 +193,7 @@
             })  # fmt: skip
 
     def operator_disables(self) -> None:
-        """Staff take hosts out, and back."""
+        """Operators disable hosts and enable them again."""
         if self.scenario.relays.staff:
             for _ in self._repeats(3):
                 self._add_event(
@@ -200,11 +201,12 @@
                 )
 
     def reloads(self) -> None:
-        """The file changes while one process follows another: another address of the directory, other
-        settings, a broken file; told to either process or to none, beside kills and a full disk.
+        """Settings changes during upgrades: a new directory address, other settings, or a broken file,
+        announced to either process or to none, beside kills and a full disk.
 
-        By a source of its own, so that the seeds of worlds without it stay what they are. Where the disk is
-        full a broken file is mended soon: behind a kill nobody would know then what was in force.
+        Draws from its own random source, so that the seeds of scenarios without reloads keep their faults. On
+        a full disk a broken file is repaired soon, as after a kill nothing would show which settings were in
+        force.
         """
         rng = self.rng = random.Random(f"reloads {self.seed}")
         for at_s, relay in [(row["at_s"], row["relay"]) for row in self.events if row["what"] == "upgrade"]:
@@ -224,7 +226,7 @@
                 )
 
     def network(self) -> None:
-        """Slow, jittering, thin links that split bytes anywhere."""
+        """Links with latency, jitter and low throughput that split bytes anywhere."""
         latency = round(self.rng.choice((0.1, 1.0, 8.0)), 3)
         self.net = {
             "latency_ms": (latency / 2, latency),
@@ -246,18 +248,19 @@
 
 
 def swarm(scenario: Scenario, seed: int) -> Scenario:
-    """The scenario with this seed, and with the faults that the seed draws beside the scenario's own."""
+    """Return the scenario with this seed and the drawn faults in addition to its own."""
     plan = FaultPlan(scenario, seed)
     for draw in KINDS.values():
         always = draw in (
             FaultPlan.upgrades,
             FaultPlan.operator_disables,
-        )  # they draw nothing where relays have no staff
+        )  # they draw nothing for relays without a console or operators
         if always or plan.rng.random() < KIND_PROBABILITY:
             draw(plan)
     if scenario.relays.reloads:
         plan.reloads()
-    # By a source of its own, so that the seeds stay what they are: no site's rules say what may go wrong.
+    # From a separate random source, so that existing seeds keep their faults. Whether second copies are
+    # allowed is drawn too, as no site's rules say what may go wrong.
     copies = random.Random(f"copies {seed}").random() < 0.5
     return scenario.model_copy(
         update={
--- a/mallowlug/rig/sim/ground.py
+++ b/mallowlug/rig/sim/ground.py
@@ -1,4 +1,4 @@
-"""A run on simulated ground: the same world, judge and scenario files as on real sockets, from one seed."""
+"""Simulated runs: the same test environment, judge and scenario files as on real sockets, from one seed."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 class SimBackend:
-    """The simulation as the world sees it."""
+    """The simulation backend of the test environment."""
 
     def __init__(self, loop: SimLoop, scenario: Scenario) -> None:
         self.loop, self.scenario = loop, scenario
@@ -40,18 +40,18 @@
         self.kernel = Kernel(loop, self.net, scenario.strikes)
         self.place = Place(self.net.allocate_address, itertools.count(1))
         self.relays: list[SimRelay] = []
-        self.fleet_seeds: list[str] = []  # of their fleet
+        self.fleet_seeds: list[str] = []  # seed addresses of the relays' fleet
         self.writer: rec.Writer | None = None
-        self.net.max_sockets = lambda _life: scenario.relays.sockets
+        self.net.max_sockets = lambda _lifetime: scenario.relays.sockets
         self.kernel.on_injected = self._record_fault
 
     def _draw_link(self) -> Link:
-        told, draw = self.scenario.net, self.net.rng.uniform
+        table, draw = self.scenario.net, self.net.rng.uniform
         return Link(
-            draw(*told.latency_ms) / 1000,
-            draw(*told.jitter_ms) / 1000,
-            draw(*told.bytes_per_s),
-            self.net.rng.randint(*told.piece),
+            draw(*table.latency_ms) / 1000,
+            draw(*table.jitter_ms) / 1000,
+            draw(*table.bytes_per_s),
+            self.net.rng.randint(*table.piece),
         )
 
     def _report_connect(self, place: str, address: tuple[str, int]) -> None:
@@ -68,39 +68,39 @@
         return round(self.loop.now_s * 1e6)
 
     def cpu_s(self) -> float:
-        """No figure of a simulated run: it would differ from run to run."""
+        """Always 0: real CPU time would make the records of equal runs differ."""
         return 0.0
 
     def relay(
         self, name: str, folder: Path, writer: rec.Writer, config: Callable[[], dict[str, Any]]
     ) -> SimRelay:
-        """A relay on a machine of its own."""
+        """Create a relay on a machine of its own."""
         disk = SimDisk(random.Random(f"disk {name} {self.scenario.seed}"))
         self.writer = writer
-        told = self.scenario.relays
+        table = self.scenario.relays
         extras = Extras(
-            durable=told.durable,
-            active_destinations=told.awake,
-            inactive_after_s=told.rest_s,
-            fleet=self._fleet_plan(told.fleet),
+            durable=table.durable,
+            active_destinations=table.awake,
+            inactive_after_s=table.rest_s,
+            fleet=self._fleet_plan(table.fleet),
         )
         relay = SimRelay(name, self.kernel, Machine(name, disk, extras), writer, config)
-        relay.has_console = told.console
+        relay.has_console = table.console
         self.relays.append(relay)
         return relay
 
     def _fleet_plan(self, on: bool) -> FleetPlan | None:
-        """A relay's place in the fleet: the first two are everybody's seeds, and times a fifth of usual."""
+        """The fleet settings of a relay; the first two relays are the seeds, periods a fifth of the usual."""
         if not on:
             return None
         address = self.net.allocate_address()
-        told = "{}:{}".format(*address)
+        address_text = "{}:{}".format(*address)
         if len(self.relays) < 2:
-            self.fleet_seeds.append(told)
-        return FleetPlan("sim", address, told, tuple(self.fleet_seeds), period_s=0.2, settle_s=2.0)
+            self.fleet_seeds.append(address_text)
+        return FleetPlan("sim", address, address_text, tuple(self.fleet_seeds), period_s=0.2, settle_s=2.0)
 
     async def strike(self, relay: Relay, event: EventTable) -> None:
-        """What a real process can't be made to suffer, for as long as it lasts."""
+        """Inject a fault that real processes cannot be given; returns when it is over."""
         assert isinstance(relay, SimRelay)
         machine = relay.machine
         if event.what == "jump":
@@ -124,7 +124,7 @@
             await self._partition(relay, event.len_s)
 
     async def _fill_disk(self, relay: SimRelay, len_s: float) -> None:
-        """Its disk takes nothing; of two such times that overlap the last one makes room."""
+        """Fill the disk for a while; of overlapping times the last one frees it."""
         machine = relay.machine
         machine.full_reasons += 1
         if machine.full_reasons == 1:
@@ -141,7 +141,7 @@
         assert isinstance(process, SimProcess)
         process.lifetime.suspended = True
         relay.note("deaf", "stands still")
-        with contextlib.suppress(TimeoutError):  # its end may come first
+        with contextlib.suppress(TimeoutError):  # the process may end first
             await asyncio.wait_for(process.wait(), len_s)
         relay.note("hears")
         self.loop.resume(process.lifetime)
@@ -158,17 +158,17 @@
 
 @dataclass(frozen=True, slots=True)
 class SimulatedRun:
-    """What a simulated run leaves beside its record."""
+    """The results of a simulated run beside its record."""
 
     path: Path
     crashed: tuple[str, ...]
     bad_calls: int
-    violations: tuple[str, ...]  # of the modules' own guards
-    unhandled: tuple[str, ...]  # exceptions that nobody handled, anywhere
-    leaks: tuple[str, ...]  # what an orderly end left open
+    violations: tuple[str, ...]  # reported by the invariant monitors of the decision engines
+    unhandled: tuple[str, ...]  # unhandled exceptions, of relays and environment
+    leaks: tuple[str, ...]  # what an orderly shutdown left open
     injected: tuple[InjectedFault, ...]
-    calls: tuple[tuple[int, int], ...]  # of relay 0, by life: system calls until it listened, and in all
-    length_s: float  # simulated
+    calls: tuple[tuple[int, int], ...]  # of relay 0, by process: system calls before it listened, and in all
+    length_s: float  # simulated time
     logs: dict[str, list[str]]
 
     @property
@@ -184,20 +184,20 @@
 
 
 def monitored(engine: Any, violations: list[str]) -> Any:
-    """The module with a watch on each of its steps."""
+    """A subclass of the engine with an invariant monitor on each step."""
 
     class MonitoredEngine(engine):  # type: ignore[misc]
-        """What a relay's core steps."""
+        """The decision engine that a relay's core steps."""
 
         def __init__(self, settings: api.Settings, seed: int) -> None:
             super().__init__(settings, seed)
             self._monitor = InvariantMonitor(settings, violations.append)
 
         def step(self, now_us: int, events: Iterable[api.Event]) -> list[api.Action]:
-            """As the module does."""
-            told = list(events)
-            actions: list[api.Action] = super().step(now_us, told)
-            self._monitor.step(now_us, told, actions)
+            """Step the engine, then pass events and actions to the monitor."""
+            received = list(events)
+            actions: list[api.Action] = super().step(now_us, received)
+            self._monitor.step(now_us, received, actions)
             return actions
 
     return MonitoredEngine
@@ -206,8 +206,8 @@
 def simulate(scenario: Scenario, folder: Path, options: Options | None = None) -> SimulatedRun:
     """Play a scenario in simulated time into ``folder``.
 
-    Only the scenario and its seed decide what happens. The garbage collector is off meanwhile: finalizers
-    would run at any time.
+    The scenario and its seed alone decide what happens. The garbage collector is disabled during the run,
+    since finalizers would run at arbitrary times.
     """
     loop = SimLoop()
     backend, violations, engine = SimBackend(loop, scenario), list[str](), vars(core)["DecisionEngine"]
--- a/mallowlug/rig/sim/guards.py
+++ b/mallowlug/rig/sim/guards.py
@@ -1,8 +1,8 @@
-"""A watch on what the module decides, step by step, beside the judge of what came of it.
+"""An invariant monitor of the decision engine, step by step, beside the judge of whole runs.
 
-A wait or a drain is heeded twice: the module sends nothing there, and the partners' adapter writes nothing
-that was decided before. Either alone may keep the rule over a whole run, so the judge cannot tell that the
-other is gone. This watch sees events and actions alone, so it speaks of the module's own guards. No I/O.
+A wait or a drain is enforced twice: the engine does not send there, and the partners' adapter does not write
+what was decided before. Either alone may keep the rule over a whole run, so the judge cannot detect that the
+other one is missing. The monitor sees only events and actions, so it checks the engine's own guards. No I/O.
 """
 
 from __future__ import annotations
@@ -12,49 +12,50 @@
 
 from mossfront import interface as api
 
-# Verdicts that prove that an attempt had no effect, in words of its own: the module's are under test.
+# Verdicts that prove that an attempt had no effect; listed anew, as the engine's list is under test.
 NO_EFFECT = frozenset((api.Verdict.FULL, api.Verdict.CONNECT_FAILED, api.Verdict.NOT_SENT))
-OVERDUE_US = 300_000  # behind the first step after a message's time within which its end has to be decided
-MAX_REPORTS = 20  # of one module's lapses
+OVERDUE_US = 300_000  # us after the first step past a deadline by which the message must have a final result
+MAX_REPORTS = 20  # violations reported for one engine
 
 
 @dataclass(slots=True)
 class MonitoredMessage:
-    """One message as the module was told of it."""
+    """The state of one message as the engine's events and actions show it."""
 
     cls: api.MessageClass
     due_us: int
     key: str
-    attempts: int  # made so far
-    in_doubt_us: int = -1  # when the first attempt that may have run was made; -1: none
+    attempts: int  # attempts so far
+    in_doubt_us: int = -1  # start of the first in-doubt attempt; -1: none
     in_doubt_zone: str = ""
     pending_attempts: dict[int, tuple[str, int]] = field(
         default_factory=dict
-    )  # by attempt without outcome: host, since
+    )  # by attempt without an outcome: host and start
     finished: bool = False
     overdue_since_us: int = (
         -1
-    )  # the first step behind its time without an end: it may have stood still until then
+    )  # first step past its deadline without a result: the process may have stood still before
 
 
 class InvariantMonitor:
-    """What binds one module, from the events that it got. ``tell`` gets each lapse: its rule and a line."""
+    """Checks one engine's actions against the events that it received; ``report`` gets each violation."""
 
-    def __init__(self, settings: api.Settings, tell: Callable[[str], None]) -> None:
-        self._settings, self._report, self._reports_left = settings, tell, MAX_REPORTS
+    def __init__(self, settings: api.Settings, report: Callable[[str], None]) -> None:
+        self._settings, self._report, self._reports_left = settings, report, MAX_REPORTS
         self._classes = {cls.name: cls for cls in settings.classes}
         self._entries: dict[str, api.EndpointEntry] = {}
-        self._waits: dict[str, int] = {}  # by route
+        self._waits: dict[str, int] = {}  # wait end by route
         self._disabled: set[str] = set()
         self._messages: dict[str, MonitoredMessage] = {}
-        self._key_queues: dict[str, list[str]] = {}  # by key: messages in the order in which they came
+        self._key_queues: dict[str, list[str]] = {}  # by ordering key: message ids in order of arrival
 
     def step(self, now_us: int, events: Iterable[api.Event], actions: Iterable[api.Action]) -> None:
-        """Take in what one step was told, then look at what it did."""
+        """Apply the events of a step, then check its actions."""
         for event in events:
             self._apply_event(now_us, event)
         done = list(actions)
-        for action in done:  # all of a step leave at once, so ends come before what they let go
+        # A step's actions leave together, so its final results are applied before the sends that they allow.
+        for action in done:
             if isinstance(action, api.Refuse | api.Fail) and action.id in self._messages:
                 self._messages[action.id].finished = True
         for action in done:
@@ -67,7 +68,10 @@
                 if message.overdue_since_us < 0:
                     message.overdue_since_us = now_us
                 elif now_us > message.overdue_since_us + OVERDUE_US:
-                    self._violation("lost", f"{ref} has no end {(now_us - message.due_us) // 1000} ms late")
+                    self._violation(
+                        "lost",
+                        f"{ref} has no final result {(now_us - message.due_us) // 1000} ms past its deadline",
+                    )
                     message.finished = True
 
     def _violation(self, rule: str, line: str) -> None:
@@ -154,11 +158,11 @@
         if entry is None or entry.listing is not api.Listing.READY:
             self._violation("drains", f"{ref} sent to {host}, which is not listed as ready")
         if host in self._disabled:
-            self._violation("drains", f"{ref} sent to {host}, which is out by hand")
+            self._violation("drains", f"{ref} sent to {host}, which an operator has disabled")
         if message is None:
             return
         if message.finished:
-            self._violation("twice", f"{ref} sent again, though it is over")
+            self._violation("twice", f"{ref} sent again after its final result")
         self._check_repeat(now_us, ref, message, entry)
         self._check_order(ref, message)
         message.pending_attempts[message.attempts] = host, now_us
@@ -167,20 +171,20 @@
     def _check_repeat(
         self, now_us: int, ref: str, message: MonitoredMessage, entry: api.EndpointEntry | None
     ) -> None:
-        """Whether the class allows one more attempt behind those that may have run."""
+        """Check that the class allows another attempt after the in-doubt ones."""
         cls = message.cls
         if cls.effect is api.Effect.UNSAFE and (message.in_doubt_us >= 0 or message.pending_attempts):
-            self._violation("twice", f"{ref} is unsafe, and an attempt may have run or is out")
+            self._violation("twice", f"{ref} is unsafe, and an attempt is in doubt or pending")
         elif cls.effect is api.Effect.KEYED and message.in_doubt_us >= 0:
             if now_us > message.in_doubt_us + cls.window_us:
-                self._violation("twice", f"{ref} sent again behind its window")
+                self._violation("twice", f"{ref} sent again after its deduplication window")
             elif cls.scope_is_zone and entry is not None and entry.zone != message.in_doubt_zone:
                 self._violation(
                     "twice", f"{ref} sent again to zone {entry.zone}, not {message.in_doubt_zone}"
                 )
 
     def _check_order(self, ref: str, message: MonitoredMessage) -> None:
-        """Whether nothing before it in its key is unfinished."""
+        """Check that no earlier message of the same ordering key is unfinished."""
         for other in self._key_queues.get(message.key, ()) if message.key else ():
             if other == ref:
                 return
--- a/mallowlug/rig/sim/hours.py
+++ b/mallowlug/rig/sim/hours.py
@@ -1,8 +1,8 @@
-"""Whether a relay comes back to where it was: its memory and descriptors after each hour of simulated time.
+"""Leak detection: a relay's memory and descriptors after each hour of simulated time.
 
-An hour's traffic and troubles are played again and again; each hour ends in a lull that is longer than any
-message, connection or memory of a failure lasts. What a relay then still holds is counted over all that can
-be reached from its composition root, by type, so that a leak names itself.
+The same hour of traffic and faults is repeated; each ends with a quiet period longer than the lifetime of
+any message, connection or failure state. What a relay then still holds is counted by type over all objects
+reachable from its composition root, so that a leak shows its type.
 """
 
 from __future__ import annotations
@@ -27,24 +27,24 @@
 from mallowlug.rig.world import draw
 from mallowlug.rig.world.scenario import Scenario
 
-EXCLUDED_TYPES = (  # what belongs to the simulation or to the interpreter, and not to a relay
+EXCLUDED_TYPES = (  # objects of the simulation or the interpreter, not of a relay
     SimLoop, SimDisk, SimSystem, Network, Lifetime, InvariantMonitor, Context, types.ModuleType, type,
     types.FunctionType, types.BuiltinFunctionType, types.CodeType, types.FrameType,
 )  # fmt: skip
-QUIET_S = 60.0  # s at an hour's end without traffic or troubles
-GROWTH_TOLERANCE = 0.02  # growth that is no leak: tables keep room for what they once held
-# Bytes for each that is in it.
+QUIET_S = 60.0  # s without traffic or faults at the end of an hour
+GROWTH_TOLERANCE = 0.02  # growth that is not a leak: tables keep capacity that they once needed
+# Bytes per contained item.
 BYTES_PER_ITEM: dict[type[Sized], int] = {bytearray: 1, list: 8, dict: 100, set: 40, deque: 8}
-TYPES_SHOWN = 5  # types that a leak is told by
+TYPES_SHOWN = 5  # types named in the report of a leak
 
 
 class QuietPeriodError(ValueError):
-    """A scenario whose hour does not end quietly."""
+    """The scenario's hour does not end with a quiet period."""
 
 
 @dataclass(frozen=True, slots=True)
 class Sample:
-    """What one relay's life holds at the end of an hour: descriptors, tasks, bytes, objects by type."""
+    """What one process of a relay holds at the end of an hour: descriptors, tasks, bytes, objects by type."""
 
     hour: int
     relay: str
@@ -56,7 +56,7 @@
 
 
 def roots_of(lifetime: Lifetime) -> list[object]:
-    """The composition root's own values: the locals of ``serve`` as it waits."""
+    """Return the local variables of ``serve``, the composition root, at the point where it waits."""
     for task in lifetime.tasks:
         waiting: object = task.get_coro()
         while isinstance(waiting, types.CoroutineType):
@@ -67,7 +67,7 @@
 
 
 def reachable(roots: Sequence[object]) -> Iterator[object]:
-    """Every object that hangs on these, each once; what is outside a relay ends the search."""
+    """Yield every object reachable from the roots once; the search ends at excluded types."""
     seen: set[int] = set()
     pending = list(roots)
     while pending:
@@ -80,7 +80,7 @@
 
 
 def size_of(item: object) -> int:
-    """Bytes of an object alone. What grows in leaps counts by what is in it: spare room comes and goes."""
+    """The size of one object in bytes. Containers count by length, as their spare capacity varies."""
     for kind, each in BYTES_PER_ITEM.items():
         if isinstance(item, kind):
             return len(item) * each
@@ -88,7 +88,7 @@
 
 
 def sample(hour: int, relay: SimRelay) -> Sample:
-    """Count what a relay holds now."""
+    """Count what a relay's current process holds."""
     process = relay.process
     assert isinstance(process, SimProcess)
     lifetime, objects, size = process.lifetime, Counter[str](), 0
@@ -102,7 +102,7 @@
 
 
 def find_growth(samples: Sequence[Sample]) -> list[str]:
-    """What did not come back, against the same life's first full hour."""
+    """Report growth against the first hour of the same process."""
     problems, firsts = list[str](), dict[tuple[str, int], Sample]()
     for now in samples:
         first = firsts.setdefault((now.relay, now.lifetime), now)
@@ -118,7 +118,7 @@
 
 
 def repeat_hours(scenario: Scenario, hours: int) -> Scenario:
-    """The scenario's hour so many times; its last ``LULL_S`` are without traffic, and events end before."""
+    """Repeat the scenario's hour ``hours`` times, with its events in each."""
     hour_s = scenario.length_s
     events = [
         event.model_copy(update={"at_s": hour * hour_s + event.at_s})
@@ -130,25 +130,25 @@
 
 @dataclass(slots=True)
 class HourlyResult:
-    """What hours of simulated time say."""
+    """The result of a run of several simulated hours."""
 
     done: SimulatedRun
     samples: list[Sample]
 
     @property
     def problems(self) -> list[str]:
-        """What did not come back."""
+        """Growth found between hours."""
         return find_growth(self.samples)
 
 
 def run_hours(scenario: Scenario, hours: int, folder: Path, quiet_s: float = QUIET_S) -> HourlyResult:
-    """Play an hour (the scenario's length) again and again, and count at each one's end.
+    """Play an hour (the scenario's length) ``hours`` times and count objects at the end of each.
 
-    ``LullError`` where the scenario leaves no room for its lull.
+    Raises ``QuietPeriodError`` if the scenario leaves no time for the quiet period.
     """
     hour_s, samples = scenario.length_s, list[Sample]()
     if hour_s <= quiet_s:
-        raise QuietPeriodError(f"{hour_s:g} s leave no room for a lull of {quiet_s:g} s")
+        raise QuietPeriodError(f"{hour_s:g} s leave no room for a quiet period of {quiet_s:g} s")
     if late := [event for event in scenario.events if event.at_s + event.len_s > hour_s - quiet_s]:
         raise QuietPeriodError(
             f"{late[0].what} at {late[0].at_s} s is not over {quiet_s:g} s before the hour's end"
--- a/mallowlug/rig/sim/loop.py
+++ b/mallowlug/rig/sim/loop.py
@@ -1,9 +1,9 @@
-"""The event loop of a simulation: asyncio's selector loop over a clock that only moves when nothing is to do.
+"""The simulated event loop: asyncio's selector loop on a clock that advances only when no work is left.
 
-Everything above the system calls is the real thing: asyncio's transports, servers, tasks and timers. What is
-replaced is the selector, the sockets (``net.py``) and the clock. Each handle belongs to the life (process) in
-whose context it was made; a life that was killed has none left, and one that stands still has its own set
-aside until it goes on.
+Everything above the system calls is real code: asyncio's transports, servers, tasks and timers. Only the
+selector, the sockets (``net.py``) and the clock are replaced. Each handle belongs to the process lifetime in
+whose context it was created. The handles of a killed process are cancelled; those of a suspended process
+are deferred until it resumes.
 """
 
 from __future__ import annotations
@@ -21,43 +21,43 @@
     from mallowlug.rig.sim.net import Network, SimSocket
 
 T = TypeVar("T")
-START_S = 1000.0  # where a simulation's monotonic clock begins
+START_S = 1000.0  # initial value of the simulated monotonic clock
 Ready = list[tuple[selectors.SelectorKey, int]]
 
 
 class Killed(BaseException):
-    """The life that was running has ended here; it unwinds the stack and nothing may catch it."""
+    """The current process was killed; unwinds its stack and must not be caught by the program."""
 
 
 class StuckError(RuntimeError):
-    """Nothing will ever happen again, and the run has not ended."""
+    """The run has not ended, but no handle, timer or kernel event is left."""
 
 
 class Lifetime:
-    """What the loop knows of a process: whether it lives or stands still, and how far it has come."""
+    """One process lifetime, from start to exit or kill, as the event loop sees it."""
 
     def __init__(self, name: str, number: int) -> None:
         self.name, self.number = name, number
         self.alive, self.suspended = True, False
-        self.deferred_handles: list[asyncio.Handle] = []  # what came due while it stood still
-        self.steps = 0  # handles of it that ran
-        self.before_step: Callable[[], None] | None = None  # may kill it
+        self.deferred_handles: list[asyncio.Handle] = []  # handles that came due while suspended
+        self.steps = 0  # handles run so far
+        self.before_step: Callable[[], None] | None = None  # called before each handle; may kill the process
         self.intercept_call: Callable[[str, bytes], str] = lambda _call, _data: (
             ""
-        )  # how a system call is to end
-        self.terminate: Callable[[], None] = lambda: None  # it ends here
-        self.sockets: dict[int, SimSocket] = {}  # by descriptor, in order
+        )  # returns the outcome of a system call
+        self.terminate: Callable[[], None] = lambda: None  # kills the process
+        self.sockets: dict[int, SimSocket] = {}  # by descriptor, in order of creation
         self.tasks: dict[asyncio.Task[Any], None] = {}
-        self.handlers: dict[int, Callable[[], object]] = {}  # by signal
+        self.handlers: dict[int, Callable[[], object]] = {}  # by signal number
 
     def begin_call(self, call: str, data: bytes = b"") -> str:
-        """A system call begins: how it is to end; ``Killed`` where the life ends before it."""
+        """Begin a system call; return its outcome. Raises ``Killed`` if the process is dead or dies first."""
         if not self.alive:
             raise Killed
         return self.intercept_call(call, data)
 
     def end_call(self, how: str) -> None:
-        """A system call has done its part; where it was to be the life's last, the life ends."""
+        """Finish a system call; kill the process and raise ``Killed`` if this call is to be its last."""
         if how in ("within", "after"):
             self.terminate()
             raise Killed
@@ -67,25 +67,25 @@
 
 
 class Selector(selectors.BaseSelector):
-    """Tells which sockets are ready: only those whose state has changed since are looked at."""
+    """Reports ready sockets; checks only those whose state has changed since the last check."""
 
     def __init__(self) -> None:
         self._keys: dict[int, selectors.SelectorKey] = {}
         self._sockets: dict[int, SimSocket] = {}
-        self._dirty: dict[int, None] = {}  # what may be ready, in the order in which it became so
+        self._dirty: dict[int, None] = {}  # descriptors that may be ready, in the order of their changes
 
     def add_socket(self, sock: SimSocket) -> None:
-        """A socket has this descriptor from now on."""
+        """Register the socket under its descriptor."""
         self._sockets[sock.fileno()] = sock
 
     def remove_socket(self, fd: int) -> None:
-        """A descriptor is nobody's."""
+        """Forget a closed descriptor."""
         self._sockets.pop(fd, None)
         self._keys.pop(fd, None)
         self._dirty.pop(fd, None)
 
     def mark_changed(self, fd: int) -> None:
-        """A socket's state has changed."""
+        """Mark a socket for the next check."""
         if fd in self._keys:
             self._dirty[fd] = None
 
@@ -112,7 +112,7 @@
         return self._keys[fileobj if isinstance(fileobj, int) else fileobj.fileno()]
 
     def select(self, timeout: float | None = None) -> Ready:
-        """What is ready now; level-triggered, and nothing of a life that stands still."""
+        """Return what is ready now (level-triggered), without the sockets of suspended processes."""
         ready_keys: Ready = []
         for fd in list(self._dirty):
             sock, key = self._sockets[fd], self._keys[fd]
@@ -130,7 +130,7 @@
 
 
 class SimLoop(asyncio.SelectorEventLoop):
-    """A loop of simulated time; beside handles it runs the kernel's own events, such as arriving bytes."""
+    """An event loop in simulated time; it also runs the kernel's own events, such as arriving bytes."""
 
     _ready: deque[asyncio.Handle]
     _scheduled: list[asyncio.TimerHandle]
@@ -142,30 +142,30 @@
         self.now_s = START_S
         self.selector = Selector()
         self._kernel_events: list[tuple[float, int, Callable[[], None]]] = []
-        self._event_count, self._cancelled_timers = 0, 0  # of the kernel's events; timers that were cancelled
-        self.unhandled: list[str] = []  # exceptions that nobody handled, with whose they were
+        self._event_count, self._cancelled_timers = 0, 0  # kernel events scheduled; timers cancelled
+        self.unhandled: list[str] = []  # unhandled exceptions, with the name of their process
         super().__init__(self.selector)
         self.set_task_factory(self._make_task)
         self.set_exception_handler(self._record_unhandled)
 
     def _make_self_pipe(self) -> None:
-        """Nothing wakes this loop from another thread."""
+        """Create no pipe: no other thread wakes this loop."""
 
     def _close_self_pipe(self) -> None:
-        """There is none."""
+        """Do nothing: no pipe was created."""
 
     def time(self) -> float:
         return self.now_s
 
     def schedule_event(self, when_s: float, event: Callable[[], None]) -> None:
-        """The kernel does something at a time; of several at once the first that was asked for is first."""
+        """Schedule a kernel event; events of the same time run in the order in which they were scheduled."""
         self._event_count += 1
         heapq.heappush(self._kernel_events, (when_s, self._event_count, event))
 
     async def create_server(  # type: ignore[override]
         self, factory: Any, host: Any = None, port: Any = None, **more: Any
     ) -> Any:
-        """As asyncio's, on a simulated socket where none is given."""
+        """As in asyncio, but listen on a simulated socket unless one is given."""
         if host is not None:
             more["sock"] = self.net.listener((host, port))
         return await super().create_server(factory, **more)
@@ -173,7 +173,7 @@
     async def create_connection(  # type: ignore[override]
         self, factory: Any, host: Any = None, port: Any = None, **more: Any
     ) -> Any:
-        """As asyncio's, by a simulated socket."""
+        """As in asyncio, but connect by a simulated socket."""
         if host is not None:
             more["sock"] = sock = self.net.stream()
             try:
@@ -217,7 +217,7 @@
 
     def add_signal_handler(self, sig: int, callback: Any, *args: Any) -> None:  # type: ignore[override]
         lifetime = CURRENT_LIFETIME.get()
-        assert lifetime is not None, "the world takes no signals"
+        assert lifetime is not None, "the simulated environment handles no signals"
         lifetime.handlers[sig] = lambda: callback(*args)
 
     def remove_signal_handler(self, sig: int) -> bool:
@@ -225,14 +225,14 @@
         return lifetime is not None and lifetime.handlers.pop(sig, None) is not None
 
     def cancel_handles_of(self, lifetime: Lifetime) -> None:
-        """Nothing of a life that has ended is run any more."""
+        """Cancel all handles of a process that has ended."""
         for handle in [*self._ready, *self._scheduled]:
             if lifetime_of_handle(handle) is lifetime:
                 handle.cancel()
         lifetime.deferred_handles.clear()
 
     def resume(self, lifetime: Lifetime) -> None:
-        """A life stands still no longer: what came due meanwhile runs now."""
+        """Resume a suspended process: the handles that came due meanwhile run now."""
         lifetime.suspended = False
         self._ready.extend(lifetime.deferred_handles)
         lifetime.deferred_handles.clear()
@@ -240,7 +240,7 @@
             self.selector.mark_changed(fd)
 
     def _run_once(self) -> None:
-        """One turn: what is ready; else the next thing that the kernel or a timer has due."""
+        """Run one iteration: all ready handles, or advance the clock to the next event or timer."""
         while self._kernel_events and self._kernel_events[0][0] <= self.now_s:
             heapq.heappop(self._kernel_events)[2]()
         self._process_events(self.selector.select())
@@ -264,7 +264,7 @@
                 self._ready.append(timer)
 
     def _timer_handle_cancelled(self, handle: asyncio.TimerHandle) -> None:
-        """Cancelled timers are dropped when they come due; a heap full of them is made anew."""
+        """Drop cancelled timers when due; rebuild the heap once most of its timers are cancelled."""
         self._cancelled_timers += 1
         if self._cancelled_timers > 1000 and 2 * self._cancelled_timers > len(self._scheduled):
             self._scheduled = [timer for timer in self._scheduled if not timer.cancelled()]
@@ -272,12 +272,12 @@
             self._cancelled_timers = 0
 
     def _advance_clock(self) -> None:
-        """Nothing is to do now: go to the next time at which something is."""
+        """Advance the clock to the next kernel event or timer; raise ``StuckError`` if there is none."""
         times = [self._kernel_events[0][0]] if self._kernel_events else []
         if self._scheduled:
             times.append(self._scheduled[0].when())
         if not times:
-            raise StuckError("nothing is ready, due or on its way")
+            raise StuckError("no handle is ready and no timer or kernel event is scheduled")
         self.now_s = max(self.now_s, min(times))
 
     def _may_run(self, lifetime: Lifetime, handle: asyncio.Handle) -> bool:
@@ -292,7 +292,7 @@
         return lifetime.alive and not handle.cancelled()
 
     def run_main(self, main: Coroutine[Any, Any, T]) -> T:
-        """Run the world's main coroutine to its end, then whatever is left of it."""
+        """Run the main coroutine of the simulated environment to its end, then close all remaining tasks."""
         try:
             return self.run_until_complete(main)
         finally:
@@ -304,21 +304,21 @@
 
 
 def lifetime_of(context: Context | None) -> Lifetime | None:
-    """The life that a context belongs to; without one, the life that is running."""
+    """The process lifetime of a context, or the current one if no context is given."""
     return CURRENT_LIFETIME.get() if context is None else context.get(CURRENT_LIFETIME)
 
 
 def is_dead(context: Context | None) -> bool:
-    """Whether what is asked for there would be for a life that has ended."""
+    """Whether the context belongs to a process that has ended."""
     lifetime = lifetime_of(context)
     return lifetime is not None and not lifetime.alive
 
 
 def lifetime_of_handle(handle: asyncio.Handle) -> Lifetime | None:
-    """The life in whose context a handle was made."""
+    """The process lifetime in whose context a handle was created."""
     return lifetime_of(untyped(handle)._context)
 
 
 def untyped(thing: Any) -> Any:
-    """Asyncio's own attributes, which its type stubs leave out."""
+    """Return the object as ``Any``, to reach asyncio's private attributes, which the type stubs omit."""
     return thing
--- a/mallowlug/rig/sim/net.py
+++ b/mallowlug/rig/sim/net.py
@@ -1,10 +1,10 @@
-"""The simulated kernel's network: TCP as a socket's owner sees it, and never what TCP can't do.
+"""The simulated network: stream and datagram sockets that behave only in ways that TCP and UDP allow.
 
-Bytes of one direction arrive in order, once, whole, at whatever boundaries; they may be late, stop for a
-while or end by a reset. From the sockets' manual pages and RFC 9293: a connection closed with unread bytes,
-or with a linger time of zero, is reset; what came before a reset may still be read; bytes for a closed
-socket are answered with a reset; a connect to where nobody listens is refused, and one whose answer is lost
-goes on asking.
+The bytes of one direction arrive in order, once and complete, split at arbitrary boundaries; they may be
+late, pause for a while or end by a reset. From the sockets' manual pages and RFC 9293: a connection closed
+with unread bytes, or with a linger time of zero, is reset; bytes received before a reset may still be read;
+bytes for a closed socket are answered by a reset; a connect to an address without a listener is refused, and
+a connect whose answer is lost is retried.
 """
 
 from __future__ import annotations
@@ -22,24 +22,24 @@
 from mallowlug.rig.sim.loop import CURRENT_LIFETIME, Killed, Lifetime, SimLoop
 
 Address = tuple[str, int]
-WINDOW = 128 * 1024  # bytes on their way or unread, after which a sender waits
-MAX_QUEUED_DATAGRAMS = 256  # datagrams that a socket holds unread
-CONNECT_RETRY_S = 1.0  # s after which a lost request to connect is sent again
+WINDOW = 128 * 1024  # bytes in flight or unread at which a sender blocks
+MAX_QUEUED_DATAGRAMS = 256  # unread datagrams per socket; more are dropped
+CONNECT_RETRY_S = 1.0  # s until a connect is retried on a full backlog
 
 
 @dataclass(slots=True)
 class Link:
-    """How one direction between two sockets carries bytes. Times in seconds; ``piece``: 0 for as sent."""
+    """Latency and throughput of one direction between two sockets; times in seconds."""
 
     latency_s: float = 0.0001
     jitter_s: float = 0.0
-    bytes_per_s: float = 0.0  # 0: no bound
-    max_segment: int = 0  # bytes at most between two segment boundaries, drawn anew for each
+    bytes_per_s: float = 0.0  # 0: unlimited
+    max_segment: int = 0  # max bytes per segment, each size drawn at random; 0: segments as sent
 
 
 @dataclass(slots=True)
 class DatagramFaults:
-    """What befalls each datagram: the chances that it is lost or doubled, and by how much it may be late."""
+    """Faults of each datagram: probabilities of loss and duplication, and the max additional delay."""
 
     loss: float = 0.0
     duplication: float = 0.0
@@ -48,14 +48,14 @@
 
 @dataclass(slots=True)
 class LinkState:
-    """What befalls links: who can't reach whom now, and what was on its way meanwhile."""
+    """Partitions between nodes, and what they hold back."""
 
-    blocked: dict[tuple[str, str], None] = field(default_factory=dict)  # pairs of places, one direction each
+    blocked: dict[tuple[str, str], None] = field(default_factory=dict)  # (from, to) pairs of nodes
     held_back: list[tuple[tuple[str, str], Callable[[], None]]] = field(default_factory=list)
 
 
 class SimSocket:
-    """A stream socket that does not block, as asyncio and the relay use one."""
+    """A non-blocking stream socket with the methods that asyncio and the relay use."""
 
     family, type, proto = socket.AF_INET, socket.SOCK_STREAM, socket.IPPROTO_TCP
 
@@ -64,18 +64,16 @@
         self.state = "fresh"  # connecting, open, listening, failed or closed
         self.local_address: Address = ("0.0.0.0", 0)
         self.remote_address: Address = ("0.0.0.0", 0)
-        self.node = owner.name if owner is not None else ""  # of links and partitions
+        self.node = owner.name if owner is not None else ""  # name in partitions; "" for the environment
         self.peer: SimSocket | None = None
-        self.link = Link()  # towards the peer
+        self.link = Link()  # direction to the peer
         self.inbox = bytearray()
-        self.last_arrival_s = 0.0  # when the last bytes towards the peer arrive
-        self.in_flight = 0  # bytes that the peer has not read
-        self.peer_closed = self.write_shutdown = self.reset_on_close = (
-            False  # the peer's end has come; ours is said; close by reset
-        )
+        self.last_arrival_s = 0.0  # when the last bytes sent reach the peer
+        self.in_flight = 0  # bytes sent that the peer has not read
+        self.peer_closed = self.write_shutdown = self.reset_on_close = False
         self.error = 0
         self.backlog: deque[SimSocket] = deque()
-        self.reuse_port = False  # others may listen at its address too
+        self.reuse_port = False  # SO_REUSEPORT: other sockets may listen at this address
         self.max_backlog = 128
         if owner is not None:
             owner.sockets[self._fd] = self
@@ -86,27 +84,27 @@
         return self._fd if self.state != "closed" else -1
 
     def setblocking(self, flag: bool) -> None:
-        """Sockets here never block."""
+        """Accept only the non-blocking mode."""
         assert not flag
 
     def gettimeout(self) -> float:
-        """As of a socket that does not block."""
+        """The timeout of a non-blocking socket."""
         return 0.0
 
     def setsockopt(self, level: int, option: int, value: int | bytes) -> None:
-        """Of all options only a linger time of zero changes anything here."""
+        """Apply SO_LINGER (with a linger time of zero); all other options have no effect."""
         if (level, option) == (socket.SOL_SOCKET, socket.SO_LINGER):
             self.reset_on_close = True
 
     def getsockopt(self, level: int, option: int) -> int:
-        """The pending error, which is then no longer pending; 0 for all else."""
+        """Return and clear the pending error for SO_ERROR; 0 for all other options."""
         if (level, option) != (socket.SOL_SOCKET, socket.SO_ERROR):
             return 0
         error, self.error = self.error, 0
         return error
 
     def getsockname(self) -> Address:
-        """The own address."""
+        """The local address."""
         return self.local_address
 
     def getpeername(self) -> Address:
@@ -116,7 +114,7 @@
         return self.remote_address
 
     def ready(self) -> int:
-        """What a selector would tell of it now."""
+        """The selector events that are ready now."""
         if self.state == "listening":
             return selectors.EVENT_READ if self.backlog else 0
         if self.state == "failed":
@@ -129,7 +127,7 @@
         return mask
 
     def notify_selector(self) -> None:
-        """Its state has changed."""
+        """Tell the selector that the state has changed."""
         self.net.loop.selector.mark_changed(self._fd)
 
     def _begin_call(self, call: str, data: bytes = b"") -> str:
@@ -140,11 +138,11 @@
             self.owner.end_call(how)
 
     def listen(self, backlog: int = 128) -> None:
-        """Take connections on from now on."""
+        """Start to listen."""
         self.state, self.max_backlog = "listening", backlog
 
     def accept(self) -> tuple[SimSocket, Address]:
-        """The connection that has waited longest."""
+        """Return the oldest connection of the backlog."""
         if not self.backlog:
             raise os_error(errno.EAGAIN)
         self.net.check_descriptor_limit(self.owner)
@@ -154,7 +152,7 @@
         return conn, conn.remote_address
 
     def connect(self, address: Address) -> None:
-        """Begin to connect; how it went shows once the socket is writable."""
+        """Start to connect; the socket becomes writable when the result is known."""
         how = self._begin_call("connect")
         self.state, self.remote_address = "connecting", address
         self.local_address = self.net.ephemeral_address()
@@ -163,7 +161,7 @@
         raise os_error(errno.EINPROGRESS)
 
     def send(self, data: bytes | bytearray | memoryview) -> int:
-        """Hand bytes to the kernel; how many it took."""
+        """Send bytes; return how many the kernel accepted."""
         if self.state != "open":
             raise os_error(errno.EBADF if self.state == "closed" else errno.ENOTCONN)
         if self.error:
@@ -184,7 +182,7 @@
         return len(accepted)
 
     def recv(self, size: int, flags: int = 0) -> bytes:
-        """Bytes that have come; none for the peer's end."""
+        """Return received bytes; none once the peer has closed its side."""
         if self.owner is not None and not self.owner.alive:
             raise Killed
         if self.state != "open":
@@ -211,19 +209,19 @@
         return len(data)
 
     def shutdown(self, how: int) -> None:
-        """Say that nothing more is sent."""
+        """Close the sending side."""
         if how != socket.SHUT_RD and not self.write_shutdown:
             self.write_shutdown = True
             self.net.send_fin(self)
 
     def close(self) -> None:
-        """Let go of it; a dead life's sockets are the kernel's affair."""
+        """Close the socket; after the death of its process this does nothing, as the kernel closes it."""
         if self.state == "closed" or (self.owner is not None and not self.owner.alive):
             return
         self.release()
 
     def release(self) -> None:
-        """What the kernel does at a close, also of what a process leaves behind at its end."""
+        """Close the socket in the kernel, also for a process that has ended."""
         if self.state == "closed":
             return
         state, self.state = self.state, "closed"
@@ -244,7 +242,7 @@
 
 
 class SimDatagram(SimSocket):
-    """A bound UDP socket. What is sent may be lost, late, doubled and out of order; nobody is told."""
+    """A bound UDP socket: datagrams may be lost, delayed, duplicated or reordered, without an error."""
 
     type, proto = socket.SOCK_DGRAM, socket.IPPROTO_UDP
 
@@ -254,13 +252,13 @@
         self.queue: deque[tuple[bytes, Address]] = deque()
 
     def ready(self) -> int:
-        """As of a socket whose sends never wait."""
+        """The ready selector events; always writable."""
         if self.state != "bound":
             return 0
         return selectors.EVENT_WRITE | (selectors.EVENT_READ if self.queue else 0)
 
     def recvfrom(self, size: int) -> tuple[bytes, Address]:
-        """The datagram that has waited longest."""
+        """Return the oldest unread datagram and its source."""
         if self.owner is not None and not self.owner.alive:
             raise Killed
         if not self.queue:
@@ -269,7 +267,7 @@
         return data[:size], source
 
     def sendto(self, data: bytes, address: Address) -> int:
-        """One datagram on its way."""
+        """Send a datagram."""
         if self.state != "bound":
             raise os_error(errno.EBADF)
         how = self._begin_call("sendto", bytes(data))
@@ -278,7 +276,7 @@
         return len(data)
 
     def release(self) -> None:
-        """Its address is free again; what was not read is gone."""
+        """Free the address and discard unread datagrams."""
         if self.state == "bound":
             self.net.unbind(self)
         super().release()
@@ -286,46 +284,46 @@
 
 
 def os_error(number: int) -> OSError:
-    """The error that a system call ends with."""
+    """The exception of a failed system call."""
     return OSError(number, os.strerror(number))
 
 
 class Network:
-    """All sockets of a world and what is on its way between them."""
+    """All sockets of a simulated environment and the data in flight between them."""
 
     def __init__(self, loop: SimLoop, rng: random.Random) -> None:
         self.loop, self.rng, self.link_state = loop, rng, LinkState()
-        self.new_link: Callable[[], Link] = Link  # a new connection's, each direction of its own
-        self.on_connect: Callable[[str, Address], None] = lambda _node_at, _address: None  # of every connect
-        self.max_sockets: Callable[[Lifetime], int] = lambda _life: 1 << 20
-        self._listeners: dict[Address, list[SimSocket]] = {}  # several where all of them share the address
+        self.new_link: Callable[[], Link] = Link  # creates the link of each direction of a connection
+        self.on_connect: Callable[[str, Address], None] = lambda _node, _address: None
+        self.max_sockets: Callable[[Lifetime], int] = lambda _lifetime: 1 << 20
+        self._listeners: dict[Address, list[SimSocket]] = {}  # several if all reuse the port
         self._bound_datagrams: dict[Address, SimDatagram] = {}
         self.faults = DatagramFaults()
-        self._steered_addresses: set[Address] = set()  # where the second of them gets every new connection
+        self._steered_addresses: set[Address] = set()  # the second listener gets all new connections
         self._descriptors, self._port, self._address = 100, 32768, 0
 
     def descriptor(self) -> int:
-        """A descriptor that nobody had before."""
+        """Return a descriptor that was never used before."""
         self._descriptors += 1
         return self._descriptors
 
     def ephemeral_address(self) -> Address:
-        """The own address of a connection that is made from here."""
+        """Return a local address for an outgoing connection."""
         self._port += 1
         return "127.0.0.1", 32768 + self._port % 28000
 
     def allocate_address(self) -> Address:
-        """A loopback address that nobody else has."""
+        """Return an unused loopback address."""
         self._address += 1
         return f"127.1.{self._address // 250}.{1 + self._address % 250}", 7000
 
     def check_descriptor_limit(self, owner: Lifetime | None) -> None:
-        """``EMFILE`` where a life has all the descriptors that it may have."""
+        """Raise ``EMFILE`` if the process has reached its descriptor limit."""
         if owner is not None and len(owner.sockets) >= self.max_sockets(owner):
             raise os_error(errno.EMFILE)
 
     def stream(self, family: int = socket.AF_INET) -> SimSocket:
-        """A socket that is not connected, of the life that asks."""
+        """Create an unconnected socket of the current process."""
         owner = CURRENT_LIFETIME.get()
         if owner is not None and not owner.alive:
             raise Killed
@@ -335,7 +333,7 @@
         return sock
 
     def listener(self, address: Address, reuse_port: bool = False) -> SimSocket:
-        """A socket that listens at an address."""
+        """Create a listening socket; raise ``EADDRINUSE`` if the address is taken."""
         listeners = self._listeners.get(address, [])
         if listeners and not (reuse_port and all(sock.reuse_port for sock in listeners)):
             raise os_error(errno.EADDRINUSE)
@@ -346,7 +344,7 @@
         return sock
 
     def datagram(self, address: Address) -> SimDatagram:
-        """A UDP socket that is bound to an address."""
+        """Create a UDP socket bound to an address."""
         owner = CURRENT_LIFETIME.get()
         if owner is not None and not owner.alive:
             raise Killed
@@ -357,11 +355,11 @@
         return sock
 
     def unbind(self, sock: SimDatagram) -> None:
-        """Nobody gets what is sent there."""
+        """Free the socket's address; datagrams to it are dropped."""
         self._bound_datagrams.pop(sock.local_address, None)
 
     def send_datagram(self, sock: SimDatagram, data: bytes, address: Address) -> None:
-        """A datagram goes to an address; a cut way loses it, as nobody sends it again."""
+        """Send a datagram; a partition drops it, since no sender retransmits it."""
         faults, link = self.faults, self.new_link()
         for _ in range(1 + (self.rng.random() < faults.duplication)):
             if self.rng.random() < faults.loss:
@@ -381,7 +379,7 @@
             target.notify_selector()
 
     def remove_listener(self, sock: SimSocket) -> None:
-        """It listens no more; as in Linux, the last of a group takes its place in it."""
+        """Remove a listener; as in Linux, the last socket of a reuse-port group takes its position."""
         listeners = self._listeners.get(sock.local_address, [])
         if sock in listeners:
             listeners[listeners.index(sock)] = listeners[-1]
@@ -391,29 +389,29 @@
             self._steered_addresses.discard(sock.local_address)
 
     def steer(self, sock: SimSocket) -> None:
-        """The second socket of the group gets every new connection; where there is none, any is drawn."""
+        """Send every new connection to the group's second socket; without one a socket is drawn at random."""
         self._steered_addresses.add(sock.local_address)
 
     def _select_listener(self, address: Address) -> SimSocket | None:
-        """Who gets a new connection there."""
+        """Select the socket that gets a new connection."""
         listeners = self._listeners.get(address, [])
         if len(listeners) < 2:
             return listeners[0] if listeners else None
         return listeners[1] if address in self._steered_addresses else self.rng.choice(listeners)
 
     def _deliver_when_reachable(self, pair: tuple[str, str], arrive: Callable[[], None]) -> None:
-        """Let something arrive now, or once its way is no longer cut."""
+        """Deliver now, or once the pair of nodes is no longer partitioned."""
         if pair in self.link_state.blocked:
             self.link_state.held_back.append((pair, arrive))
         else:
             arrive()
 
     def partition(self, one: str, other: str) -> None:
-        """Nothing passes from one place to another (either may be "" for the world) until ``heal``."""
+        """Block one direction between two nodes ("" is the environment) until ``heal``."""
         self.link_state.blocked[one, other] = None
 
     def heal(self, one: str, other: str) -> None:
-        """What was on its way arrives, as its senders have gone on sending it."""
+        """Unblock the direction; held-back data arrives, as its senders have retransmitted it."""
         self.link_state.blocked.pop((one, other), None)
         due, self.link_state.held_back = self.link_state.held_back, []
         for pair, arrive in due:
@@ -426,7 +424,7 @@
         return max(not_before_s, self.loop.now_s + takes_s)
 
     def start_connect(self, sock: SimSocket, address: Address) -> None:
-        """A request to connect is on its way."""
+        """Send a connection request."""
         sock.link = self.new_link()
         self.on_connect(sock.node, address)
 
@@ -457,7 +455,7 @@
 
     def _establish(self, sock: SimSocket, listener: SimSocket) -> None:
         conn = SimSocket(self, listener.owner)
-        if listener.owner is not None:  # its descriptor is taken when it is accepted
+        if listener.owner is not None:  # it gets its descriptor on accept
             listener.owner.sockets.pop(conn._fd, None)
         conn.state, conn.local_address, conn.remote_address, conn.peer = (
             "open",
@@ -470,7 +468,7 @@
         listener.notify_selector()
 
         def established() -> None:
-            if sock.state != "connecting":  # given up meanwhile
+            if sock.state != "connecting":  # closed by its owner in the meantime
                 self.send_reset(sock, conn)
                 return
             sock.state, sock.peer = "open", conn
@@ -482,7 +480,7 @@
         )
 
     def send_bytes(self, sock: SimSocket, data: bytes) -> None:
-        """Bytes are on their way to the peer, in pieces."""
+        """Send bytes to the peer, split into segments."""
         peer, link = sock.peer, sock.link
         assert peer is not None
         pair, at = (sock.node, peer.node), 0
@@ -508,7 +506,7 @@
             peer.notify_selector()
 
     def send_fin(self, sock: SimSocket) -> None:
-        """Our end is on its way, behind all that was sent."""
+        """Send the end of the stream, after all bytes sent so far."""
         peer = sock.peer
         if peer is None:
             return
@@ -523,7 +521,7 @@
         )
 
     def send_reset(self, sock: SimSocket, target: SimSocket | None = None) -> None:
-        """A reset is on its way to the peer, behind what was sent."""
+        """Send a reset to the peer, after the bytes sent so far."""
         peer = target or sock.peer
         if peer is None:
             return
@@ -539,12 +537,12 @@
         )
 
     def close_sockets_of(self, lifetime: Lifetime) -> None:
-        """A life has ended: the kernel closes what it held; unread bytes make that a reset."""
+        """Close all sockets of a process that has ended; a socket with unread bytes is reset."""
         for sock in list(lifetime.sockets.values()):
             sock.release()
 
     def drop_sockets_silently(self, lifetime: Lifetime) -> None:
-        """A machine is gone with its kernel: nobody hears of it."""
+        """Drop all sockets of a lost machine without any notice to their peers."""
         for sock in list(lifetime.sockets.values()):
             sock.peer, sock.reset_on_close = None, False
             sock.release()
--- a/mallowlug/rig/sim/process.py
+++ b/mallowlug/rig/sim/process.py
@@ -1,7 +1,7 @@
-"""Relays in the simulation: the real program from its composition root down, one life after another.
+"""Simulated relays: the real program from its composition root down, one process lifetime after another.
 
-A life ends as a process does: at once, wherever it is, with all its handles and descriptors; what it wrote
-stays on its machine's disk. A system call can be the last thing that a life does, or fail.
+A simulated process ends like a real one: at once, at any point, with all its handles and descriptors; what it
+wrote stays on the disk of its machine. Faults can end a process at any system call or make the call fail.
 """
 
 from __future__ import annotations
@@ -29,18 +29,18 @@
 from mallowlug.rig.sim.net import Network, SimSocket, os_error
 from mallowlug.rig.world.scenario import EventTable, StrikeTable
 
-EPOCH_NS = 1_750_000_000 * 10**9  # the wall clock's time when the simulation's monotonic clock shows 0
+EPOCH_NS = 1_750_000_000 * 10**9  # wall clock time at 0 of the simulated monotonic clock
 CONFIG, STATE = Path("/config.json"), Path("/state")
 ERRNO = {"ENOSPC": 28, "EIO": 5}
 
 
 class LifetimeLog(logging.Handler):
-    """Each life's log lines, by simulated time."""
+    """Collects the log lines of each relay, with simulated time and process number."""
 
     def __init__(self, loop: SimLoop) -> None:
         super().__init__(logging.INFO)
         self._loop = loop
-        self.lines: dict[str, list[str]] = {}  # by relay
+        self.lines: dict[str, list[str]] = {}  # by relay name
 
     def emit(self, record: logging.LogRecord) -> None:
         if (lifetime := CURRENT_LIFETIME.get()) is not None and lifetime.alive:
@@ -50,19 +50,19 @@
 
 @dataclass(slots=True)
 class Machine:
-    """What outlasts a relay's lives: its disk and its wall clock."""
+    """What a relay's restarts keep: its disk, its wall clock and its optional settings."""
 
     name: str
     disk: SimDisk
     extras: config.Extras
     wall_offset_ns: int = 0
     boot_count: int = 1
-    full_reasons: int = 0  # reasons for which its disk takes nothing now
-    console: tuple[str, int] | None = None  # of the life that is started next; None: it has none
+    full_reasons: int = 0  # number of active faults that fill the disk
+    console: tuple[str, int] | None = None  # console address of the next process; None: no console
 
 
 class SimSystem:
-    """The operating system that one life is given."""
+    """The operating system interface that one process gets."""
 
     def __init__(self, loop: SimLoop, net: Network, machine: Machine) -> None:
         self._loop, self._net, self._machine = loop, net, machine
@@ -72,36 +72,36 @@
         self.disk = machine.disk
 
     def wall_ns(self) -> int:
-        """The machine's wall clock, which may have jumped."""
+        """The machine's wall clock in ns, with its injected jumps."""
         return EPOCH_NS + int(self._loop.now_s * 1e6) * 1000 + self._machine.wall_offset_ns
 
     def boot(self) -> str:
-        """What names this run of the machine."""
+        """The boot id of the machine."""
         return f"boot-{self._machine.boot_count}"
 
     def stream(self, family: int) -> socket.socket:
-        """A simulated socket."""
+        """Create a simulated socket."""
         return cast(socket.socket, self._net.stream(family))
 
     def listener(self, address: tuple[str, int], shared: bool = False) -> socket.socket:
-        """A simulated socket that listens."""
+        """Create a simulated listening socket; note how many system calls came before it."""
         lifetime = CURRENT_LIFETIME.get()
         assert isinstance(lifetime, SimLifetime)
         lifetime.calls_before_listen = lifetime.calls
         return cast(socket.socket, self._net.listener(address, shared))
 
     def datagram(self, address: tuple[str, int]) -> socket.socket:
-        """A simulated UDP socket."""
+        """Create a simulated UDP socket."""
         return cast(socket.socket, self._net.datagram(address))
 
     def steer(self, sock: socket.socket) -> bool:
-        """New connections come to the later one of two sockets."""
+        """Direct new connections to the later one of two listening sockets."""
         self._net.steer(cast(SimSocket, sock))
         return True
 
 
 def call_name(call: str, data: bytes) -> str:
-    """A system call's name for those who count what was struck: with what it writes."""
+    """The name of a system call in fault points; writes and sends also name what they write."""
     if call == "write":
         head = data.partition(b'["')[2].partition(b'"')[0] or data
         return f"write.{head.decode('latin-1')}"
@@ -115,7 +115,7 @@
 
 @dataclass(slots=True)
 class InjectedFault:
-    """A strike that fell."""
+    """An injected fault: when, in which process of which relay, and at which point."""
 
     at_us: int
     relay: str
@@ -124,7 +124,7 @@
 
 
 class Kernel:
-    """Counts the system calls and steps of every life, and strikes where it was told to."""
+    """Counts the system calls and loop steps of every process and injects the configured faults."""
 
     def __init__(self, loop: SimLoop, net: Network, strikes: Sequence[StrikeTable]) -> None:
         self.loop, self.net = loop, net
@@ -133,7 +133,7 @@
         self.on_injected: Callable[[InjectedFault], None] = lambda _fault: None
 
     def intercept_call(self, lifetime: SimLifetime, call: str, data: bytes) -> str:
-        """A life makes a system call: how it is to end; ``Killed`` or ``OSError`` where it does not begin."""
+        """Return the outcome of a system call; raise ``Killed`` or ``OSError`` if a fault prevents it."""
         lifetime.calls += 1
         if not lifetime.strikes:
             return ""
@@ -164,7 +164,7 @@
         self.on_injected(found)
 
     def start(self, machine: Machine, number: int) -> SimProcess:
-        """The next life of a machine's relay."""
+        """Start the next process of a machine's relay."""
         own_strikes = [s for s in self._strikes if f"n{s.relay}" == machine.name and s.life == number]
         lifetime = SimLifetime(machine, number, own_strikes)
         lifetime.intercept_call, lifetime.terminate = (
@@ -187,14 +187,14 @@
             self.kill(lifetime)
 
     async def _run_program(self, lifetime: SimLifetime, system: SimSystem) -> None:
-        """What ``mallowlug run`` does, and the end of the process behind it."""
+        """Run the program as ``mallowlug run`` does, then end the process with its exit code."""
         try:
             code = await serve(config.load(system), system, lifetime.machine.extras)
         except config.ConfigError as error:
             logging.getLogger("mallowlug").critical("configuration: %s", error)
             code = 2
         except Exception:
-            logging.getLogger("mallowlug").exception("the process broke")
+            logging.getLogger("mallowlug").exception("unhandled exception")
             code = 1
         me = asyncio.current_task()
         rest = [task for task in lifetime.tasks if task is not me]
@@ -210,11 +210,11 @@
         self.end(lifetime, code)
 
     def kill(self, lifetime: SimLifetime) -> None:
-        """SIGKILL."""
+        """Kill the process (SIGKILL)."""
         self.end(lifetime, -signal.SIGKILL)
 
     def end(self, lifetime: SimLifetime, code: int) -> None:
-        """The process is gone; what it held the kernel closes."""
+        """End a process; the kernel closes its sockets and descriptors."""
         if not lifetime.alive:
             return
         lifetime.alive = False
@@ -223,8 +223,8 @@
         lifetime.machine.disk.close_descriptors_of(lifetime)
         for task in list(lifetime.tasks):
             untyped(task)._log_destroy_pending = False
-            # Its coroutines are unwound now, in order, where nothing that they do has an effect any more;
-            # left to the garbage collector they would be at any time. One that is running unwinds by itself.
+            # Close its coroutines now, in order: nothing that they do has an effect any more, and the garbage
+            # collector would close them at an arbitrary time. The running one unwinds by itself.
             with contextlib.suppress(RuntimeError, ValueError, Killed):
                 lifetime.context.copy().run(untyped(task.get_coro()).close)
         if not lifetime.exit_future.done():
@@ -232,21 +232,21 @@
 
 
 class SimLifetime(Lifetime):
-    """A life with its machine and what is to strike it."""
+    """A process lifetime with its machine and the faults configured for it."""
 
     def __init__(self, machine: Machine, number: int, strikes: Sequence[StrikeTable]) -> None:
         super().__init__(machine.name, number)
         self.machine, self.strikes = machine, tuple(strikes)
         self.calls, self.call_counts = 0, Counter[str]()
-        self.calls_before_listen = 0  # system calls before it could take anything on
+        self.calls_before_listen = 0  # system calls before it listened and could accept a message
         self.context = copy_context()
         self.exit_future: asyncio.Future[int] = asyncio.get_running_loop().create_future()
-        self.leaks: list[str] = []  # what was not closed at an orderly end
-        self.disk_failed = False  # its disk failed: it may give up, and say so
+        self.leaks: list[str] = []  # tasks and listening sockets left open by an orderly shutdown
+        self.disk_failed = False  # a disk fault was injected: the process may exit with an error
 
 
 class SimProcess(Process):
-    """A life as its supervisor sees it."""
+    """A process as its supervisor sees it."""
 
     def __init__(self, kernel: Kernel, lifetime: SimLifetime) -> None:
         self._kernel, self.lifetime = kernel, lifetime
@@ -254,15 +254,15 @@
 
     @property
     def returncode(self) -> int | None:
-        """Its exit code, negative for a signal; None while it runs."""
+        """The exit code, negative for a signal; None while the process runs."""
         return self.lifetime.exit_future.result() if self.lifetime.exit_future.done() else None
 
     async def wait(self) -> int:
-        """Wait for its end; the exit code."""
+        """Wait for the process to end; return its exit code."""
         return await asyncio.shield(self.lifetime.exit_future)
 
     def send_signal(self, signal: int) -> None:
-        """Signal it: its handler runs as its next step; without one SIGTERM ends it and SIGHUP is ignored."""
+        """Send a signal: its handler runs as the next step. Without one, SIGTERM ends the process."""
         lifetime = self.lifetime
         if signal in lifetime.handlers:
             self._kernel.loop.call_soon(lifetime.handlers[signal], context=lifetime.context.copy())
@@ -270,12 +270,12 @@
             self._kernel.end(lifetime, -signal)
 
     def kill(self) -> None:
-        """SIGKILL."""
+        """Kill the process (SIGKILL)."""
         self._kernel.kill(self.lifetime)
 
 
 def edit_classes(classes: list[dict[str, Any]], edit: str, number: int) -> None:
-    """Change settings in a way that no rule depends on: one class more, or aims a little shorter."""
+    """Make a settings change that no rule depends on: an additional class, or target times cut by a tenth."""
     if edit == "classes":
         classes.append(classes[0] | {"name": f"more-{number}"})
     for cls in classes if edit == "deadlines" else ():
@@ -283,7 +283,7 @@
 
 
 class SimRelay(Relay):
-    """A relay over all its lives, on a machine of its own."""
+    """A relay across its restarts, on a machine of its own."""
 
     def __init__(
         self,
@@ -300,7 +300,7 @@
             False,
         )  # staffed: its lives have a console
         self.processes: list[SimProcess] = []
-        self.config_edits: list[str] = []  # what staff have changed in its settings: classes, deadlines
+        self.config_edits: list[str] = []  # changes made by operators: "classes" or "deadlines"
 
     def write_config(self) -> None:
         self.machine.disk.install_file(CONFIG, self.told())
@@ -312,7 +312,7 @@
         return json.dumps(raw).encode()
 
     def reload(self, event: EventTable) -> None:
-        """Staff put another file in place and tell one of its processes, as the event says."""
+        """Replace the settings file as the event says, and send SIGHUP unless ``event.unsaid``."""
         if event.file in ("classes", "deadlines"):
             self.config_edits.append(event.file)
         whole = self.told()
@@ -321,7 +321,7 @@
             self.send_sighup(event.back)
 
     def send_sighup(self, last: bool) -> None:
-        """SIGHUP to the process that its supervisor goes by, or to the ``last`` one that was started."""
+        """Send SIGHUP to the current process, or to the one started ``last``."""
         process = self.processes[-1] if last and self.processes else self.process
         if process is not None and process.returncode is None:
             self.note("hup")
@@ -337,25 +337,25 @@
 
     @property
     def leaks(self) -> list[str]:
-        """What its lives left open at an orderly end."""
+        """What its processes left open at an orderly shutdown."""
         return [item for process in self.processes for item in process.lifetime.leaks]
 
     @property
     def crashes(self) -> list[str]:
-        """Lives that ended by themselves, and not by an order, a strike or a failing disk."""
+        """Processes that ended by themselves without an order, an injected kill or a disk fault."""
         ends = [(process.lifetime, process.returncode) for process in self.processes]
         return [f"{lifetime.name} life {lifetime.number} ended with {code}" for lifetime, code in ends
                 if code not in (0, -9, None) and not lifetime.disk_failed]  # fmt: skip
 
     async def kill(self) -> None:
-        """SIGKILL, to all processes that it has."""
+        """Kill all processes of the relay (SIGKILL)."""
         for process in self.processes:
             if process is not self.process:
                 process.kill()
         await super().kill()
 
     async def by_hand(self, host: str, out: bool) -> bool:
-        """At the console of any process that it has now."""
+        """Disable (``out``) or enable a host at the console of any running process, drawn at random."""
         alive = [p.console for p in self.processes if p.returncode is None and p.console is not None]
         if not alive:
             return False
@@ -363,7 +363,7 @@
         return await asked(self.kernel.net.rng.choice(alive), "POST", target) == 200
 
     def owning_lifetime(self) -> Lifetime | None:
-        """Which life holds the lock of the folder's owner, as the kernel knows."""
+        """The process that holds the lock on the state folder's ``owner`` file."""
         return self.machine.disk.lock_holder(STATE / "owner")
 
     def lose(self) -> None:
@@ -371,7 +371,7 @@
         self.machine.boot_count += 1
 
     def cut_power(self) -> None:
-        """The machine stops at once and comes back with its disk: what was synced, and perhaps more."""
+        """Cut the machine's power and restart it; synced data survives, unsynced data perhaps."""
         self.note("kill", "power")
         for process in self.processes:
             process.kill()
--- a/mallowlug/rig/sim/shrink.py
+++ b/mallowlug/rig/sim/shrink.py
@@ -1,7 +1,7 @@
-"""A failure made small: faults, traffic and relays are taken away for as long as it stays; the rest is told.
+"""Minimizes a failing scenario: removes faults, traffic and relays as long as the failure remains.
 
 Delta debugging (Zeller and Hildebrandt, "Simplifying and Isolating Failure-Inducing Input", IEEE TSE 28(2),
-2002): chunks of a list are left out, halved until single items are. Every try is a run of the simulation.
+2002): chunks of a list are removed, their size halved down to single items. Every attempt is a simulated run.
 """
 
 from __future__ import annotations
@@ -21,12 +21,12 @@
 from mallowlug.rig.world import draw
 from mallowlug.rig.world.scenario import MessageTable, NetTable, Scenario
 
-MAX_STORY_EVENTS = 14  # events that a story tells
+MAX_STORY_EVENTS = 14  # events in a story
 
 
 @dataclass(frozen=True, slots=True)
 class MinimizedCase:
-    """A small scenario that still fails, and what happens in it."""
+    """A minimized scenario that still fails, and the events that led to the failure."""
 
     scenario: Scenario
     result: Result
@@ -35,20 +35,20 @@
 
 
 class Shrinker:
-    """Tries smaller scenarios, so many at most."""
+    """Tries smaller scenarios, at most ``tries`` of them."""
 
     def __init__(self, tries: int, failure_signature: frozenset[str], report: Callable[[str], None]) -> None:
         self.left, self.runs, self._signature, self._report = tries, 0, failure_signature, report
 
     def fails(self, scenario: Scenario) -> bool:
-        """Whether it still fails in the same way."""
+        """Whether the scenario still fails with the same signature."""
         if self.left <= 0:
             return False
         self.left, self.runs = self.left - 1, self.runs + 1
         return bool(run_scenario(scenario).failure_signature & self._signature)
 
     def remove_items(self, scenario: Scenario, name: str) -> Scenario:
-        """The scenario with as few of a list's items as still fail."""
+        """Remove items of one of the scenario's lists as long as it still fails."""
         items: Sequence[Any] = getattr(scenario, name)
         size = max(1, len(items) // 2) if items else 0
         while size:
@@ -64,7 +64,7 @@
         return scenario
 
     def simplify(self, scenario: Scenario) -> Scenario:
-        """The scenario on plain links, with the fewest relays."""
+        """Use default links and as few relays as still fail."""
         if scenario.net != NetTable():
             plain = scenario.model_copy(update={"net": NetTable()})
             scenario = plain if self.fails(plain) else scenario
@@ -78,7 +78,7 @@
 
 
 def shrink(scenario: Scenario, tries: int, report: Callable[[str], None]) -> MinimizedCase | None:
-    """The smallest scenario found that fails as this one does; None where it does not fail."""
+    """Return the smallest scenario found with the same failure; None if the scenario does not fail."""
     first = run_scenario(scenario)
     if first.passed:
         return None
@@ -103,7 +103,7 @@
 
 
 def write(minimized: MinimizedCase, folder: Path) -> Path:
-    """Write the small scenario and its story; the scenario's path."""
+    """Write the minimized scenario and its story; return the scenario's path."""
     folder.mkdir(parents=True, exist_ok=True)
     settings = minimized.scenario.model_dump(by_alias=True, mode="json", exclude_defaults=True)
     path = folder / "small.toml"
@@ -113,7 +113,7 @@
 
 
 def story_of(record: rec.Record) -> list[str]:
-    """What led to the first breach, an event a line: its messages, its relay's lives, outages."""
+    """The events before the first broken rule, one a line: its messages, its relay's processes, outages."""
     breaches = judge(record).breaches
     if not breaches:
         return []
@@ -125,18 +125,18 @@
         if event.at <= breach.at_us and (line := describe(event, breach, calls, hosts)):
             lines.append((event.at, line))
     lines.append((breach.at_us, f"BROKEN {breach.rule}: {breach.detail}"))
-    if len(lines) > MAX_STORY_EVENTS:  # what came first and what came last say most
+    if len(lines) > MAX_STORY_EVENTS:  # the first and the last events explain most
         lines = [*lines[: MAX_STORY_EVENTS // 3], *lines[-(MAX_STORY_EVENTS - MAX_STORY_EVENTS // 3) :]]
     return [f"{at / 1e6:10.6f} s  {line}" for at, line in lines]
 
 
 def concerns(call: rec.Call, breach: Breach) -> bool:
-    """Whether a call has to do with a breach: its messages, or its endpoint where that is the breach's."""
+    """Whether a call is related to a breach: by its messages, or by its endpoint if the breach names it."""
     return bool(set(call.ids) & set(breach.ids)) or call.host in breach.ids
 
 
 def describe(event: rec.AnyEvent, breach: Breach, calls: dict[int, rec.Call], hosts: set[str]) -> str:
-    """One event in a reader's words; empty where it has nothing to do with the breach."""
+    """Describe one event; empty if it is unrelated to the breach."""
     match event:
         case rec.Ask() if event.id in breach.ids:
             order = f", order {event.order}" if event.order else ""
--- a/mallowlug/rig/sim/sweep.py
+++ b/mallowlug/rig/sim/sweep.py
@@ -1,4 +1,4 @@
-"""Many seeds, each with faults of its own: played, judged, counted. Nothing stops at a breach."""
+"""Runs many seeds, each with its own faults, and counts the results; a broken rule does not stop it."""
 
 from __future__ import annotations
 
@@ -19,38 +19,38 @@
 from mallowlug.rig.world.scenario import STRUCK, SYNCS, Scenario
 
 WHEN = ("before", "within", "after")
-# At which a life can be killed.
+# Points at which a process can be killed.
 POINTS = (*(f"{name}.{when}" for name in (*STRUCK, *SYNCS) for when in WHEN), "step")
 
 
 @dataclass(frozen=True, slots=True)
 class Result:
-    """What one seed says."""
+    """The result of one seed."""
 
     seed: int
     state: str  # kept, broken, unknown, or error where the simulation itself failed
     breaches: tuple[str, ...] = ()
     rules: tuple[str, ...] = ()
     complaints: tuple[str, ...] = ()
-    points: tuple[tuple[str, int, str], ...] = ()  # struck: relay, life, point
+    points: tuple[tuple[str, int, str], ...] = ()  # injected faults: relay, process, point
     messages: int = 0
-    length_s: float = 0.0  # simulated
-    calls: tuple[tuple[int, int], ...] = ()  # of relay 0, by life: until it listened, and in all
+    length_s: float = 0.0  # simulated time
+    calls: tuple[tuple[int, int], ...] = ()  # of relay 0, by process: before it listened, and in all
 
     @property
     def passed(self) -> bool:
-        """Whether no rule broke and nothing else was wrong."""
+        """Whether all rules were kept and there are no complaints."""
         return self.state == "kept" and not self.complaints
 
     @property
     def failure_signature(self) -> frozenset[str]:
-        """What it failed by, for whoever looks for the same failure: rules, else the complaints' kinds."""
+        """Identifies the failure when searching for the same one: broken rules, else kinds of complaints."""
         kinds = {complaint.partition(":")[0] for complaint in self.complaints}
         return frozenset(self.rules) or frozenset(kinds) or frozenset({self.state} - {"kept"})
 
 
 def judge_run(seed: int, done: SimulatedRun) -> Result:
-    """Judge a run."""
+    """Judge a simulated run."""
     record = rec.read(done.path)
     verdict = judge(record)
     return Result(
@@ -71,7 +71,7 @@
 
 
 def run_scenario(scenario: Scenario, folder: Path | None = None) -> Result:
-    """Play a scenario as it stands and judge it; its record is kept only where a folder is named."""
+    """Run a scenario unchanged and judge it; its record is kept only if a folder is given."""
     where = folder or Path(tempfile.mkdtemp(prefix="sim-"))
     try:
         return judge_run(scenario.seed, simulate(scenario, where))
@@ -83,12 +83,12 @@
 
 
 def run_seed(scenario: Scenario, seed: int) -> Result:
-    """One seed of a sweep."""
+    """Run one seed of a sweep."""
     return run_scenario(swarm(scenario, seed))
 
 
 def run_seeds(scenario: Scenario, seeds: Sequence[int], jobs: int) -> Iterator[Result]:
-    """Every seed's result, in order of seeds; ``jobs`` processes work on them side by side."""
+    """Yield the result of every seed in order; ``jobs`` processes work in parallel."""
     if jobs == 1:
         yield from (run_seed(scenario, seed) for seed in seeds)
         return
@@ -98,13 +98,13 @@
 
 @dataclass(slots=True)
 class Coverage:
-    """Which points were reached how often, and which followed which in the next life that was struck."""
+    """How often each fault point was hit, and which pairs were hit one after the other in one relay."""
 
     points: Counter[str] = field(default_factory=Counter)
     pairs: Counter[tuple[str, str]] = field(default_factory=Counter)
 
     def add(self, result: Result) -> None:
-        """Count one seed's strikes."""
+        """Count the injected faults of one seed."""
         last: dict[str, str] = {}
         for relay, _, point in result.points:
             self.points[point] += 1
@@ -120,7 +120,7 @@
 
 @dataclass(slots=True)
 class SweepSummary:
-    """What a sweep says as a whole."""
+    """The totals of a sweep."""
 
     seeds: int = 0
     failed: list[Result] = field(default_factory=list)
@@ -129,7 +129,7 @@
     length_s: float = 0.0
 
     def add(self, results: Iterable[Result], on_failure: Callable[[Result], None]) -> None:
-        """Take results in as they come."""
+        """Add results as they arrive; ``on_failure`` gets each failed one."""
         for result in results:
             self.seeds += 1
             self.messages += result.messages
--- a/mallowlug/rig/sim/upgrade.py
+++ b/mallowlug/rig/sim/upgrade.py
@@ -1,7 +1,7 @@
-"""An upgrade as a supervisor makes it: a second process beside the first, its yes, the first one's end.
+"""An upgrade as a supervisor does it: start a second process, wait until it is ready, end the first one.
 
-To the record both are one relay: nothing is noted while both live, so every rule goes on through it. Only
-where a process that owned the messages dies is there an end, and a new beginning once another one owns them.
+The record shows both as one relay: nothing is noted while both run, so every rule stays in force. An end is
+noted only if a process that owned the messages dies, and a new start once another process owns them.
 """
 
 from __future__ import annotations
@@ -14,9 +14,9 @@
 from mallowlug.rig.sim.process import SimProcess, SimRelay
 from mallowlug.rig.world.scenario import EventTable
 
-READY_S = 6.0  # s in which the new process has to say yes
+READY_S = 6.0  # s in which the new process has to become ready
 POLL_S = 0.02
-FALLBACK_S = 3.0  # s in which a process that is left alone has to own the messages again
+FALLBACK_S = 3.0  # s in which the remaining process has to own the messages again
 
 
 class Upgrade:
@@ -25,10 +25,10 @@
     def __init__(self, relay: SimRelay, event: EventTable) -> None:
         self._relay, self._event = relay, event
         self._loop = asyncio.get_running_loop()
-        self._ended = False  # whether an end of the owner is noted that no beginning has followed yet
+        self._ended = False  # an end of the owner was noted, and no new start since
 
     async def play(self) -> None:
-        """All of it; nobody else ends or starts the relay meanwhile."""
+        """Run the whole upgrade; holds the relay's lock, so that nothing else ends or starts the relay."""
         async with self._relay.turn:
             old = self._relay.process
             if not isinstance(old, SimProcess) or old.returncode is not None:
@@ -51,7 +51,7 @@
             new.kill()
             if await self._falls_back_to(old):
                 return
-            # Both are gone: a supervisor starts it anew.
+            # Both have ended: a supervisor starts the relay again.
             await asyncio.sleep(0.05)
             await self._relay.up(0.05)
 
@@ -60,7 +60,7 @@
         self._kill_process(process)
 
     def _kill_process(self, process: SimProcess) -> None:
-        """SIGKILL; where it owned the messages, the relay has ended for a moment."""
+        """Kill a process (SIGKILL); if it owned the messages, note the relay's end."""
         if process.returncode is None:
             if self._relay.owning_lifetime() is process.lifetime and not self._ended:
                 self._relay.note("kill")
@@ -68,7 +68,7 @@
             process.kill()
 
     def _note_exit(self, code: int) -> None:
-        """Who owned the messages is gone; noted once until another one owns them."""
+        """Note once that the owner of the messages has ended, until another process owns them."""
         if not self._ended:
             self._relay.note("exit", str(code))
             self._ended = True
@@ -79,17 +79,17 @@
             self._ended = False
 
     async def _watch(self, old: SimProcess, new: SimProcess) -> None:
-        """Note the old one's end at once, also by a strike of the kernel, if it owned the messages."""
+        """Note the old process's end at once, also by an injected kill, if it owned the messages."""
         code = await old.wait()
         if self._relay.process is old and self._relay.owning_lifetime() is not new.lifetime:
             self._note_exit(code)
 
     async def _note_end(self, owner: SimProcess) -> None:
-        """Note the end of one that has said yes, while the old one still keeps the door."""
+        """Note the end of a new process that was ready, while the old one still holds the spool."""
         self._note_exit(await owner.wait())
 
     async def _becomes_ready(self, new: SimProcess) -> bool:
-        """Whether the new process says at its console that it is ready, in time."""
+        """Whether the new process reports ready at its console in time."""
         deadline_s = self._loop.time() + READY_S
         console = self._relay.machine.console
         assert console is not None
@@ -100,7 +100,7 @@
         return False
 
     async def _falls_back_to(self, old: SimProcess) -> bool:
-        """The new process is gone: whether the old one owns the messages (again)."""
+        """After the end of the new process: whether the old one owns the messages (again)."""
         deadline_s = self._loop.time() + FALLBACK_S
         while old.returncode is None and self._loop.time() < deadline_s:
             if self._relay.owning_lifetime() is old.lifetime:
@@ -114,7 +114,7 @@
         return False
 
     async def _end(self, old: SimProcess) -> None:
-        """SIGTERM, and SIGKILL where it lasts too long."""
+        """Stop a process by SIGTERM, and by SIGKILL if it takes too long."""
         old.send_signal(signal.SIGTERM)
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(TERM_S):
--- a/mallowlug/rig/sim_cli.py
+++ b/mallowlug/rig/sim_cli.py
@@ -1,4 +1,4 @@
-"""``mallowlug sim``: play a scenario in simulated time, sweep seeds, make a failure small."""
+"""``mallowlug sim``: run scenarios in simulated time, sweep seeds, minimize failures."""
 
 from __future__ import annotations
 
@@ -15,16 +15,16 @@
 from mallowlug.rig.sim.ground import simulate
 from mallowlug.rig.world import scenario
 
-SHOWN = 3  # breaches of a seed that a sweep prints
+SHOWN = 3  # breaches and complaints printed for each failed seed
 
 
 class Seeds(click.ParamType[range]):
-    """``A-B`` or one number."""
+    """A range of seeds, ``A-B``, or a single seed."""
 
     name = "A-B"
 
     def convert(self, value: Any, param: click.Parameter | None, ctx: click.Context | None) -> range:
-        """The seeds; a usage error where there is none."""
+        """Return the range of seeds; a usage error if it is malformed or empty."""
         if isinstance(value, range):
             return value
         low, sign, high = value.partition("-")
@@ -37,18 +37,18 @@
 
 
 def world_of(file: Path, seed: int | None, faults: bool) -> scenario.Scenario:
-    """The scenario that is asked for."""
+    """Load the scenario, with the faults of its seed if asked for."""
     world = rig.varied(scenario.load(file), seed, None)
     return swarm(world, world.seed) if faults else world
 
 
 scenario_argument = click.argument("file", metavar="SCENARIO", type=rig.FILE)
-faults_option = click.option("--faults", is_flag=True, help="With those that a sweep draws.")
+faults_option = click.option("--faults", is_flag=True, help="Add the faults that a sweep draws.")
 
 
 @click.group("sim")
 def group() -> None:
-    """The same world and the same relays in simulated time, with faults drawn from seeds.
+    """Run the rig's test environment and relays in simulated time, with faults drawn from seeds.
 
     Exit codes: 0 all rules kept and every point reached; 1 a failure; 2 a file that cannot be read or used.
     """
@@ -62,7 +62,7 @@
 @faults_option
 @rig.usable
 def run(file: Path, out: Path | None, seed: int | None, relays: int | None, faults: bool) -> int:
-    """Play, judge and report, as ``rig run`` does."""
+    """Run a scenario, judge and report it, as ``rig run`` does."""
     world = rig.varied(world_of(file, seed, faults), None, relays)
     folder = rig.fresh(out, world.name)
     start_s = time.perf_counter()
@@ -80,11 +80,11 @@
 @group.command("sweep")
 @scenario_argument
 @click.option("--seeds", type=Seeds(), required=True, help="A-B, or one.")
-@click.option("--jobs", type=click.IntRange(1), default=os.cpu_count() or 1, help="Processes side by side.")
+@click.option("--jobs", type=click.IntRange(1), default=os.cpu_count() or 1, help="Parallel processes.")
 @click.option("--some-points", is_flag=True, help="Do not fail for points that none reached.")
 @rig.usable
 def swept(file: Path, seeds: range, jobs: int, some_points: bool) -> int:
-    """Play every seed; each failure with the command that plays it again."""
+    """Run every seed; print each failure with the command that replays it."""
     world, total, start_s = scenario.load(file), sweep.SweepSummary(), time.perf_counter()
 
     def told(result: sweep.Result) -> None:
@@ -113,7 +113,7 @@
 @faults_option
 @rig.usable
 def hourly(file: Path, count: int, out: Path | None, seed: int | None, faults: bool) -> int:
-    """Play hour after hour and say what a relay holds at the end of each."""
+    """Repeat the scenario's hour and print what each relay holds at the end of each."""
     world = world_of(file, seed, faults)
     try:
         found = hours.run_hours(world, count, rig.fresh(out, world.name))
@@ -129,13 +129,13 @@
 
 @group.command("shrink")
 @scenario_argument
-@click.option("--tries", type=click.IntRange(1), default=400, show_default=True, help="Runs at most.")
+@click.option("--tries", type=click.IntRange(1), default=400, show_default=True, help="Max number of runs.")
 @click.option("--out", type=rig.FILE, help="Folder for the small scenario, its record and story.")
 @rig.seed_option
 @faults_option
 @rig.usable
 def shrunk(file: Path, tries: int, out: Path | None, seed: int | None, faults: bool) -> int:
-    """Leave a small scenario and a story of what happened; 1 where there is a failure to tell of."""
+    """Minimize a failing scenario and write it with its story; exit code 1 if it fails."""
     world = world_of(file, seed, faults)
     folder = rig.fresh(out, f"{world.name}-small")
     found = shrink.shrink(world, tries, lambda line: print(line, flush=True))
--- a/tests/test_command_line.py
+++ b/tests/test_command_line.py
@@ -19,7 +19,7 @@
         (["rig", "run", SWARM_SCENARIO, "--relays", "0"], "0 is not in the range"),
         (["sim", "sweep", SWARM_SCENARIO, "--seeds", "9-3"], "no seed in '9-3'"),
         (["sim", "sweep", SWARM_SCENARIO, "--seeds", "a"], "not A-B: 'a'"),
-        (["sim", "hours", SWARM_SCENARIO, "--hours", "1"], "no room for a lull"),
+        (["sim", "hours", SWARM_SCENARIO, "--hours", "1"], "no room for a quiet period"),
     ],
 )
 def test_unusable_command_line_exits_with_2(
