--- a/mallowlug/rig/sim/disk.py
+++ b/mallowlug/rig/sim/disk.py
@@ -56,8 +56,8 @@
     def _begin_call(call: str, data: bytes = b"") -> tuple[Lifetime | None, str]:
         """Begin a system call; return the current process and the outcome.
 
-        ``data``: what is written to the journal, or the name of another file. Raises ``Killed`` if the process
-        dies before the call, and ``OSError`` if the call fails.
+        ``data``: what is written to the journal, or the name of another file. Raises ``Killed`` if the
+        process dies before the call, and ``OSError`` if the call fails.
         """
         lifetime = CURRENT_LIFETIME.get()
         return lifetime, "" if lifetime is None else lifetime.begin_call(call, data)
--- a/tests/sim/test_cases.py
+++ b/tests/sim/test_cases.py
@@ -1,4 +1,4 @@
-"""The hard cases, each in a small world where the fault is seen to strike."""
+"""Difficult cases, each in a small scenario that shows that the fault is injected."""
 
 from __future__ import annotations
 
@@ -22,12 +22,12 @@
 
 
 def world(**more: Any) -> Scenario:
-    """Two relays and thirty messages a second."""
+    """Two relays and thirty messages per second."""
     return Scenario.model_validate(TWO | more)
 
 
 def kept(scenario: Scenario, folder: Path) -> rec.Record:
-    """Its record, of which no rule is broken and nothing else is wrong."""
+    """Run a scenario in which no rule may break and nothing else be wrong; return its record."""
     done, record, verdict = judged(scenario, folder)
     assert (verdict.state, verdict.breaches, done.complaints) == ("kept", (), [])
     return record
@@ -37,8 +37,11 @@
     "strikes",
     [
         [("write.try", 2, "within", 0)],  # between the records of one batch
-        [("write.in", 3, "within", 0), ("truncate", 1, "within", 1)],  # in replay's own write
-        [("write.in", 3, "after", 0), ("write.journal.new", 1, "within", 1)],  # in the compaction after it
+        [("write.in", 3, "within", 0), ("truncate", 1, "within", 1)],  # in the replay's own write
+        [
+            ("write.in", 3, "after", 0),
+            ("write.journal.new", 1, "within", 1),
+        ],  # in the compaction after the replay
         [("replace", 1, "after", 0), ("unlink", 1, "before", 1)],
     ],
 )
@@ -49,7 +52,7 @@
 
 
 def test_a_clock_that_jumps_back_over_a_deadline_while_the_relay_is_down(tmp_path: Path) -> None:
-    """Planted: the wall clock is believed at the next start, and ends come a minute late."""
+    """Seeded fault: the wall clock is trusted at the next start, and final results come a minute late."""
     events = [
         {"at_s": 1.0, "what": "silent", "len_s": 5.0, "dest": 0},
         {"at_s": 2.0, "what": "kill"},
--- a/tests/sim/test_determinism.py
+++ b/tests/sim/test_determinism.py
@@ -1,4 +1,4 @@
-"""One seed, one history: byte for byte, twice in one process and under any hash seed."""
+"""A seed gives one record, byte for byte: twice in one process and under any hash seed."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from tests.world import ROOT
 
 SWARM = scenario.load(ROOT / "scenarios" / "swarm.toml")
-SEED = 40  # has kills, stalls, jumps, a full disk and spoilt answers
+SEED = 40  # has kills, stalls, clock jumps, a full disk and corrupt responses
 CHILD = """
 import sys
 from pathlib import Path
@@ -28,12 +28,12 @@
 
 
 def digest(seed: int, folder: Path) -> str:
-    """The record of one seed's run."""
+    """The hash of the record of one seed's run."""
     return hashlib.sha256(simulate(swarm(SWARM, seed), folder).path.read_bytes()).hexdigest()
 
 
 def child(seed: int, folder: Path, hash_seed: str) -> str:
-    """The same in a process of its own."""
+    """The same hash, computed in a separate process."""
     told = os.environ | {"PYTHONHASHSEED": hash_seed, "PYTHONPATH": str(ROOT)}
     command = [sys.executable, "-c", CHILD, str(seed), str(folder)]
     ended = subprocess.run(command, cwd=ROOT, env=told, capture_output=True, check=True, text=True)
@@ -48,12 +48,12 @@
 
 
 def test_an_unordered_set_is_found(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Planted: batches in the order of their objects' addresses. Two runs of a seed then differ."""
+    """Seeded fault: batches are ordered by object addresses, so that two runs of a seed differ."""
     send = HttpPartners.send
     junk: list[Any] = []
 
     def shuffled(self: HttpPartners, call: Any) -> Any:
-        junk.append([object() for _ in range(len(junk) % 7)])  # as any program's memory would be
+        junk.append([object() for _ in range(len(junk) % 7)])  # vary the memory layout between runs
         call.parts.sort(key=lambda part: hash((id(part), len(junk))))
         return send(self, call)
 
--- a/tests/sim/test_guards.py
+++ b/tests/sim/test_guards.py
@@ -1,8 +1,8 @@
-"""Rules that two guards keep: the module sends nothing there, the adapter writes nothing decided before.
+"""Rules that two guards keep: the engine does not send, and the adapter does not write earlier decisions.
 
-With one planted out the other may keep the rule over whole sweeps, so each plant has to be seen for its own
-guard: the module's by the watch on its steps, the adapter's by the judge, in worlds where a wait or a drain
-comes between a decision and its first byte.
+With one guard disabled the other may keep the rule over whole sweeps, so each seeded fault has to be
+detected for its own guard: the engine's by the invariant monitor, the adapter's by the judge, in scenarios
+where a wait or a drain comes between a decision and its first byte.
 """
 
 from __future__ import annotations
@@ -40,7 +40,7 @@
 
 
 def heard(change: Callable[[Any], Any]) -> Patch:
-    """The module hears something else of an event, or (None) nothing of it."""
+    """Change each event that the engine receives; events changed to None are dropped."""
 
     def patch(monkey: pytest.MonkeyPatch) -> None:
         real = engine.DecisionEngine.step
@@ -54,12 +54,12 @@
 
 
 def waitless(event: Any) -> Any:
-    """No answer tells a wait."""
+    """Remove the Retry-After wait of an outcome."""
     return replace(event, retry_after_us=0) if isinstance(event, api.Outcome) else event
 
 
 def drainless(event: Any) -> Any:
-    """What drains looks ready."""
+    """List draining endpoints as ready."""
     if not isinstance(event, api.EndpointUpdate):
         return event
     ready = api.Listing.READY
@@ -68,32 +68,32 @@
 
 
 def handless(event: Any) -> Any:
-    """Staff say nothing."""
+    """Drop the overrides of hosts by operators."""
     return None if isinstance(event, api.HostOverride) else event
 
 
 def turns_for_all(monkey: pytest.MonkeyPatch) -> None:
-    """Every message has its turn."""
+    """The order of messages with the same key is ignored."""
     monkey.setattr(engine.DecisionEngine, "_allowed_by_key_order", lambda self, message: True)
 
 
 def no_ends(monkey: pytest.MonkeyPatch) -> None:
-    """What has no time left is not given up."""
+    """Held messages do not expire."""
     monkey.setattr(engine.DecisionEngine, "_expire_held", lambda self: None)
 
 
 def nothing_runs(monkey: pytest.MonkeyPatch) -> None:
-    """Every failed attempt is taken for one that never ran."""
+    """Every failed attempt is treated as if it never ran."""
     monkey.setattr(api.Verdict, "never_ran", property(lambda self: True))
 
 
 def unwaiting(monkey: pytest.MonkeyPatch) -> None:
-    """The adapter writes what was decided, whatever was told since."""
+    """The adapter writes what was decided, even if a wait was announced since."""
     monkey.setattr(http_calls.HttpPartners, "wait_left_us", lambda self, host: 0)
 
 
 def serving(monkey: pytest.MonkeyPatch) -> None:
-    """The adapter writes what was decided, whatever the list or the staff say since."""
+    """The adapter writes what was decided, even if the host was drained or disabled since."""
     monkey.setattr(http_calls.HttpPartners, "_may_call", lambda self, host: host in self._listed)
 
 
@@ -115,12 +115,12 @@
     with planted(patch):
         result = run_scenario(swarm(world, seed))
     assert any(line.startswith(f"guard: {rule}: ") for line in result.complaints)
-    if name in HELD_BY_THE_ADAPTER:  # so a judge alone finds nothing wrong
+    if name in HELD_BY_THE_ADAPTER:  # the judge alone finds nothing wrong
         assert result.rules == ()
 
 
 def far(latency_ms: float, **changes: Any) -> scenario.Scenario:
-    """A quiet world whose links are so long that much is told while a connection comes up."""
+    """A scenario without faults, on links so slow that much is announced while a connection is set up."""
     kinds = [
         kind.model_copy(
             update={"limited": True, "headroom": (0.3, 0.5), "wait_ms": (2000, 2500), "apart": False,
@@ -135,7 +135,7 @@
 
 
 def draining() -> scenario.Scenario:
-    """Endpoints drain all the time, on links longer than any limit of the rules allows for."""
+    """Endpoints drain all the time, on links slower than any limit of the rules allows for."""
     events = [{"at_s": 2.0 + at, "what": "drain", "count": 2, "len_s": 1.0} for at in range(10)]
     return far(200, seed=2, events=tuple(map(scenario.EventTable.model_validate, events)))
 
@@ -154,14 +154,14 @@
 
 
 def test_of_what_is_handed_over_nothing_is_lost_on_endpoints_that_are_listed_later() -> None:
-    """An upgrade whose new process is killed at once: the old one knew waits, and no list (seed 70640)."""
+    """An upgrade's new process is killed at once; the old one had waits but no endpoint list (70640)."""
     world = scenario.load(ROOT / "scenarios" / "upgrade.toml")
     result = run_scenario(swarm(world, 70640))
     assert (result.rules, result.complaints) == ((), ())
 
 
 def lapses(*steps: tuple[list[api.Event], list[api.Action]]) -> list[str]:
-    """What a watch says of steps 100 ms apart."""
+    """The rules that a monitor reports as violated, for steps 100 ms apart."""
     said = list[str]()
     watch = InvariantMonitor(settings(), said.append)
     for at, (events, actions) in enumerate(steps):
--- a/tests/sim/test_hours.py
+++ b/tests/sim/test_hours.py
@@ -1,4 +1,4 @@
-"""A relay comes back to where it was after each hour; what does not is told by its type."""
+"""A relay's memory and descriptors do not grow from hour to hour; a leak is reported by type."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 def test_memory_and_descriptors_come_back(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    # Ids of completed messages: as many after every hour.
+    # Few enough remembered ids of completed messages that every hour ends with the same number.
     monkeypatch.setattr(relay, "MAX_REMEMBERED_IDS", 50)
     found = hours.run_hours(HOUR, 4, tmp_path, quiet_s=45.0)
     assert found.done.complaints == []
@@ -41,13 +41,13 @@
 
 
 def test_a_leak_is_found_by_its_type(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Hosts that are gone are never forgotten."""
+    """Seeded fault: removed hosts are never forgotten."""
     monkeypatch.setattr(engine.DecisionEngine, "_forget_gone_hosts", lambda self: None)
     problems = hours.run_hours(HOUR, 4, tmp_path, quiet_s=45.0).problems
     assert problems
     assert "DecayingCounter" in problems[-1]
 
 
-def test_an_hour_without_a_lull_is_refused(tmp_path: Path) -> None:
+def test_an_hour_without_a_quiet_period_is_refused(tmp_path: Path) -> None:
     with pytest.raises(hours.QuietPeriodError, match="replace at"):
         hours.run_hours(HOUR, 2, tmp_path, quiet_s=55.0)
--- a/tests/sim/test_kernel.py
+++ b/tests/sim/test_kernel.py
@@ -1,4 +1,4 @@
-"""The simulated kernel keeps to what TCP and POSIX allow, seen by asyncio's own streams and by properties."""
+"""The simulated kernel behaves as TCP and POSIX allow, seen through asyncio's streams and by properties."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 def run(main: Coroutine[Any, Any, Any], link: Link | None = None, seed: int = 1) -> tuple[Any, SimLoop]:
-    """A coroutine on a simulated kernel."""
+    """Run a coroutine on a simulated kernel."""
     loop = SimLoop()
     loop.net = Network(loop, random.Random(seed))
     if link is not None:
@@ -94,7 +94,7 @@
             conn.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"")
         conn.close()
         await asyncio.sleep(1)
-        assert sock.recv(100) == b"last words"  # what came before a reset may still be read
+        assert sock.recv(100) == b"last words"  # bytes received before a reset may still be read
         return sock.recv(100)
 
     if how == "end":
@@ -130,7 +130,7 @@
 
 @given(seed=st.integers(0, 200))
 def test_the_loss_of_a_machine_leaves_the_old_file_or_the_new_one(seed: int) -> None:
-    """Between a rename and the sync of its folder either may be there, with what was synced at least."""
+    """Between a rename and the directory sync either file may be there, with at least its synced bytes."""
     disk = SimDisk(random.Random(seed))
     fd = disk.open(OLD, APPEND)
     disk.write(fd, b"old")
--- a/tests/sim/test_members.py
+++ b/tests/sim/test_members.py
@@ -1,4 +1,4 @@
-"""The view of the fleet in the simulated world: relays, partners and traffic around it, faults between."""
+"""The fleet view in simulation: relays with partners and traffic, and faults between them."""
 
 from __future__ import annotations
 
@@ -22,11 +22,14 @@
 from tests.world import ROOT
 
 FLEET = scenario.load(ROOT / "scenarios" / "fleet.toml")
-AT_S = 12.0  # when the views are looked at: behind the last fault
+AT_S = 12.0  # when the views are compared: after the last fault
 
 
 def looked(tmp_path: Path, monkeypatch: pytest.MonkeyPatch, *rows: dict[str, Any]) -> dict[str, Agent]:
-    """By relay: what holds its view at that time. No rule of the relay is broken meanwhile."""
+    """Run with these events; return each relay's fleet agent at ``AT_S``.
+
+    Requires that all views are equal then, and that no rule is broken.
+    """
     agents, found = dict[str, Agent](), dict[str, Agent]()
     real = Agent.open
 
--- a/tests/sim/test_sweep.py
+++ b/tests/sim/test_sweep.py
@@ -1,4 +1,4 @@
-"""Search finds what is wrong, makes it small, and says what it did not reach; regression seeds stay kept."""
+"""Sweeps detect seeded faults, minimize failures and report missed points; regression seeds still pass."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 from tests.world import ROOT
 
 SWARM = ROOT / "scenarios" / "swarm.toml"
-# Each broke a rule once: by a clock, a full disk, an open call, or a judge that read too much into a record.
+# Each broke a rule once: by a clock, a full disk, an open call, or a judge that misread a record.
 REGRESSIONS = (
     4, 5, 8, 22, 30, 40, 59, 78, 99, 121, 133, 147, 189, 193, 197, 205, 411, 595, 605, 616, 652, 1183, 1186,
     1354, 1583, 2009, 2586, 2993, 20071, 20098, 20327, 51104, 61015, 61033, 71224,
 )  # fmt: skip
-# Small changes of the real code: found by single kills of the small world, and by a seed of the swarm.
+# Seeded faults: SMALL are detected by single kills in the small scenario, SEEDS by a seed of the swarm.
 SMALL = (
     "lost_ends", "all_never_ran", "waits_unread", "tried_after_the_bytes", "newest_not_compacted",
     "attempts_forgotten", "window_forgotten", "wake_lost", "unsent_means_unrun",
@@ -30,8 +30,10 @@
     "refused_unkept": 1568, "own_time_outs": 17,
 }  # fmt: skip
 
-BUSY = ("clock_tried_once",)  # found only where keyed messages are held for long: from 45 to 60 a second
-SLEEPLESS = ("clock_tried_once", "refused_unkept")  # what hides them there: destinations that fall asleep
+BUSY = (
+    "clock_tried_once",
+)  # found only if keyed messages are held for long: at 45 to 60 messages per second
+SLEEPLESS = ("clock_tried_once", "refused_unkept")  # not detected there if destinations become inactive
 
 
 def test_no_single_kill_breaks_a_rule_and_every_kind_of_call_is_struck() -> None:
@@ -40,7 +42,9 @@
     cover = sweep.Coverage()
     for result in results:
         cover.add(result)
-    never = [point for point in cover.missed if not point.startswith("sync")]  # its journals are not durable
+    never = [
+        point for point in cover.missed if not point.startswith("sync")
+    ]  # the scenario's journals are not durable
     assert never == ["step"]
     assert len(results) == sum(cover.points.values()) > 120
 
--- a/tests/sim/test_upgrades.py
+++ b/tests/sim/test_upgrades.py
@@ -1,4 +1,4 @@
-"""Upgrades in the simulated world: seeds that once failed, kills at each call, and planted faults."""
+"""Simulated upgrades: regression seeds, kills at each system call, and seeded faults."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 UPGRADE = scenario.load(ROOT / "scenarios" / "upgrade.toml")
 STAFF = scenario.load(ROOT / "scenarios" / "staff.toml")
 HANDOVER = scenario.load(ROOT / "scenarios" / "handover.toml")
-# What each found is in the commits: files that came back or had one name, a full disk, order at a door.
+# The commits say what each found: reappearing or same-named files, a full disk, message order at a spool.
 ONCE_FAILED = (
     1, 19, 36, 48, 68, 116, 119, 147, 150, 151, 172, 185, 197, 215, 223, 251, 255, 9026, 9035, 20095,
     20270, 20293, 20391, 51104, 51122, 70433, 70640,
@@ -48,12 +48,12 @@
 
 
 def small(*strikes: dict[str, Any]) -> Scenario:
-    """A relay that is upgraded among 24 messages, with these strikes."""
+    """A relay that is upgraded while 24 messages arrive, with these injected faults."""
     return Scenario.model_validate(SMALL | {"strike": list(strikes)})
 
 
 def roomy() -> Scenario:
-    """The same where nothing is refused or fails."""
+    """The same without refusals or failures."""
     kind = SMALL["kind"][0] | {"limited": False, "least_per_s": (200, 200), "error_rate": 0.0, "batch": 1}
     return Scenario.model_validate(SMALL | {"kind": [kind]})
 
@@ -71,15 +71,15 @@
             if end == "delivered"]  # fmt: skip
     assert len(ends) == len(set(ends)) == 24
     assert any("handed over" in line for line in done.logs["n0"])
-    assert len(done.calls) == 2 and done.calls[1][1] > 20  # both lives made system calls
+    assert len(done.calls) == 2 and done.calls[1][1] > 20  # both processes made system calls
 
 
 @pytest.mark.parametrize("life", [0, 1])
 @pytest.mark.parametrize("when", WHEN)
 def test_no_kill_at_a_call_of_either_process_breaks_a_rule(life: int, when: str) -> None:
-    """Every third call of the handover, and some behind it; each way begins at another one."""
+    """Every third call of the handover and some after it; each ``when`` starts at another call."""
     listens, calls = run_scenario(small()).calls[life]
-    first = max(1, calls - 60) if life == 0 else 1  # an old one hands over with its last calls
+    first = max(1, calls - 60) if life == 0 else 1  # the old process hands over with its last calls
     last = calls if life == 0 else listens + 15
     failed = []
     for at in (*range(first + WHEN.index(when), last + 1, 3), *range(last + 1, calls + 1, 25)):
@@ -91,12 +91,12 @@
 
 
 def both_own(monkey: pytest.MonkeyPatch) -> None:
-    """A lock that anybody gets."""
+    """The owner lock is granted to every process."""
     monkey.setattr(SimDisk, "lock", lambda self, fd: True)
 
 
 def waits_left_behind(monkey: pytest.MonkeyPatch) -> None:
-    """Told waits are not handed over."""
+    """Retry-After waits are not handed over."""
     real = RelayCore.handover_state
 
     def telling(self: RelayCore) -> Any:
@@ -108,23 +108,23 @@
 
 
 def door_unread(monkey: pytest.MonkeyPatch) -> None:
-    """What a door writes is removed unread."""
+    """Spool files are removed unread."""
     monkey.setattr(spool, "read_spooled_message", lambda data, at: None)
 
 
 def read_anew(monkey: pytest.MonkeyPatch) -> None:
-    """How far a door's file is adopted is forgotten with the life, and so is what is over."""
+    """A restart forgets how far a spool file was adopted, and which messages are finished."""
     monkey.setattr(RelayCore, "spools", property(lambda self: {}))
     monkey.setattr(RelayCore, "knows", lambda self, ref: False)
 
 
 def ban_lost(monkey: pytest.MonkeyPatch) -> None:
-    """Which hosts are out is not read at a start."""
+    """The disabled hosts are not read at a start."""
     monkey.setattr(DisabledHosts, "_read", lambda self: self.hosts)
 
 
 def banned() -> Scenario:
-    """The one host is taken out, the relay upgraded, and messages go on coming."""
+    """The only host is disabled, the relay upgraded, and messages keep arriving."""
     events = [{"at_s": 0.05, "what": "out", "len_s": 1.1, "count": 2}, {"at_s": 0.15, "what": "upgrade"}]
     late = [{**message, "at_s": 0.75 + 0.01 * number} for number, message in enumerate(SMALL["message"])]
     return Scenario.model_validate(SMALL | {"event": events, "message": late})
@@ -157,13 +157,13 @@
 
 
 def start_counts(monkey: pytest.MonkeyPatch) -> None:
-    """Who takes over goes by what it read at its start; so it was once."""
+    """The process that takes over uses the settings of its start, as an earlier version did."""
     monkey.setattr(RelayProcess, "apply_config_in_force", lambda self, binds: None)
     monkey.setattr(UpgradeCoordinator, "_exchange_news", lambda self: self._process.refresh_disabled_hosts())
 
 
 def not_handed_over(monkey: pytest.MonkeyPatch) -> None:
-    """What is in force does not go over: a broken file leaves the one who takes over as it started."""
+    """The settings in force are not handed over: with a broken file the new process keeps its first ones."""
     monkey.setattr(RelayProcess, "_config_in_force", lambda self, binds: None)
     real = UpgradeCoordinator.wait_for_ownership
 
@@ -176,14 +176,14 @@
 
 
 def hup_not_told(monkey: pytest.MonkeyPatch) -> None:
-    """Neither process hears of the other's SIGHUP, and nobody reads the file at a take-over."""
+    """Neither process learns of the other's SIGHUP, and the file is not read at a takeover."""
     monkey.setattr(UpgradeCoordinator, "_record_sighup", lambda self: None)
     monkey.setattr(RelayProcess, "apply_config_in_force", lambda self, binds: None)
 
 
 @pytest.mark.parametrize("seed", [*range(1, 9), 103, 131, 135, 1123, 1229])
 def test_whoever_takes_over_goes_by_what_is_in_force(seed: int) -> None:
-    """The file changes at every stage of a handover, told to either process or to none."""
+    """The settings file changes at every stage of a handover, announced to either process or to none."""
     result = run_scenario(swarm(HANDOVER, seed))
     assert (result.state, result.breaches, result.complaints) == ("kept", (), ())
 
@@ -197,7 +197,7 @@
 
 
 def broken_behind_a_move() -> Scenario:
-    """While a process waits in line the directory moves, and then the file is broken for good."""
+    """The directory moves while a process waits to take over; then the file stays broken."""
     rows = [{"at_s": 4.0, "what": "upgrade"}, {"at_s": 4.01, "what": "move"},
             {"at_s": 4.015, "what": "reload", "file": "broken"},
             {"at_s": 6.0, "what": "silent", "dest": 0, "len_s": 4.0}]  # fmt: skip
@@ -228,8 +228,10 @@
 
 
 def folder(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> tuple[int, int, bool]:
-    """Upgrades with bodies of 9 kB, which fill the budget: the folder's size at most, how often a log was
-    compacted while a door's file stood there, and whether every rule was kept.
+    """Run upgrades with bodies of 9 kB, which fill the disk budget.
+
+    Returns the folder's max size, the number of writes during a compaction beside a spool file, and whether
+    every rule was kept.
     """
     relays = UPGRADE.relays.model_copy(update={"disk_mb": 0.6})
     load = UPGRADE.load.model_copy(update={"body": 9000, "rate_per_s": 60.0})
--- a/tests/sim/test_vast.py
+++ b/tests/sim/test_vast.py
@@ -1,4 +1,4 @@
-"""Forty relays in the simulated world: an outage that some saw, and most lives ended at once."""
+"""Forty simulated relays: an outage that only some observed, and most processes killed at once."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 def test_forty_relays_that_each_take_the_whole_budget_push_over_what_returns(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Planted: no part of what a cold destination bears is another relay's."""
+    """Seeded fault: relays do not share a cold destination's capacity, each takes all of it."""
     monkeypatch.setattr(Budget, "credit_per_message", lambda *_: 1e6)
     monkeypatch.setattr(DecisionEngine, "_restore_outage_record", lambda *_: None)
     result = sweep.run_scenario(scenario.load(VAST))
--- a/tests/sim/worlds.py
+++ b/tests/sim/worlds.py
@@ -1,4 +1,4 @@
-"""Simulated worlds for tests: played, judged, and with faults planted in the real code."""
+"""Helpers for simulated tests: run and judge scenarios, and seed faults in the real code."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 def judged(scenario: Scenario, folder: Path) -> tuple[SimulatedRun, rec.Record, Verdict]:
-    """Play a scenario in simulated time."""
+    """Run a scenario in simulated time and judge its record."""
     done = simulate(scenario, folder)
     record = rec.read(done.path)
     return done, record, judge(record)
@@ -35,46 +35,46 @@
 
 @contextmanager
 def planted(patch: Patch) -> Iterator[None]:
-    """The real code with one small change."""
+    """Apply one small change to the real code."""
     with MonkeyPatch.context() as monkey:
         patch(monkey)
         yield
 
 
 def lost_ends(monkey: MonkeyPatch) -> None:
-    """Ends that are not told."""
+    """Final results are never sent as notices."""
     monkey.setattr(HttpNotifier, "send", lambda self, notice: None)
 
 
 def all_never_ran(monkey: MonkeyPatch) -> None:
-    """Every failed attempt is taken for one that never ran."""
+    """Every failed attempt is treated as if it never ran."""
     monkey.setattr(api.Verdict, "never_ran", property(lambda self: True))
 
 
 def drains_unread(monkey: MonkeyPatch) -> None:
-    """A drain is not understood."""
+    """A draining endpoint is read as ready."""
     monkey.setitem(discovery.LISTINGS_BY_HEALTH, "DRAINING", api.Listing.READY)
 
 
 def nothing_learnt(monkey: MonkeyPatch) -> None:
-    """Failures teach nothing, so an endpoint that is back gets all that is held."""
+    """Failures are not recorded, so a returned endpoint gets all held messages at once."""
     for name in ("_record_failure", "_adjust_quota"):
         monkey.setattr(engine.DecisionEngine, name, lambda self, *args: None)
     monkey.setattr(engine.DecisionEngine, "_has_overdue_call", lambda self, endpoint: False)
 
 
 def all_have_turns(monkey: MonkeyPatch) -> None:
-    """Every message has its turn."""
+    """The order of messages with the same key is ignored."""
     monkey.setattr(engine.DecisionEngine, "_allowed_by_key_order", lambda self, message: True)
 
 
 def waits_unread(monkey: MonkeyPatch) -> None:
-    """Waits are not read."""
+    """Retry-After waits are ignored."""
     monkey.setattr(http_calls, "parse_retry_after_us", lambda answer: 0)
 
 
 def tried_after_the_bytes(monkey: MonkeyPatch) -> None:
-    """An attempt is journaled after its first byte."""
+    """An attempt is journaled only after its first byte was sent."""
     tries, send = Journal.record_attempts, Connection.send
     late: list[Any] = []
     monkey.setattr(Journal, "record_attempts", lambda self, found: late.append((self, found)))
@@ -88,13 +88,13 @@
 
 
 def torn_tail_by_one(monkey: MonkeyPatch) -> None:
-    """An off-by-one where a torn tail is cut off."""
+    """An off-by-one error where a torn tail of the journal is truncated."""
     replay = Journal._replay
     monkey.setattr(Journal, "_replay", lambda self, data: max(0, replay(self, data) - 1))
 
 
 def newest_not_compacted(monkey: MonkeyPatch) -> None:
-    """A compaction that drops the newest record."""
+    """A compaction drops the newest record."""
     compact = Journal._compact
 
     def compacting(self: Journal) -> None:
@@ -107,7 +107,7 @@
 
 
 def attempts_forgotten(monkey: MonkeyPatch) -> None:
-    """A restart forgets which attempts were made."""
+    """A restart does not recover which attempts were made."""
     recover = Journal._recover
 
     def recovering(self: Journal, head: list[Any], body: bytes) -> None:
@@ -118,7 +118,7 @@
 
 
 def window_forgotten(monkey: MonkeyPatch) -> None:
-    """A keyed message is sent again past its window."""
+    """A keyed message is sent again after its deduplication window."""
     end_us = engine.DecisionEngine._expiry_us
 
     def ending(self: engine.DecisionEngine, message: Any) -> int:
@@ -131,7 +131,7 @@
 
 
 def wake_lost(monkey: MonkeyPatch) -> None:
-    """A wake-up that was asked for does not come."""
+    """A requested timer never fires."""
     carry = RelayCore._carry_out
 
     def carrying(self: RelayCore, actions: list[api.Action]) -> None:
@@ -141,30 +141,30 @@
 
 
 def wall_believed(monkey: MonkeyPatch) -> None:
-    """The wall clock is believed at every start."""
+    """The wall clock is trusted at every start."""
     monkey.setattr("mallowlug.core.clock.load_offset", lambda system, path, boot: None)
 
 
 def clock_tried_once(monkey: MonkeyPatch) -> None:
-    """A clock that the disk did not take is not written again, and an attempt from the future is new."""
+    """A clock file that the disk refused is not rewritten, and an attempt from the future counts as new."""
     monkey.setattr(Clock, "retry_save", lambda self: None)
     monkey.setattr("mallowlug.core.relay.UNKNOWN_AGE_US", 0)
 
 
 def refused_unkept(monkey: MonkeyPatch) -> None:
-    """A refusal is told also where its end is not on the disk."""
+    """A refusal is reported even if its final result is not on the disk."""
     real = Journal.record_end
     monkey.setattr(Journal, "record_end", lambda *args: bool(real(*args)) or True)
     monkey.setattr("mallowlug.core.relay.RelayCore._sync_journal", lambda self: True)
 
 
 def slept_away(monkey: MonkeyPatch) -> None:
-    """An idle destination is let go of whatever still binds there."""
+    """An idle destination is removed although state is still in force for it."""
     monkey.setattr(engine.DecisionEngine, "_in_use", lambda self, number, dest: False)
 
 
 def own_time_outs(monkey: MonkeyPatch) -> None:
-    """Every message of a call has a time-out of its own, and goes again while others keep the call out."""
+    """Each message of a call has its own timeout and is sent again while others keep the call open."""
 
     def letting(self: engine.DecisionEngine) -> None:
         for call in self.new_calls:
@@ -176,22 +176,22 @@
 
 
 def sync_left_out(monkey: MonkeyPatch) -> None:
-    """A durable journal that is not synced before it is relied on."""
+    """A durable journal is not synced before its content is relied on."""
     monkey.setattr(Journal, "sync", lambda self: None)
 
 
 def named_before_it_is_safe(monkey: MonkeyPatch) -> None:
-    """A compaction's new log takes the old one's name, and nobody makes sure of it."""
+    """The directory is not synced after a compaction renames the new log over the old one."""
     monkey.setattr(Journal, "_sync_directory", lambda self: None)
 
 
 def unsent_means_unrun(monkey: MonkeyPatch) -> None:
-    """A call that was cut short counts as never run, whatever was written."""
+    """An interrupted call counts as never run, even if bytes were written."""
     monkey.setattr(http_calls.Exchange, "written", property(lambda self: False))
 
 
 def finds_given_up(monkey: MonkeyPatch) -> None:
-    """What a restart finds untried is handed back without a call."""
+    """Messages recovered without an attempt are returned without a call."""
     resume = RelayCore._resume
 
     def resuming(self: RelayCore, message: Any, now_us: int) -> None:
