--- a/bench/members.py
+++ b/bench/members.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, fields
 from itertools import product
 
-from mallowlug.rig.sim.members import SECOND, Link, Net
+from mallowlug.rig.sim.members import SECOND, FleetNetwork, Link
 
 # s at rest that are counted; of a cut into halves; of faults that evict nobody.
 REST_S, CUT_S, LONG_S = 30.0, 60.0, 120.0
@@ -32,23 +32,23 @@
 NAMES = [field.name for field in fields(Run) if field.name not in ("size", "seed")]
 
 
-def false_deaths(net: Net) -> int:
+def false_deaths(net: FleetNetwork) -> int:
     """How often somebody who lives was held dead."""
-    living = {side.me.relay for side in net.sides.values()}
+    living = {side.me.relay for side in net.instances.values()}
     return sum(event.what == "dead" and event.relay in living for _, event in net.events)
 
 
-def slowed(net: Net, size: int) -> None:
+def slowed(net: FleetNetwork, size: int) -> None:
     """A tenth of all stand still for 0.3 s of each second."""
     for at in range(0, size, 10):
-        net.still[f"r{at}:1"] = net.now_us + 300_000
+        net.suspended_until_us[f"r{at}:1"] = net.now_us + 300_000
     net.after(SECOND, lambda: slowed(net, size))
 
 
 def one(told: tuple[int, int]) -> Run:
     """Play one fleet through all of it."""
     size, seed = told
-    net = Net(seed)
+    net = FleetNetwork(seed)
     net.fleet(size)
     settled_s = net.run(300, net.agree)
     net.run(REST_S)  # what the start still passes on is no rest
@@ -59,13 +59,13 @@
     net.kill(f"{gone}:1")
     suspected_s = net.run(120, lambda: net.states(gone)["alive"] < size - 1)
     dead_s = suspected_s + net.run(300, lambda: net.states(gone)["dead"] == size - 1)
-    sides = list(net.sides)
+    sides = list(net.instances)
     net.cut(sides[::2], sides[1::2])
     net.run(CUT_S)
     net.heal()
     healed_s = net.run(300, net.agree)
-    slow, lossy = Net(seed), Net(seed)
-    lossy.plain = Link(loss=0.2)
+    slow, lossy = FleetNetwork(seed), FleetNetwork(seed)
+    lossy.default_link = Link(loss=0.2)
     for other in (slow, lossy):
         other.fleet(size)
         other.run(300, other.agree)
--- a/mallowlug/rig/sim/disk.py
+++ b/mallowlug/rig/sim/disk.py
@@ -200,12 +200,12 @@
         for change in self._unsynced_changes[: self.rng.randint(0, len(self._unsynced_changes))]:
             change(names)
         for file in names.values():
-            held, safe = bytes(file.data), file.synced
-            if held.startswith(safe):
-                kept = held[: self.rng.randint(len(safe), len(held))]
+            current, synced = bytes(file.data), file.synced
+            if current.startswith(synced):
+                survived = current[: self.rng.randint(len(synced), len(current))]
             else:  # truncated since the sync, and perhaps rewritten: either state may survive
-                kept = self.rng.choice((safe, held))
-            file.data, file.synced = bytearray(kept), kept
+                survived = self.rng.choice((synced, current))
+            file.data, file.synced = bytearray(survived), survived
         self.files, self._synced_names, self._unsynced_changes = names, dict(names), []
         self._descriptors.clear()
 
--- a/mallowlug/rig/sim/exhaust.py
+++ b/mallowlug/rig/sim/exhaust.py
@@ -17,12 +17,12 @@
 from mallowlug.rig.sim.sweep import WHEN, Result, run_scenario
 from mallowlug.rig.world.scenario import Scenario, StrikeTable
 
-QUICK: dict[str, Any] = {"work_ms": 15.0, "aim_s": 0.5, "deadline_s": 1.0, "share": 1.0}
+FAST_CLASS: dict[str, Any] = {"work_ms": 15.0, "aim_s": 0.5, "deadline_s": 1.0, "share": 1.0}
 MESSAGES = (  # an endpoint of destination 1 is silent: messages to it end by notices
     ("unsafe", 1, ""), ("safe", 0, ""), ("keyed", 0, ""), ("line", 0, "a"), ("unsafe", 0, ""),
     ("line", 0, "a"), ("keyed", 1, ""), ("safe", 0, ""),
 )  # fmt: skip
-WORLD: dict[str, Any] = {
+BASE_SCENARIO: dict[str, Any] = {
     "name": "small",
     "seed": 1,
     "length_s": 0.4,
@@ -33,10 +33,10 @@
     "clients": {"retries": 1, "backoff_s": (0.1, 0.2)},
     "directory": {"late_s": (0.0, 0.0)},
     "class": [
-        {"name": "safe", "effect": "safe", **QUICK},
-        {"name": "keyed", "effect": "keyed", "window_s": 25.0, "by_zone": True, **QUICK},
-        {"name": "unsafe", "effect": "unsafe", **QUICK},
-        {"name": "line", "effect": "safe", "in_order": True, **QUICK},
+        {"name": "safe", "effect": "safe", **FAST_CLASS},
+        {"name": "keyed", "effect": "keyed", "window_s": 25.0, "by_zone": True, **FAST_CLASS},
+        {"name": "unsafe", "effect": "unsafe", **FAST_CLASS},
+        {"name": "line", "effect": "safe", "in_order": True, **FAST_CLASS},
     ],
     "kind": [{"name": "banks", "share": 1.0, "batch": 3, "limited": True, "least_per_s": (3, 3),
               "headroom": (0.1, 0.1), "error_rate": 0.2, "wait_ms": (300, 400), "tells_wait": 1.0}],
@@ -58,7 +58,7 @@
 
 def small_scenario(strikes: Sequence[StrikeTable] = ()) -> Scenario:
     """The small scenario with these kills."""
-    return Scenario.model_validate(WORLD).model_copy(update={"strikes": tuple(strikes)})
+    return Scenario.model_validate(BASE_SCENARIO).model_copy(update={"strikes": tuple(strikes)})
 
 
 @dataclass(slots=True)
--- a/mallowlug/rig/sim/ground.py
+++ b/mallowlug/rig/sim/ground.py
@@ -212,7 +212,7 @@
     loop = SimLoop()
     backend, violations, engine = SimBackend(loop, scenario), list[str](), vars(core)["DecisionEngine"]
     log, logger = LifetimeLog(loop), logging.getLogger("mallowlug")
-    former, collects = logger.level, gc.isenabled()
+    previous_level, collects = logger.level, gc.isenabled()
     logger.addHandler(log)
     logger.setLevel(logging.INFO)
     logger.propagate = False
@@ -222,7 +222,7 @@
         done = loop.run_main(play(scenario, folder, options, backend))
     finally:
         logger.removeHandler(log)
-        logger.setLevel(former)
+        logger.setLevel(previous_level)
         logger.propagate = True
         vars(core)["DecisionEngine"] = engine
         if collects:
--- a/mallowlug/rig/sim/net.py
+++ b/mallowlug/rig/sim/net.py
@@ -133,9 +133,9 @@
     def _begin_call(self, call: str, data: bytes = b"") -> str:
         return "" if self.owner is None else self.owner.begin_call(call, data)
 
-    def _end_call(self, how: str) -> None:
+    def _end_call(self, outcome: str) -> None:
         if self.owner is not None:
-            self.owner.end_call(how)
+            self.owner.end_call(outcome)
 
     def listen(self, backlog: int = 128) -> None:
         """Start to listen."""
@@ -153,11 +153,11 @@
 
     def connect(self, address: Address) -> None:
         """Start to connect; the socket becomes writable when the result is known."""
-        how = self._begin_call("connect")
+        outcome = self._begin_call("connect")
         self.state, self.remote_address = "connecting", address
         self.local_address = self.net.ephemeral_address()
         self.net.start_connect(self, address)
-        self._end_call(how)
+        self._end_call(outcome)
         raise os_error(errno.EINPROGRESS)
 
     def send(self, data: bytes | bytearray | memoryview) -> int:
@@ -173,12 +173,12 @@
         if self.in_flight >= WINDOW:
             raise os_error(errno.EAGAIN)
         accepted = bytes(data[: WINDOW - self.in_flight])
-        how = self._begin_call("send", accepted)
-        if how == "within":
+        outcome = self._begin_call("send", accepted)
+        if outcome == "within":
             accepted = accepted[: len(accepted) // 2]
         self.in_flight += len(accepted)
         self.net.send_bytes(self, accepted)
-        self._end_call(how)
+        self._end_call(outcome)
         return len(accepted)
 
     def recv(self, size: int, flags: int = 0) -> bytes:
@@ -270,9 +270,9 @@
         """Send a datagram."""
         if self.state != "bound":
             raise os_error(errno.EBADF)
-        how = self._begin_call("sendto", bytes(data))
+        outcome = self._begin_call("sendto", bytes(data))
         self.net.send_datagram(self, bytes(data), address)
-        self._end_call(how)
+        self._end_call(outcome)
         return len(data)
 
     def release(self) -> None:
--- a/mallowlug/rig/sim/process.py
+++ b/mallowlug/rig/sim/process.py
@@ -159,9 +159,9 @@
         raise os_error(ERRNO[strike.what])
 
     def _record_injection(self, lifetime: SimLifetime, point: str) -> None:
-        found = InjectedFault(int(self.loop.now_s * 1e6), lifetime.name, lifetime.number, point)
-        self.injected.append(found)
-        self.on_injected(found)
+        fault = InjectedFault(int(self.loop.now_s * 1e6), lifetime.name, lifetime.number, point)
+        self.injected.append(fault)
+        self.on_injected(fault)
 
     def start(self, machine: Machine, number: int) -> SimProcess:
         """Start the next process of a machine's relay."""
@@ -196,16 +196,16 @@
         except Exception:
             logging.getLogger("mallowlug").exception("unhandled exception")
             code = 1
-        me = asyncio.current_task()
-        rest = [task for task in lifetime.tasks if task is not me]
-        for task in rest:
+        current = asyncio.current_task()
+        others = [task for task in lifetime.tasks if task is not current]
+        for task in others:
             task.cancel()
-        await asyncio.gather(*rest, return_exceptions=True)
+        await asyncio.gather(*others, return_exceptions=True)
         lifetime.leaks = [
             f"socket {sock.state}" for sock in lifetime.sockets.values() if sock.state == "listening"
         ]
         lifetime.leaks += [
-            f"task {task.get_name()}" for task in lifetime.tasks if task is not me and not task.done()
+            f"task {task.get_name()}" for task in lifetime.tasks if task is not current and not task.done()
         ]
         self.end(lifetime, code)
 
@@ -315,8 +315,10 @@
         """Replace the settings file as the event says, and send SIGHUP unless ``event.unsaid``."""
         if event.file in ("classes", "deadlines"):
             self.config_edits.append(event.file)
-        whole = self.told()
-        self.machine.disk.install_file(CONFIG, whole[: len(whole) // 2] if event.file == "broken" else whole)
+        content = self.told()
+        self.machine.disk.install_file(
+            CONFIG, content[: len(content) // 2] if event.file == "broken" else content
+        )
         if not event.unsaid:
             self.send_sighup(event.back)
 
--- a/mallowlug/rig/sim_cli.py
+++ b/mallowlug/rig/sim_cli.py
@@ -15,10 +15,10 @@
 from mallowlug.rig.sim.ground import simulate
 from mallowlug.rig.world import scenario
 
-SHOWN = 3  # breaches and complaints printed for each failed seed
+SHOWN_BREACHES = 3  # breaches and complaints printed for each failed seed
 
 
-class Seeds(click.ParamType[range]):
+class SeedRange(click.ParamType[range]):
     """A range of seeds, ``A-B``, or a single seed."""
 
     name = "A-B"
@@ -30,16 +30,16 @@
         low, sign, high = value.partition("-")
         if not low.isdecimal() or (sign and not high.isdecimal()):
             self.fail(f"not A-B: {value!r}", param, ctx)
-        found = range(int(low), int(high or low) + 1)
-        if not found:
+        result = range(int(low), int(high or low) + 1)
+        if not result:
             self.fail(f"no seed in {value!r}", param, ctx)
-        return found
+        return result
 
 
-def world_of(file: Path, seed: int | None, faults: bool) -> scenario.Scenario:
+def load_scenario(file: Path, seed: int | None, faults: bool) -> scenario.Scenario:
     """Load the scenario, with the faults of its seed if asked for."""
-    world = rig.varied(scenario.load(file), seed, None)
-    return swarm(world, world.seed) if faults else world
+    selected = rig.varied(scenario.load(file), seed, None)
+    return swarm(selected, selected.seed) if faults else selected
 
 
 scenario_argument = click.argument("file", metavar="SCENARIO", type=rig.FILE)
@@ -63,10 +63,10 @@
 @rig.usable
 def run(file: Path, out: Path | None, seed: int | None, relays: int | None, faults: bool) -> int:
     """Run a scenario, judge and report it, as ``rig run`` does."""
-    world = rig.varied(world_of(file, seed, faults), None, relays)
-    folder = rig.fresh(out, world.name)
+    selected = rig.varied(load_scenario(file, seed, faults), None, relays)
+    folder = rig.fresh(out, selected.name)
     start_s = time.perf_counter()
-    done = simulate(world, folder)
+    done = simulate(selected, folder)
     took_s = time.perf_counter() - start_s
     code = rig.reported(done.path, folder / "report.html")
     for name, lines in done.logs.items():
@@ -79,30 +79,32 @@
 
 @group.command("sweep")
 @scenario_argument
-@click.option("--seeds", type=Seeds(), required=True, help="A-B, or one.")
+@click.option("--seeds", type=SeedRange(), required=True, help="A-B, or one.")
 @click.option("--jobs", type=click.IntRange(1), default=os.cpu_count() or 1, help="Parallel processes.")
 @click.option("--some-points", is_flag=True, help="Do not fail for points that none reached.")
 @rig.usable
-def swept(file: Path, seeds: range, jobs: int, some_points: bool) -> int:
+def sweep_command(file: Path, seeds: range, jobs: int, some_points: bool) -> int:
     """Run every seed; print each failure with the command that replays it."""
-    world, total, start_s = scenario.load(file), sweep.SweepSummary(), time.perf_counter()
+    selected, total, start_s = scenario.load(file), sweep.SweepSummary(), time.perf_counter()
 
-    def told(result: sweep.Result) -> None:
+    def print_failure(result: sweep.Result) -> None:
         print(f"seed {result.seed}: {result.state}, {len(result.breaches)} breaches")
-        for line in [*result.breaches[:SHOWN], *result.complaints[:SHOWN]]:
+        for line in [*result.breaches[:SHOWN_BREACHES], *result.complaints[:SHOWN_BREACHES]]:
             print(f"    {line}")
         print(f"    mallowlug sim run {file} --seed {result.seed} --faults", flush=True)
 
-    total.add(sweep.run_seeds(world, seeds, jobs), told)
-    took_s, cover = time.perf_counter() - start_s, total.coverage
+    total.add(sweep.run_seeds(selected, seeds, jobs), print_failure)
+    took_s, coverage = time.perf_counter() - start_s, total.coverage
     length = f"{total.messages} messages, {total.length_s:.0f} s simulated in {took_s:.0f} s"
     print(f"{total.seeds} seeds, {length}: {len(total.failed)} failed")
-    strikes = sum(cover.points.values())
-    print(f"{strikes} strikes at {len(cover.points)} points, {len(cover.pairs)} pairs of them in two lives")
-    print(", ".join(f"{point} {count}" for point, count in sorted(cover.points.items())))
-    if cover.missed:
-        print(f"not reached: {', '.join(cover.missed)}")
-    return int(bool(total.failed or (cover.missed and not some_points)))
+    strikes = sum(coverage.points.values())
+    print(
+        f"{strikes} strikes at {len(coverage.points)} points, {len(coverage.pairs)} pairs of them in two runs"
+    )
+    print(", ".join(f"{point} {count}" for point, count in sorted(coverage.points.items())))
+    if coverage.missed:
+        print(f"not reached: {', '.join(coverage.missed)}")
+    return int(bool(total.failed or (coverage.missed and not some_points)))
 
 
 @group.command("hours")
@@ -112,17 +114,17 @@
 @rig.seed_option
 @faults_option
 @rig.usable
-def hourly(file: Path, count: int, out: Path | None, seed: int | None, faults: bool) -> int:
+def hours_command(file: Path, count: int, out: Path | None, seed: int | None, faults: bool) -> int:
     """Repeat the scenario's hour and print what each relay holds at the end of each."""
-    world = world_of(file, seed, faults)
+    selected = load_scenario(file, seed, faults)
     try:
-        found = hours.run_hours(world, count, rig.fresh(out, world.name))
+        result = hours.run_hours(selected, count, rig.fresh(out, selected.name))
     except hours.QuietPeriodError as error:
         raise click.UsageError(str(error)) from None
-    for held in found.samples:
+    for held in result.samples:
         place = f"hour {held.hour} {held.relay} life {held.lifetime}"
         print(f"{place}: {held.descriptors} descriptors, {held.tasks} tasks, {held.size} bytes")
-    problems = [*found.problems, *found.done.complaints]
+    problems = [*result.problems, *result.done.complaints]
     print("\n".join(problems) if problems else "all of it came back")
     return int(bool(problems))
 
@@ -134,15 +136,15 @@
 @rig.seed_option
 @faults_option
 @rig.usable
-def shrunk(file: Path, tries: int, out: Path | None, seed: int | None, faults: bool) -> int:
+def shrink_command(file: Path, tries: int, out: Path | None, seed: int | None, faults: bool) -> int:
     """Minimize a failing scenario and write it with its story; exit code 1 if it fails."""
-    world = world_of(file, seed, faults)
-    folder = rig.fresh(out, f"{world.name}-small")
-    found = shrink.shrink(world, tries, lambda line: print(line, flush=True))
-    if found is None:
+    selected = load_scenario(file, seed, faults)
+    folder = rig.fresh(out, f"{selected.name}-small")
+    result = shrink.shrink(selected, tries, lambda line: print(line, flush=True))
+    if result is None:
         print("nothing is wrong with it")
         return 0
-    path = shrink.write(found, folder)
+    path = shrink.write(result, folder)
     print(f"\n{path}\n")
-    print("\n".join(found.story))
+    print("\n".join(result.story))
     return 1
--- a/tests/members/test_protocol.py
+++ b/tests/members/test_protocol.py
@@ -16,21 +16,21 @@
 from mallowlug.fleet.records import Frame, Rumour
 from mallowlug.fleet.swim import Swim, Times
 from mallowlug.fleet.view import View
-from mallowlug.rig.sim.members import SECOND, Link, Net
+from mallowlug.rig.sim.members import SECOND, FleetNetwork, Link
 
 
-def settled(size: int, seed: int = 1, **plain: Any) -> Net:
+def settled(size: int, seed: int = 1, **plain: Any) -> FleetNetwork:
     """A fleet that has settled."""
-    net = Net(seed)
-    net.plain = Link(**plain)
+    net = FleetNetwork(seed)
+    net.default_link = Link(**plain)
     net.fleet(size)
     assert net.run(60, net.agree) < 60
     return net
 
 
-def falsely_dead(net: Net) -> set[str]:
+def falsely_dead(net: FleetNetwork) -> set[str]:
     """Who was held dead by anybody, of those who live."""
-    living = {side.me.relay for side in net.sides.values()}
+    living = {side.me.relay for side in net.instances.values()}
     return {event.relay for _, event in net.events if event.what == "dead"} & living
 
 
@@ -56,7 +56,7 @@
 @pytest.mark.parametrize("groups", [2, 3])
 def test_a_cut_settles_on_each_side_and_heals(groups: int) -> None:
     """For longer than the dead are remembered: seeds from the file are asked all the while."""
-    net = Net(5)
+    net = FleetNetwork(5)
     net.times = Times(remember_us=40 * SECOND)
     for at in range(9):
         net.start(f"r{at}", seeds=["r0:1", "r1:1", "r2:1"])
@@ -72,7 +72,7 @@
 def test_a_bad_link_and_a_one_way_cut_kill_nobody() -> None:
     net = settled(8, 3)
     for one, other in (("r1:1", "r2:1"), ("r2:1", "r1:1")):
-        net.links[one, other] = Link(loss=0.3, delay_us=(1000, 300_000), doubled=0.5)
+        net.links[one, other] = Link(loss=0.3, delay_us=(1000, 300_000), duplication=0.5)
     net.links["r3:1", "r4:1"] = Link(cut=True)
     net.run(120)
     assert falsely_dead(net) == set()
@@ -87,19 +87,19 @@
 
 def test_one_that_stood_still_accuses_nobody_and_lives_on() -> None:
     net = settled(6, 4)
-    net.still["r3:1"] = net.now_us + 40 * SECOND
+    net.suspended_until_us["r3:1"] = net.now_us + 40 * SECOND
     net.run(39)
     assert net.states("r3")["dead"] == 5
     assert net.run(60, net.agree) < 60
     assert not any(address == "r3:1" and event.what == "dead" for address, event in net.events)
-    assert net.sides["r3:1"].me.incarnation > 0 and net.sides["r3:1"].me.life == 1
+    assert net.instances["r3:1"].me.incarnation > 0 and net.instances["r3:1"].me.life == 1
 
 
 def test_a_leave_is_no_death_and_is_heard_though_a_part_of_it_is_lost() -> None:
     net = settled(8, 2, loss=0.3)
-    side = net.sides["r5:1"]
+    side = net.instances["r5:1"]
     side.leave()
-    net._flush("r5:1", side)
+    net._send_pending("r5:1", side)
     net.kill("r5:1")
     assert net.run(60, lambda: net.states("r5")["left"] == 7) < 60
 
@@ -109,7 +109,7 @@
     net.kill("r3:1")
     net.start("r3", life=2, address="moved:1", seeds=["r0:1"])
     assert net.run(60, net.agree) < 60
-    assert {side.view.members["r3"].said.address for side in net.sides.values()} == {"moved:1"}
+    assert {side.view.members["r3"].said.address for side in net.instances.values()} == {"moved:1"}
 
 
 def test_a_second_process_of_an_id_is_told_and_the_first_one_stays() -> None:
@@ -117,21 +117,23 @@
     twin = net.start("r3", life=4, address="twin:1", seeds=["r0:1"])
     net.run(60)
     assert twin.clash is not None
-    held = {s.view.members["r3"].said.address for a, s in net.sides.items() if a not in ("twin:1", "r3:1")}
+    held = {
+        s.view.members["r3"].said.address for a, s in net.instances.items() if a not in ("twin:1", "r3:1")
+    }
     assert held == {"r3:1"}
 
 
 def test_fifty_start_at_once_with_half_of_the_seeds_dead() -> None:
-    net = Net(8)
+    net = FleetNetwork(8)
     for at in range(50):
         net.start(f"r{at}", seeds=["gone:1", "r0:1", "gone:2", "r1:1"])
-    assert net.run(60, lambda: all(len(side.view.here()) == 50 for side in net.sides.values())) < 60
+    assert net.run(60, lambda: all(len(side.view.here()) == 50 for side in net.instances.values())) < 60
 
 
 def test_rumours_are_passed_on_a_bounded_number_of_times() -> None:
     net = settled(8)
     net.run(30)
-    assert all(not side._rumours for side in net.sides.values())
+    assert all(not side._rumours for side in net.instances.values())
 
 
 # The view's laws, and what is on the wire.
@@ -226,7 +228,7 @@
 def test_the_longest_suspicion_is_known() -> None:
     """Stated on the operators' page: with nobody else's word, in periods."""
     net = settled(3)
-    swim = net.sides["r0:1"]
+    swim = net.instances["r0:1"]
     swim._suspect_from(net.now_us, swim.view.members["r1"].said)
     found = swim._suspects["r1"]
     assert found.end_us - net.now_us == int(4.0 * max(1.0, math.log10(3)) * 6 * SECOND)
--- a/tests/rig/test_life.py
+++ b/tests/rig/test_life.py
@@ -11,7 +11,7 @@
 from mallowlug.rig.sim.faults import swarm
 from mallowlug.rig.sim.ground import simulate
 from mallowlug.rig.world import scenario
-from tests.sim.worlds import PLANTS, planted
+from tests.sim.worlds import SEEDED_FAULTS, seeded_fault
 from tests.world import ROOT
 
 SWARM = scenario.load(ROOT / "scenarios" / "swarm.toml")
@@ -61,6 +61,6 @@
 
 def test_records_walk_along_the_model_and_a_planted_fault_does_not(tmp_path: Path) -> None:
     assert [walked(seed, tmp_path / str(seed)) for seed in (1, 2, 4)] == [[], [], []]
-    with planted(PLANTS["all_never_ran"]):
+    with seeded_fault(SEEDED_FAULTS["failed_attempts_never_ran"]):
         found = [line for seed in range(1, 5) for line in walked(seed, tmp_path / f"planted-{seed}")]
     assert any("may have run" in line for line in found)
--- a/tests/rig/test_planted.py
+++ b/tests/rig/test_planted.py
@@ -8,7 +8,7 @@
 import pytest
 
 from mallowlug.rig.world.scenario import Scenario
-from tests.sim.worlds import RULES, judged, planted
+from tests.sim.worlds import FAULT_BY_RULE, judged, seeded_fault
 
 QUICK = {"work_ms": 20.0, "aim_s": 1.0, "deadline_s": 2.5, "share": 1.0}
 SAFE = {"name": "safe", "effect": "safe", **QUICK}
@@ -64,13 +64,13 @@
 }  # fmt: skip
 
 
-@pytest.mark.parametrize("rule", RULES)
+@pytest.mark.parametrize("rule", FAULT_BY_RULE)
 def test_a_planted_fault_is_caught_and_the_real_relay_passes(rule: str, tmp_path: Path) -> None:
     scenario = Scenario.model_validate({"name": rule} | WORLD | CASES[rule])
     done, _, kept = judged(scenario, tmp_path / "real")
     assert (kept.state, kept.breaches, done.complaints) == ("kept", (), [])
     assert kept.checked[rule] > 0, "the world gave the rule no case"
-    with planted(RULES[rule]):
+    with seeded_fault(FAULT_BY_RULE[rule]):
         _, _, broken = judged(scenario, tmp_path / "planted")
     assert broken.state == "broken"
     assert rule in {breach.rule for breach in broken.breaches}
--- a/tests/sim/test_cases.py
+++ b/tests/sim/test_cases.py
@@ -11,12 +11,12 @@
 from mallowlug.rig.judge import record as rec
 from mallowlug.rig.sim import exhaust
 from mallowlug.rig.world.scenario import Scenario
-from tests.sim.worlds import judged, planted, wall_believed
+from tests.sim.worlds import judged, seeded_fault, wall_clock_trusted
 
-TWO: dict[str, Any] = exhaust.WORLD | {
+TWO: dict[str, Any] = exhaust.BASE_SCENARIO | {
     "length_s": 6.0, "message": [], "event": [], "load": {"rate_per_s": 30.0, "clumps": 0.0},
     "relays": {"count": 2, "back_s": 0.3, "slots_room": 10.0, "disk_mb": 1.0},
-    "class": [{**cls, "deadline_s": 2.0} for cls in exhaust.WORLD["class"]],
+    "class": [{**cls, "deadline_s": 2.0} for cls in exhaust.BASE_SCENARIO["class"]],
     "kind": [{"name": "lots", "share": 1.0, "least_per_s": (60, 60)}],
 }  # fmt: skip
 
@@ -60,12 +60,12 @@
     ]
     record = kept(world(event=events), tmp_path / "kept")
     assert any(isinstance(event, rec.Notice) for event in record.events)
-    with planted(wall_believed):
-        _, _, verdict = judged(world(event=events), tmp_path / "planted")
+    with seeded_fault(wall_clock_trusted):
+        _, _, verdict = judged(world(event=events), tmp_path / "seeded_fault")
     assert {breach.rule for breach in verdict.breaches} == {"lost"}
 
 
-def test_a_process_that_stands_still_with_calls_out_and_answers_waiting(tmp_path: Path) -> None:
+def test_a_process_suspended_with_calls_pending_and_answers_unread(tmp_path: Path) -> None:
     record = kept(world(length_s=9.0, event=[{"at_s": 2.0, "what": "stall", "len_s": 5.0}]), tmp_path)
     deaf, hears = (
         next(e.at for e in record.events if isinstance(e, rec.Process) and e.what == what)
@@ -75,7 +75,7 @@
     assert any(deaf < e.at < hears for e in record.events if isinstance(e, rec.Answer))
 
 
-def test_a_disk_that_is_full_from_the_middle_of_a_drain_on(tmp_path: Path) -> None:
+def test_a_disk_that_fills_up_during_a_drain(tmp_path: Path) -> None:
     events = [
         {"at_s": 2.0, "what": "silent", "len_s": 3.0, "dest": 0},
         {"at_s": 2.5, "what": "term"},
@@ -84,7 +84,7 @@
     kept(world(event=events), tmp_path)
 
 
-def test_one_relays_fault_does_not_touch_the_others_messages(tmp_path: Path) -> None:
+def test_faults_of_one_relay_do_not_affect_messages_of_another(tmp_path: Path) -> None:
     errors = ((9, "EIO"), (30, "short"), (44, "ENOSPC"))
     rows = [{"call": "write", "at": at, "what": what} for at, what in errors]
     events = [{"at_s": 1.5, "what": "kill"}, {"at_s": 3.0, "what": "stall", "len_s": 1.0}]
@@ -96,7 +96,7 @@
     assert asked <= done
 
 
-def test_what_only_a_simulation_can_do_is_refused_on_real_sockets(
+def test_simulation_only_faults_are_rejected_on_real_sockets(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     path = tmp_path / "x.toml"
--- a/tests/sim/test_determinism.py
+++ b/tests/sim/test_determinism.py
@@ -40,14 +40,14 @@
     return ended.stdout.strip()
 
 
-def test_a_seed_has_one_record(tmp_path: Path) -> None:
+def test_a_seed_always_gives_the_same_record(tmp_path: Path) -> None:
     first = digest(SEED, tmp_path / "a")
     assert digest(SEED, tmp_path / "b") == first
     assert {child(SEED, tmp_path / name, name) for name in ("1", "77")} == {first}
     assert digest(SEED + 1, tmp_path / "c") != first
 
 
-def test_an_unordered_set_is_found(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_order_by_address_is_detected(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     """Seeded fault: batches are ordered by object addresses, so that two runs of a seed differ."""
     send = HttpPartners.send
     junk: list[Any] = []
--- a/tests/sim/test_hours.py
+++ b/tests/sim/test_hours.py
@@ -30,7 +30,7 @@
 )  # fmt: skip
 
 
-def test_memory_and_descriptors_come_back(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_memory_and_descriptors_do_not_grow(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     # Few enough remembered ids of completed messages that every hour ends with the same number.
     monkeypatch.setattr(relay, "MAX_REMEMBERED_IDS", 50)
     found = hours.run_hours(HOUR, 4, tmp_path, quiet_s=45.0)
@@ -40,7 +40,7 @@
     assert all(held.size > 10_000 and held.objects["Destination"] == 3 for held in found.samples)
 
 
-def test_a_leak_is_found_by_its_type(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_leak_is_reported_by_type(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     """Seeded fault: removed hosts are never forgotten."""
     monkeypatch.setattr(engine.DecisionEngine, "_forget_gone_hosts", lambda self: None)
     problems = hours.run_hours(HOUR, 4, tmp_path, quiet_s=45.0).problems
--- a/tests/sim/test_kernel.py
+++ b/tests/sim/test_kernel.py
@@ -43,7 +43,7 @@
     ),
     seed=st.integers(0, 9),
 )
-def test_bytes_arrive_once_whole_and_in_order(data: bytes, link: Link, seed: int) -> None:
+def test_bytes_arrive_once_complete_and_in_order(data: bytes, link: Link, seed: int) -> None:
     async def main() -> bytes:
         got = asyncio.get_running_loop().create_future()
 
@@ -80,7 +80,7 @@
 
 
 @pytest.mark.parametrize("how", ["linger", "unread", "end"])
-def test_how_a_close_is_seen_by_the_other_side(how: str) -> None:
+def test_how_the_peer_sees_a_close(how: str) -> None:
     async def main() -> Any:
         loop = asyncio.get_running_loop()
         net = loop.net  # type: ignore[attr-defined]
@@ -104,7 +104,7 @@
             run(main())
 
 
-def test_where_nobody_listens_a_connect_is_refused_and_over_a_cut_it_waits() -> None:
+def test_a_connect_is_refused_without_a_listener_and_waits_during_a_partition() -> None:
     async def main() -> float:
         loop = asyncio.get_running_loop()
         net = loop.net  # type: ignore[attr-defined]
@@ -120,7 +120,7 @@
     assert 5 <= run(main())[0] < 6
 
 
-def test_a_world_in_which_nothing_can_happen_says_so() -> None:
+def test_a_loop_without_any_future_event_raises() -> None:
     async def main() -> None:
         await asyncio.get_running_loop().create_future()
 
@@ -145,7 +145,7 @@
     assert disk.read(OLD) in [b"old and more"[:size] for size in range(3, 13)] + [b"new"]
 
 
-def test_without_a_sync_the_loss_of_a_machine_may_take_all() -> None:
+def test_without_a_sync_the_loss_of_a_machine_may_lose_all_data() -> None:
     def left(seed: int) -> bytes:
         disk = SimDisk(random.Random(seed))
         fd = disk.open(OLD, APPEND)
@@ -156,7 +156,7 @@
     assert {left(seed) for seed in range(60)} >= {b"", b"unsynced"}
 
 
-def test_a_full_disk_takes_what_is_left_of_a_block_and_then_nothing() -> None:
+def test_a_full_disk_accepts_the_rest_of_a_block_and_then_nothing() -> None:
     disk = SimDisk(random.Random(1))
     fd = disk.open(OLD, APPEND)
     disk.write(fd, b"x" * 500)
--- a/tests/sim/test_members.py
+++ b/tests/sim/test_members.py
@@ -25,7 +25,7 @@
 AT_S = 12.0  # when the views are compared: after the last fault
 
 
-def looked(tmp_path: Path, monkeypatch: pytest.MonkeyPatch, *rows: dict[str, Any]) -> dict[str, Agent]:
+def views_after(tmp_path: Path, monkeypatch: pytest.MonkeyPatch, *rows: dict[str, Any]) -> dict[str, Agent]:
     """Run with these events; return each relay's fleet agent at ``AT_S``.
 
     Requires that all views are equal then, and that no rule is broken.
@@ -54,10 +54,10 @@
     return found
 
 
-def test_views_settle_through_a_cut_a_kill_a_standstill_and_an_upgrade(
+def test_views_converge_after_a_partition_a_kill_a_suspension_and_an_upgrade(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    found = looked(
+    found = views_after(
         tmp_path, monkeypatch,
         {"at_s": 2.0, "what": "apart", "relay": 1, "len_s": 3.0},
         {"at_s": 3.0, "what": "kill", "relay": 2},
@@ -69,12 +69,12 @@
 
 
 @pytest.mark.parametrize("seed", range(1, 6))
-def test_no_rule_breaks_where_relays_know_of_each_other(seed: int) -> None:
+def test_relays_in_a_fleet_keep_all_rules(seed: int) -> None:
     result = run_scenario(swarm(FLEET, seed))
     assert (result.state, result.rules, result.complaints) == ("kept", (), ())
 
 
-async def test_datagrams_may_be_lost_doubled_and_late_and_a_socket_holds_so_many() -> None:
+async def test_datagrams_may_be_lost_duplicated_or_late_and_queues_are_limited() -> None:
     def run(**faults: float) -> list[int]:
         loop = SimLoop()
         net = loop.net = Network(loop, random.Random(1))
--- a/tests/sim/test_sweep.py
+++ b/tests/sim/test_sweep.py
@@ -10,7 +10,7 @@
 from mallowlug.rig.sim import exhaust, shrink, sweep
 from mallowlug.rig.sim.faults import KINDS, swarm
 from mallowlug.rig.world import scenario
-from tests.sim.worlds import PLANTS, planted
+from tests.sim.worlds import SEEDED_FAULTS, seeded_fault
 from tests.world import ROOT
 
 SWARM = ROOT / "scenarios" / "swarm.toml"
@@ -19,24 +19,25 @@
     4, 5, 8, 22, 30, 40, 59, 78, 99, 121, 133, 147, 189, 193, 197, 205, 411, 595, 605, 616, 652, 1183, 1186,
     1354, 1583, 2009, 2586, 2993, 20071, 20098, 20327, 51104, 61015, 61033, 71224,
 )  # fmt: skip
-# Seeded faults: SMALL are detected by single kills in the small scenario, SEEDS by a seed of the swarm.
-SMALL = (
-    "lost_ends", "all_never_ran", "waits_unread", "tried_after_the_bytes", "newest_not_compacted",
-    "attempts_forgotten", "window_forgotten", "wake_lost", "unsent_means_unrun",
+# Seeded faults that single kills in the small scenario detect, and those that a seed of the swarm detects.
+FOUND_BY_KILLS = (
+    "final_results_not_sent", "failed_attempts_never_ran", "waits_ignored", "attempt_journaled_after_send",
+    "newest_record_lost_in_compaction", "attempts_not_recovered", "window_ignored", "timer_lost",
+    "written_call_counts_as_never_run",
 )  # fmt: skip
-SEEDS = {
-    "drains_unread": 7, "all_have_turns": 1, "torn_tail_by_one": 2022, "wall_believed": 88,
-    "sync_left_out": 1, "named_before_it_is_safe": 1, "slept_away": 5, "clock_tried_once": 1583,
-    "refused_unkept": 1568, "own_time_outs": 17,
+FOUND_BY_SEED = {
+    "drains_ignored": 7, "key_order_ignored": 1, "torn_tail_off_by_one": 2022, "wall_clock_trusted": 88,
+    "sync_skipped": 1, "directory_not_synced": 1, "destination_removed_in_use": 5,
+    "clock_not_rewritten": 1583, "refusal_reported_unsaved": 1568, "own_timeout_per_message": 17,
 }  # fmt: skip
 
-BUSY = (
-    "clock_tried_once",
-)  # found only if keyed messages are held for long: at 45 to 60 messages per second
-SLEEPLESS = ("clock_tried_once", "refused_unkept")  # not detected there if destinations become inactive
+# Detected only if keyed messages are held for long: at 45 to 60 messages per second.
+HIGH_RATE = ("clock_not_rewritten",)
+# Not detected there if destinations become inactive.
+NO_INACTIVITY = ("clock_not_rewritten", "refusal_reported_unsaved")
 
 
-def test_no_single_kill_breaks_a_rule_and_every_kind_of_call_is_struck() -> None:
+def test_no_single_kill_breaks_a_rule_and_every_kind_of_call_is_killed() -> None:
     results = [exhaust.run_case(strikes) for strikes in exhaust.kills_after(())]
     assert [result.points for result in results if not result.passed] == []
     cover = sweep.Coverage()
@@ -50,30 +51,30 @@
 
 
 @pytest.mark.parametrize("seed", REGRESSIONS)
-def test_a_seed_that_broke_a_rule_once_is_kept(seed: int) -> None:
+def test_regression_seeds_keep_all_rules(seed: int) -> None:
     result = sweep.run_seed(scenario.load(SWARM), seed)
     assert (result.breaches, result.complaints) == ((), ())
 
 
-@pytest.mark.parametrize("name", SMALL)
-def test_a_fault_planted_in_the_real_code_is_found_by_a_kill(name: str) -> None:
-    with planted(PLANTS[name]):
+@pytest.mark.parametrize("name", FOUND_BY_KILLS)
+def test_a_seeded_fault_is_detected_by_a_kill(name: str) -> None:
+    with seeded_fault(SEEDED_FAULTS[name]):
         assert any(not exhaust.run_case(case).passed for case in ((), *exhaust.kills_after(())))
 
 
-@pytest.mark.parametrize("name", SEEDS)
-def test_a_fault_planted_in_the_real_code_is_found_by_a_seed(name: str) -> None:
-    world = swarm(scenario.load(SWARM), SEEDS[name])
-    if name in SLEEPLESS:
+@pytest.mark.parametrize("name", FOUND_BY_SEED)
+def test_a_seeded_fault_is_detected_by_a_seed(name: str) -> None:
+    world = swarm(scenario.load(SWARM), FOUND_BY_SEED[name])
+    if name in NO_INACTIVITY:
         world = world.model_copy(update={"relays": world.relays.model_copy(update={"awake": 1024})})
-    if name in BUSY:
+    if name in HIGH_RATE:
         world = world.model_copy(update={"load": world.load.model_copy(update={"rate_per_s": 60.0})})
-    with planted(PLANTS[name]):
+    with seeded_fault(SEEDED_FAULTS[name]):
         assert not sweep.run_scenario(world).passed
 
 
-def test_a_failure_is_made_small_and_told(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
-    with planted(PLANTS["attempts_forgotten"]):
+def test_a_failure_is_minimized_and_explained(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+    with seeded_fault(SEEDED_FAULTS["attempts_not_recovered"]):
         world = next(
             exhaust.small_scenario(case)
             for case in exhaust.kills_after(())
@@ -93,7 +94,7 @@
     capsys.readouterr()
 
 
-def test_a_sweep_says_what_failed_how_to_play_it_again_and_what_it_did_not_reach(
+def test_a_sweep_reports_failures_replay_commands_and_missed_points(
     capsys: pytest.CaptureFixture[str],
 ) -> None:
     command = ["sim", "sweep", str(SWARM), "--seeds", "1-2", "--jobs", "1"]
@@ -101,14 +102,14 @@
     assert "2 seeds" in (said := capsys.readouterr().out)
     assert "not reached: write.in.before" in said
     assert main([*command, "--some-points"]) == 0
-    with planted(PLANTS["all_have_turns"]):
+    with seeded_fault(SEEDED_FAULTS["key_order_ignored"]):
         assert main([*command, "--some-points"]) == 1
     said = capsys.readouterr().out
     assert "order" in said
     assert f"mallowlug sim run {SWARM} --seed 1 --faults" in said
 
 
-def test_a_seed_draws_its_faults_alone_and_all_kinds_are_drawn() -> None:
+def test_faults_depend_on_the_seed_alone_and_all_kinds_are_drawn() -> None:
     world = scenario.load(SWARM)
     drawn = [swarm(world, seed) for seed in range(60)]
     assert drawn == [swarm(world, seed) for seed in range(60)]
--- a/tests/sim/test_upgrades.py
+++ b/tests/sim/test_upgrades.py
@@ -22,7 +22,7 @@
 from mallowlug.rig.world.scenario import EventTable, Scenario
 from mallowlug.upgrade import spool
 from mallowlug.upgrade.coordinator import UpgradeCoordinator
-from tests.sim.worlds import Patch, judged, planted
+from tests.sim.worlds import Patch, judged, seeded_fault
 from tests.world import ROOT
 
 UPGRADE = scenario.load(ROOT / "scenarios" / "upgrade.toml")
@@ -33,9 +33,9 @@
     1, 19, 36, 48, 68, 116, 119, 147, 150, 151, 172, 185, 197, 215, 223, 251, 255, 9026, 9035, 20095,
     20270, 20293, 20391, 51104, 51122, 70433, 70640,
 )  # fmt: skip
-SMALL: dict[str, Any] = exhaust.WORLD | {
+SMALL_SCENARIO: dict[str, Any] = exhaust.BASE_SCENARIO | {
     "length_s": 1.2,
-    "relays": exhaust.WORLD["relays"] | {"console": True, "disk_mb": 0.3},
+    "relays": exhaust.BASE_SCENARIO["relays"] | {"console": True, "disk_mb": 0.3},
     "event": [{"at_s": 0.15, "what": "upgrade"}],
     "message": [
         {"at_s": 0.02 + 0.03 * number, "cls": cls, "dest": 0, "member": "parqueos-centro", "order": order,
@@ -49,23 +49,28 @@
 
 def small(*strikes: dict[str, Any]) -> Scenario:
     """A relay that is upgraded while 24 messages arrive, with these injected faults."""
-    return Scenario.model_validate(SMALL | {"strike": list(strikes)})
+    return Scenario.model_validate(SMALL_SCENARIO | {"strike": list(strikes)})
 
 
-def roomy() -> Scenario:
+def small_without_refusals() -> Scenario:
     """The same without refusals or failures."""
-    kind = SMALL["kind"][0] | {"limited": False, "least_per_s": (200, 200), "error_rate": 0.0, "batch": 1}
-    return Scenario.model_validate(SMALL | {"kind": [kind]})
+    kind = SMALL_SCENARIO["kind"][0] | {
+        "limited": False,
+        "least_per_s": (200, 200),
+        "error_rate": 0.0,
+        "batch": 1,
+    }
+    return Scenario.model_validate(SMALL_SCENARIO | {"kind": [kind]})
 
 
 @pytest.mark.parametrize("seed", ONCE_FAILED)
-def test_seeds_that_once_failed_keep_every_rule(seed: int) -> None:
+def test_regression_seeds_keep_all_rules(seed: int) -> None:
     result = run_scenario(swarm(UPGRADE, seed))
     assert (result.state, result.breaches, result.complaints) == ("kept", (), ())
 
 
-def test_an_upgrade_passes_the_messages_on(tmp_path: Path) -> None:
-    done, record, verdict = judged(roomy(), tmp_path)
+def test_an_upgrade_hands_all_messages_over(tmp_path: Path) -> None:
+    done, record, verdict = judged(small_without_refusals(), tmp_path)
     assert (verdict.state, done.complaints) == ("kept", [])
     ends = [ref for e in record.events if isinstance(e, rec.Answer) for ref, end in e.ends.items()
             if end == "delivered"]  # fmt: skip
@@ -90,12 +95,12 @@
     assert failed == []
 
 
-def both_own(monkey: pytest.MonkeyPatch) -> None:
+def lock_always_granted(monkey: pytest.MonkeyPatch) -> None:
     """The owner lock is granted to every process."""
     monkey.setattr(SimDisk, "lock", lambda self, fd: True)
 
 
-def waits_left_behind(monkey: pytest.MonkeyPatch) -> None:
+def waits_not_handed_over(monkey: pytest.MonkeyPatch) -> None:
     """Retry-After waits are not handed over."""
     real = RelayCore.handover_state
 
@@ -107,62 +112,64 @@
     monkey.setattr(RelayCore, "handover_state", telling)
 
 
-def door_unread(monkey: pytest.MonkeyPatch) -> None:
+def spool_not_read(monkey: pytest.MonkeyPatch) -> None:
     """Spool files are removed unread."""
     monkey.setattr(spool, "read_spooled_message", lambda data, at: None)
 
 
-def read_anew(monkey: pytest.MonkeyPatch) -> None:
+def adopted_spool_forgotten(monkey: pytest.MonkeyPatch) -> None:
     """A restart forgets how far a spool file was adopted, and which messages are finished."""
     monkey.setattr(RelayCore, "spools", property(lambda self: {}))
     monkey.setattr(RelayCore, "knows", lambda self, ref: False)
 
 
-def ban_lost(monkey: pytest.MonkeyPatch) -> None:
+def disabled_hosts_not_read(monkey: pytest.MonkeyPatch) -> None:
     """The disabled hosts are not read at a start."""
     monkey.setattr(DisabledHosts, "_read", lambda self: self.hosts)
 
 
-def banned() -> Scenario:
+def host_disabled() -> Scenario:
     """The only host is disabled, the relay upgraded, and messages keep arriving."""
     events = [{"at_s": 0.05, "what": "out", "len_s": 1.1, "count": 2}, {"at_s": 0.15, "what": "upgrade"}]
-    late = [{**message, "at_s": 0.75 + 0.01 * number} for number, message in enumerate(SMALL["message"])]
-    return Scenario.model_validate(SMALL | {"event": events, "message": late})
+    late = [
+        {**message, "at_s": 0.75 + 0.01 * number} for number, message in enumerate(SMALL_SCENARIO["message"])
+    ]
+    return Scenario.model_validate(SMALL_SCENARIO | {"event": events, "message": late})
 
 
 def waiting() -> Scenario:
     """Every call is refused with a wait of seconds, and the relay is upgraded at once."""
-    kind = SMALL["kind"][0] | {"wait_ms": (2000, 2500)}
-    return Scenario.model_validate(SMALL | {"kind": [kind], "length_s": 3.0})
+    kind = SMALL_SCENARIO["kind"][0] | {"wait_ms": (2000, 2500)}
+    return Scenario.model_validate(SMALL_SCENARIO | {"kind": [kind], "length_s": 3.0})
 
 
 @pytest.mark.parametrize(
     ("plant", "world", "rules"),
     [
-        (both_own, small, {"twice"}),
-        (waits_left_behind, waiting, {"waits"}),
-        (door_unread, small, {"lost"}),
-        (read_anew, roomy, {"twice"}),
-        (ban_lost, banned, {"drains"}),
+        (lock_always_granted, small, {"twice"}),
+        (waits_not_handed_over, waiting, {"waits"}),
+        (spool_not_read, small, {"lost"}),
+        (adopted_spool_forgotten, small_without_refusals, {"twice"}),
+        (disabled_hosts_not_read, host_disabled, {"drains"}),
     ],
     ids=lambda value: getattr(value, "__name__", ""),
 )
-def test_a_planted_fault_of_the_handover_is_caught(
+def test_a_seeded_fault_of_the_handover_is_detected(
     plant: Patch, world: Any, rules: set[str], tmp_path: Path
 ) -> None:
     assert judged(world(), tmp_path / "kept")[2].breaches == ()
-    with planted(plant):
-        _, _, verdict = judged(world(), tmp_path / "planted")
+    with seeded_fault(plant):
+        _, _, verdict = judged(world(), tmp_path / "seeded_fault")
     assert rules <= {breach.rule for breach in verdict.breaches}
 
 
-def start_counts(monkey: pytest.MonkeyPatch) -> None:
+def settings_of_start_used(monkey: pytest.MonkeyPatch) -> None:
     """The process that takes over uses the settings of its start, as an earlier version did."""
     monkey.setattr(RelayProcess, "apply_config_in_force", lambda self, binds: None)
     monkey.setattr(UpgradeCoordinator, "_exchange_news", lambda self: self._process.refresh_disabled_hosts())
 
 
-def not_handed_over(monkey: pytest.MonkeyPatch) -> None:
+def settings_not_handed_over(monkey: pytest.MonkeyPatch) -> None:
     """The settings in force are not handed over: with a broken file the new process keeps its first ones."""
     monkey.setattr(RelayProcess, "_config_in_force", lambda self, binds: None)
     real = UpgradeCoordinator.wait_for_ownership
@@ -175,14 +182,14 @@
     monkey.setattr(UpgradeCoordinator, "wait_for_ownership", deaf)
 
 
-def hup_not_told(monkey: pytest.MonkeyPatch) -> None:
+def sighup_not_shared(monkey: pytest.MonkeyPatch) -> None:
     """Neither process learns of the other's SIGHUP, and the file is not read at a takeover."""
     monkey.setattr(UpgradeCoordinator, "_record_sighup", lambda self: None)
     monkey.setattr(RelayProcess, "apply_config_in_force", lambda self, binds: None)
 
 
 @pytest.mark.parametrize("seed", [*range(1, 9), 103, 131, 135, 1123, 1229])
-def test_whoever_takes_over_goes_by_what_is_in_force(seed: int) -> None:
+def test_the_new_owner_uses_the_settings_in_force(seed: int) -> None:
     """The settings file changes at every stage of a handover, announced to either process or to none."""
     result = run_scenario(swarm(HANDOVER, seed))
     assert (result.state, result.breaches, result.complaints) == ("kept", (), ())
@@ -207,27 +214,27 @@
 @pytest.mark.parametrize(
     ("plant", "world"),
     [
-        (start_counts, lambda: swarm(HANDOVER, 5)),
-        (not_handed_over, broken_behind_a_move),
-        (hup_not_told, lambda: swarm(HANDOVER, 29)),
+        (settings_of_start_used, lambda: swarm(HANDOVER, 5)),
+        (settings_not_handed_over, broken_behind_a_move),
+        (sighup_not_shared, lambda: swarm(HANDOVER, 29)),
     ],
     ids=lambda value: value.__name__,
 )
-def test_a_stale_configuration_at_a_take_over_is_caught(plant: Patch, world: Any) -> None:
+def test_stale_settings_after_a_takeover_are_detected(plant: Patch, world: Any) -> None:
     assert run_scenario(world()).breaches == ()
-    with planted(plant):
+    with seeded_fault(plant):
         result = run_scenario(world())
     assert "lost" in result.rules
 
 
 @pytest.mark.parametrize("seed", (*range(1, 7), 59))
-def test_hosts_out_by_hand_are_left_alone_through_kills_and_upgrades(seed: int, tmp_path: Path) -> None:
+def test_disabled_hosts_get_no_calls_through_kills_and_upgrades(seed: int, tmp_path: Path) -> None:
     _, record, verdict = judged(swarm(STAFF, seed), tmp_path)
     assert (verdict.state, verdict.breaches) == ("kept", ())
     assert sum(isinstance(event, rec.Hand) for event in record.events) > 0
 
 
-def folder(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> tuple[int, int, bool]:
+def run_upgrades(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> tuple[int, int, bool]:
     """Run upgrades with bodies of 9 kB, which fill the disk budget.
 
     Returns the folder's max size, the number of writes during a compaction beside a spool file, and whether
@@ -254,22 +261,22 @@
     return max(sizes), beside, kept
 
 
-def test_both_processes_files_fit_the_folder_also_through_compactions(
+def test_files_of_both_processes_fit_the_folder_during_compactions(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    size, beside, kept = folder(tmp_path, monkeypatch)
+    size, beside, kept = run_upgrades(tmp_path, monkeypatch)
     assert size <= 600_000 and beside > 0 and kept
 
 
-def test_a_journal_that_takes_more_than_its_part_of_the_folder_is_found(
+def test_a_journal_that_exceeds_its_part_of_the_folder_is_detected(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(
         "mallowlug.compose.reserved_space", lambda _bytes: replace(SMALL_ROOM, total_bytes=-600_000)
     )
-    assert folder(tmp_path, monkeypatch)[0] > 600_000
+    assert run_upgrades(tmp_path, monkeypatch)[0] > 600_000
 
 
 def test_an_upgrade_needs_a_console() -> None:
     with pytest.raises(ValueError, match="console is off"):
-        Scenario.model_validate(SMALL | {"relays": {"count": 1}})
+        Scenario.model_validate(SMALL_SCENARIO | {"relays": {"count": 1}})
--- a/tests/sim/test_vast.py
+++ b/tests/sim/test_vast.py
@@ -19,7 +19,7 @@
     assert result.messages > 1_500
 
 
-def test_forty_relays_that_each_take_the_whole_budget_push_over_what_returns(
+def test_forty_relays_that_each_use_the_whole_budget_overload_returning_hosts(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Seeded fault: relays do not share a cold destination's capacity, each takes all of it."""
--- a/tests/sim/worlds.py
+++ b/tests/sim/worlds.py
@@ -34,46 +34,46 @@
 
 
 @contextmanager
-def planted(patch: Patch) -> Iterator[None]:
+def seeded_fault(patch: Patch) -> Iterator[None]:
     """Apply one small change to the real code."""
     with MonkeyPatch.context() as monkey:
         patch(monkey)
         yield
 
 
-def lost_ends(monkey: MonkeyPatch) -> None:
+def final_results_not_sent(monkey: MonkeyPatch) -> None:
     """Final results are never sent as notices."""
     monkey.setattr(HttpNotifier, "send", lambda self, notice: None)
 
 
-def all_never_ran(monkey: MonkeyPatch) -> None:
+def failed_attempts_never_ran(monkey: MonkeyPatch) -> None:
     """Every failed attempt is treated as if it never ran."""
     monkey.setattr(api.Verdict, "never_ran", property(lambda self: True))
 
 
-def drains_unread(monkey: MonkeyPatch) -> None:
+def drains_ignored(monkey: MonkeyPatch) -> None:
     """A draining endpoint is read as ready."""
     monkey.setitem(discovery.LISTINGS_BY_HEALTH, "DRAINING", api.Listing.READY)
 
 
-def nothing_learnt(monkey: MonkeyPatch) -> None:
+def failures_not_recorded(monkey: MonkeyPatch) -> None:
     """Failures are not recorded, so a returned endpoint gets all held messages at once."""
     for name in ("_record_failure", "_adjust_quota"):
         monkey.setattr(engine.DecisionEngine, name, lambda self, *args: None)
     monkey.setattr(engine.DecisionEngine, "_has_overdue_call", lambda self, endpoint: False)
 
 
-def all_have_turns(monkey: MonkeyPatch) -> None:
+def key_order_ignored(monkey: MonkeyPatch) -> None:
     """The order of messages with the same key is ignored."""
     monkey.setattr(engine.DecisionEngine, "_allowed_by_key_order", lambda self, message: True)
 
 
-def waits_unread(monkey: MonkeyPatch) -> None:
+def waits_ignored(monkey: MonkeyPatch) -> None:
     """Retry-After waits are ignored."""
     monkey.setattr(http_calls, "parse_retry_after_us", lambda answer: 0)
 
 
-def tried_after_the_bytes(monkey: MonkeyPatch) -> None:
+def attempt_journaled_after_send(monkey: MonkeyPatch) -> None:
     """An attempt is journaled only after its first byte was sent."""
     tries, send = Journal.record_attempts, Connection.send
     late: list[Any] = []
@@ -87,13 +87,13 @@
     monkey.setattr(Connection, "send", sending)
 
 
-def torn_tail_by_one(monkey: MonkeyPatch) -> None:
+def torn_tail_off_by_one(monkey: MonkeyPatch) -> None:
     """An off-by-one error where a torn tail of the journal is truncated."""
     replay = Journal._replay
     monkey.setattr(Journal, "_replay", lambda self, data: max(0, replay(self, data) - 1))
 
 
-def newest_not_compacted(monkey: MonkeyPatch) -> None:
+def newest_record_lost_in_compaction(monkey: MonkeyPatch) -> None:
     """A compaction drops the newest record."""
     compact = Journal._compact
 
@@ -106,7 +106,7 @@
     monkey.setattr(Journal, "_compact", compacting)
 
 
-def attempts_forgotten(monkey: MonkeyPatch) -> None:
+def attempts_not_recovered(monkey: MonkeyPatch) -> None:
     """A restart does not recover which attempts were made."""
     recover = Journal._recover
 
@@ -117,7 +117,7 @@
     monkey.setattr(Journal, "_recover", recovering)
 
 
-def window_forgotten(monkey: MonkeyPatch) -> None:
+def window_ignored(monkey: MonkeyPatch) -> None:
     """A keyed message is sent again after its deduplication window."""
     end_us = engine.DecisionEngine._expiry_us
 
@@ -130,7 +130,7 @@
     monkey.setattr(engine.DecisionEngine, "_expiry_us", ending)
 
 
-def wake_lost(monkey: MonkeyPatch) -> None:
+def timer_lost(monkey: MonkeyPatch) -> None:
     """A requested timer never fires."""
     carry = RelayCore._carry_out
 
@@ -140,30 +140,30 @@
     monkey.setattr(RelayCore, "_carry_out", carrying)
 
 
-def wall_believed(monkey: MonkeyPatch) -> None:
+def wall_clock_trusted(monkey: MonkeyPatch) -> None:
     """The wall clock is trusted at every start."""
     monkey.setattr("mallowlug.core.clock.load_offset", lambda system, path, boot: None)
 
 
-def clock_tried_once(monkey: MonkeyPatch) -> None:
+def clock_not_rewritten(monkey: MonkeyPatch) -> None:
     """A clock file that the disk refused is not rewritten, and an attempt from the future counts as new."""
     monkey.setattr(Clock, "retry_save", lambda self: None)
     monkey.setattr("mallowlug.core.relay.UNKNOWN_AGE_US", 0)
 
 
-def refused_unkept(monkey: MonkeyPatch) -> None:
+def refusal_reported_unsaved(monkey: MonkeyPatch) -> None:
     """A refusal is reported even if its final result is not on the disk."""
     real = Journal.record_end
     monkey.setattr(Journal, "record_end", lambda *args: bool(real(*args)) or True)
     monkey.setattr("mallowlug.core.relay.RelayCore._sync_journal", lambda self: True)
 
 
-def slept_away(monkey: MonkeyPatch) -> None:
+def destination_removed_in_use(monkey: MonkeyPatch) -> None:
     """An idle destination is removed although state is still in force for it."""
     monkey.setattr(engine.DecisionEngine, "_in_use", lambda self, number, dest: False)
 
 
-def own_time_outs(monkey: MonkeyPatch) -> None:
+def own_timeout_per_message(monkey: MonkeyPatch) -> None:
     """Each message of a call has its own timeout and is sent again while others keep the call open."""
 
     def letting(self: engine.DecisionEngine) -> None:
@@ -175,22 +175,22 @@
     monkey.setattr(engine.DecisionEngine, "_emit_sends", letting)
 
 
-def sync_left_out(monkey: MonkeyPatch) -> None:
+def sync_skipped(monkey: MonkeyPatch) -> None:
     """A durable journal is not synced before its content is relied on."""
     monkey.setattr(Journal, "sync", lambda self: None)
 
 
-def named_before_it_is_safe(monkey: MonkeyPatch) -> None:
+def directory_not_synced(monkey: MonkeyPatch) -> None:
     """The directory is not synced after a compaction renames the new log over the old one."""
     monkey.setattr(Journal, "_sync_directory", lambda self: None)
 
 
-def unsent_means_unrun(monkey: MonkeyPatch) -> None:
+def written_call_counts_as_never_run(monkey: MonkeyPatch) -> None:
     """An interrupted call counts as never run, even if bytes were written."""
     monkey.setattr(http_calls.Exchange, "written", property(lambda self: False))
 
 
-def finds_given_up(monkey: MonkeyPatch) -> None:
+def recovered_messages_returned(monkey: MonkeyPatch) -> None:
     """Messages recovered without an attempt are returned without a call."""
     resume = RelayCore._resume
 
@@ -203,16 +203,18 @@
     monkey.setattr(RelayCore, "_resume", resuming)
 
 
-RULES: dict[str, Patch] = {
-    "lost": lost_ends, "twice": all_never_ran, "drains": drains_unread, "returns": nothing_learnt,
-    "order": all_have_turns, "waits": waits_unread, "untried": finds_given_up,
+FAULT_BY_RULE: dict[str, Patch] = {
+    "lost": final_results_not_sent, "twice": failed_attempts_never_ran, "drains": drains_ignored,
+    "returns": failures_not_recorded, "order": key_order_ignored, "waits": waits_ignored,
+    "untried": recovered_messages_returned,
 }  # fmt: skip
-PLANTS: dict[str, Patch] = {
+SEEDED_FAULTS: dict[str, Patch] = {
     patch.__name__: patch
     for patch in (
-        lost_ends, all_never_ran, drains_unread, all_have_turns, waits_unread, tried_after_the_bytes,
-        torn_tail_by_one, newest_not_compacted, attempts_forgotten, window_forgotten, wake_lost,
-        wall_believed, clock_tried_once, slept_away, refused_unkept, unsent_means_unrun, sync_left_out,
-        named_before_it_is_safe, own_time_outs,
+        final_results_not_sent, failed_attempts_never_ran, drains_ignored, key_order_ignored, waits_ignored,
+        attempt_journaled_after_send, torn_tail_off_by_one, newest_record_lost_in_compaction,
+        attempts_not_recovered, window_ignored, timer_lost, wall_clock_trusted, clock_not_rewritten,
+        destination_removed_in_use, refusal_reported_unsaved, written_call_counts_as_never_run,
+        sync_skipped, directory_not_synced, own_timeout_per_message,
     )
 }  # fmt: skip
