--- a/mallowlug/rig/sim/__init__.py
+++ b/mallowlug/rig/sim/__init__.py
@@ -1,1 +1,1 @@
-"""Whole relays in simulated time: asyncio's loop and transports over a kernel of our own, from one seed."""
+"""Simulated runs of whole relays: asyncio on a simulated kernel, clock and network, driven by one seed."""
--- a/mallowlug/rig/sim/hours.py
+++ b/mallowlug/rig/sim/hours.py
@@ -104,16 +104,18 @@
 def find_growth(samples: Sequence[Sample]) -> list[str]:
     """Report growth against the first hour of the same process."""
     problems, firsts = list[str](), dict[tuple[str, int], Sample]()
-    for now in samples:
-        first = firsts.setdefault((now.relay, now.lifetime), now)
-        place = f"{now.relay} life {now.lifetime} hour {now.hour}"
+    for current in samples:
+        first = firsts.setdefault((current.relay, current.lifetime), current)
+        place = f"{current.relay} life {current.lifetime} hour {current.hour}"
         for name in ("descriptors", "tasks"):
-            if (held := getattr(now, name)) > (before := getattr(first, name)):
+            if (held := getattr(current, name)) > (before := getattr(first, name)):
                 problems.append(f"{place}: {held} {name}, {before} in hour {first.hour}")
-        if now.size > first.size * (1 + GROWTH_TOLERANCE):
-            more = (now.objects - first.objects).most_common(TYPES_SHOWN)
-            told = ", ".join(f"{count} {name}" for name, count in more)
-            problems.append(f"{place}: {now.size} bytes, {first.size} in hour {first.hour}; more: {told}")
+        if current.size > first.size * (1 + GROWTH_TOLERANCE):
+            more = (current.objects - first.objects).most_common(TYPES_SHOWN)
+            type_counts = ", ".join(f"{count} {name}" for name, count in more)
+            problems.append(
+                f"{place}: {current.size} bytes, {first.size} in hour {first.hour}; more: {type_counts}"
+            )
     return problems
 
 
--- a/mallowlug/rig/sim/loop.py
+++ b/mallowlug/rig/sim/loop.py
@@ -194,7 +194,7 @@
         error, lifetime = context.get("exception"), CURRENT_LIFETIME.get()
         if not isinstance(error, Killed) and (lifetime is None or lifetime.alive):
             self.unhandled.append(
-                f"{lifetime.name if lifetime else 'world'}: {context['message']}: {error!r}"
+                f"{lifetime.name if lifetime else 'environment'}: {context['message']}: {error!r}"
             )
 
     def call_soon(  # type: ignore[override]
--- a/mallowlug/rig/sim/members.py
+++ b/mallowlug/rig/sim/members.py
@@ -1,4 +1,4 @@
-"""Many of the protocol's sides in one process, in drawn time: links that lose, delay, double and are cut."""
+"""A simulated fleet: many protocol instances in one process and in simulated time, over faulty links."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 @dataclass
 class Link:
-    """One direction between two relays."""
+    """One direction between two relays: loss, delay, duplication and partition."""
 
     loss: float = 0.0
     delay_us: tuple[int, int] = (100, 500)
@@ -30,7 +30,7 @@
 
 @dataclass
 class FleetNetwork:
-    """Relays by id, each with the processes that it had; what is said goes by ``address``."""
+    """The simulated network; protocol instances are known by their address."""
 
     seed: int = 1
     times: Times = field(default_factory=Times)
@@ -41,14 +41,14 @@
         self.instances: dict[str, Swim] = {}  # by address
         self.links: dict[tuple[str, str], Link] = {}
         self.default_link = Link()
-        self.events: list[tuple[str, Event]] = []  # with the address of who holds it
+        self.events: list[tuple[str, Event]] = []  # with the address of the instance that saw it
         self.sent, self.bytes = Counter[str](), Counter[str]()
-        self.suspended_until_us: dict[str, int] = {}  # by address: it does nothing until then
+        self.suspended_until_us: dict[str, int] = {}  # by address: suspended until this time
         self._events_due: list[tuple[int, int, Callable[[], None]]] = []
         self._serial = count()
 
     def start(self, relay: str, *, life: int = 1, seeds: Iterable[str] = (), address: str = "") -> Swim:
-        """A process of a relay; an older one at its address is gone."""
+        """Start a process of a relay; it replaces an older one at its address."""
         address = address or f"{relay}:1"
         me = Rumour(relay, life, self.rng.getrandbits(48), 0, "alive", address, "a", "1", relay)
         instance = Swim(
@@ -60,15 +60,15 @@
         return instance
 
     def fleet(self, size: int) -> list[Swim]:
-        """So many relays, the first of which all others know."""
+        """Start ``size`` relays; all know the first one."""
         return [self.start(f"r{at}", seeds=["r0:1"]) for at in range(size)]
 
     def kill(self, address: str) -> None:
-        """The process is gone."""
+        """Kill the process at an address."""
         del self.instances[address]
 
     def cut(self, *groups: Iterable[str]) -> None:
-        """Nothing passes between addresses of different groups."""
+        """Partition the network: nothing passes between addresses of different groups."""
         sides = [set(group) for group in groups]
         for group in sides:
             for other_group in sides:
@@ -78,22 +78,22 @@
                             self.link(one, other).cut = True
 
     def link(self, one: str, other: str) -> Link:
-        """One direction's own figures from now on."""
+        """Return one direction's own link, created as a copy of the default one."""
         plain = self.default_link
         return self.links.setdefault(
             (one, other), Link(plain.loss, plain.delay_us, plain.duplication, plain.cut)
         )
 
     def heal(self) -> None:
-        """All links are as at first."""
+        """Reset all links to the default."""
         self.links.clear()
 
     def after(self, wait_us: int, act: Callable[[], None]) -> None:
-        """Something happens so much later."""
+        """Schedule an action ``wait_us`` from now."""
         heapq.heappush(self._events_due, (self.now_us + wait_us, next(self._serial), act))
 
     def run(self, for_s: float, until: Callable[[], bool] = lambda: False) -> float:
-        """Let time pass, until something is so; how many seconds it took, ``inf`` where it never was."""
+        """Advance time until a condition holds; return the seconds taken, ``inf`` if it never held."""
         start_us = self.now_us
         end_us = start_us + int(for_s * SECOND)
         next_check_us = start_us
@@ -141,10 +141,10 @@
         instance.receive(self.now_us, rec.decoded(data, "test"))
         self._send_pending(address, instance)
 
-    # What is asked of it
+    # Queries
 
     def agree(self, addresses: Iterable[str] | None = None) -> bool:
-        """Whether these (or all) hold the same view, and in it each other, alive."""
+        """Whether these (or all) instances have the same view, with each of them alive in it."""
         sides = (
             [self.instances[a] for a in addresses] if addresses is not None else list(self.instances.values())
         )
@@ -155,7 +155,7 @@
         )
 
     def states(self, relay: str) -> Counter[str]:
-        """How many hold a relay in each state."""
+        """Count the other instances by the state in which they see a relay."""
         held = [
             instance.view.members.get(relay)
             for instance in self.instances.values()
--- a/mallowlug/rig/sim/process.py
+++ b/mallowlug/rig/sim/process.py
@@ -294,11 +294,7 @@
         config: Callable[[], dict[str, Any]],
     ) -> None:
         super().__init__(name, kernel.net.allocate_address(), writer, config)
-        self.kernel, self.machine, self.has_console = (
-            kernel,
-            machine,
-            False,
-        )  # staffed: its lives have a console
+        self.kernel, self.machine, self.has_console = kernel, machine, False
         self.processes: list[SimProcess] = []
         self.config_edits: list[str] = []  # changes made by operators: "classes" or "deadlines"
 
--- a/mallowlug/rig/sim/shrink.py
+++ b/mallowlug/rig/sim/shrink.py
@@ -141,27 +141,27 @@
         case rec.Ask() if event.id in breach.ids:
             order = f", order {event.order}" if event.order else ""
             left = f"{event.left_us / 1e6:.2f} s left"
-            return f"{event.relay} is handed {event.id} ({event.cls}{order}, {left})"
+            return f"{event.relay} receives {event.id} ({event.cls}{order}, {left})"
         case rec.Said() if event.id in breach.ids:
-            return f"the client hears of {event.id}: {event.what}"
+            return f"client response for {event.id}: {event.what}"
         case rec.Call() if event.call in calls:
             return f"call {event.call} to {event.host} with {', '.join(event.ids)}"
         case rec.Ran() if event.id in breach.ids:
-            return f"call {event.call}: {event.id} runs{'' if event.effect else ' again, with no effect'}"
+            return f"call {event.call}: {event.id} executed{'' if event.effect else ' again, without effect'}"
         case rec.Answer() if event.call in calls:
-            wait = f", told to wait {event.wait_us / 1e6:.2f} s" if event.wait_us else ""
+            wait = f", Retry-After {event.wait_us / 1e6:.2f} s" if event.wait_us else ""
             ends = ", ".join(sorted({str(end) for end in event.ends.values()}))
-            return f"call {event.call} is answered: {ends}{' (spoilt)' if event.spoilt else ''}{wait}"
+            return f"call {event.call} is answered: {ends}{' (corrupt)' if event.spoilt else ''}{wait}"
         case rec.Gone() if event.call in calls:
-            return f"call {event.call}: the connection ends, by the {event.by}"
+            return f"call {event.call}: connection closed by the {event.by}"
         case rec.Notice() if event.id in breach.ids:
-            return f"{event.relay} tells the end of {event.id}: {event.result}"
+            return f"{event.relay} sends the final result of {event.id}: {event.result}"
         case rec.Process() if event.relay == breach.relay:
             return f"{event.relay}: {event.what} {event.detail}".rstrip()
         case rec.Life() if event.host in hosts | set(breach.ids):
             return f"{event.host}: {event.state}"
         case rec.Told() if event.relay == breach.relay and event.host in hosts:
-            return f"{event.relay} is told that {event.host} is {event.state}"
+            return f"{event.relay} is notified that {event.host} is {event.state}"
         case rec.Mark():
             return f"{event.what} {event.detail}".rstrip()
     return ""
--- a/mallowlug/rig/sim/upgrade.py
+++ b/mallowlug/rig/sim/upgrade.py
@@ -36,18 +36,18 @@
             self._relay.write_config()
             new = await self._relay.spawn()
             self._relay.lives += 1
-            watching = self._loop.create_task(self._watch(old, new))
+            handover_watch = self._loop.create_task(self._watch(old, new))
             if self._event.len_s:
                 self._killing = self._loop.create_task(self._kill_later(new if self._event.back else old))
             ready = await self._becomes_ready(new)
             if ready and new.returncode is None:
                 self._relay.process = new
                 self._note_ready()
-                following = self._loop.create_task(self._note_end(new))
+                exit_watch = self._loop.create_task(self._note_end(new))
                 await self._end(old)
-                following.cancel()
+                exit_watch.cancel()
                 return
-            watching.cancel()
+            handover_watch.cancel()
             new.kill()
             if await self._falls_back_to(old):
                 return
--- a/tests/sim/__init__.py
+++ b/tests/sim/__init__.py
@@ -1,1 +1,1 @@
-"""Whole relays in simulated time: the kernel, determinism, search, and what it must catch."""
+"""Tests of simulated relays: the kernel, determinism, sweeps, and the detection of seeded faults."""
--- a/tests/sim/test_determinism.py
+++ b/tests/sim/test_determinism.py
@@ -34,10 +34,10 @@
 
 def child(seed: int, folder: Path, hash_seed: str) -> str:
     """The same hash, computed in a separate process."""
-    told = os.environ | {"PYTHONHASHSEED": hash_seed, "PYTHONPATH": str(ROOT)}
+    environment = os.environ | {"PYTHONHASHSEED": hash_seed, "PYTHONPATH": str(ROOT)}
     command = [sys.executable, "-c", CHILD, str(seed), str(folder)]
-    ended = subprocess.run(command, cwd=ROOT, env=told, capture_output=True, check=True, text=True)
-    return ended.stdout.strip()
+    completed = subprocess.run(command, cwd=ROOT, env=environment, capture_output=True, check=True, text=True)
+    return completed.stdout.strip()
 
 
 def test_a_seed_always_gives_the_same_record(tmp_path: Path) -> None:
@@ -50,11 +50,11 @@
 def test_an_order_by_address_is_detected(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     """Seeded fault: batches are ordered by object addresses, so that two runs of a seed differ."""
     send = HttpPartners.send
-    junk: list[Any] = []
+    garbage: list[Any] = []
 
     def shuffled(self: HttpPartners, call: Any) -> Any:
-        junk.append([object() for _ in range(len(junk) % 7)])  # vary the memory layout between runs
-        call.parts.sort(key=lambda part: hash((id(part), len(junk))))
+        garbage.append([object() for _ in range(len(garbage) % 7)])  # vary the memory layout between runs
+        call.parts.sort(key=lambda part: hash((id(part), len(garbage))))
         return send(self, call)
 
     monkeypatch.setattr(HttpPartners, "send", shuffled)
--- a/tests/sim/test_guards.py
+++ b/tests/sim/test_guards.py
@@ -46,7 +46,7 @@
         real = engine.DecisionEngine.step
 
         def step(self: engine.DecisionEngine, now_us: int, events: Iterable[api.Event]) -> list[api.Action]:
-            return real(self, now_us, [told for event in events if (told := change(event)) is not None])
+            return real(self, now_us, [changed for event in events if (changed := change(event)) is not None])
 
         monkey.setattr(engine.DecisionEngine, "step", step)
 
@@ -110,10 +110,10 @@
 
 @pytest.mark.parametrize("name", ENGINE_FAULTS)
 def test_a_disabled_engine_guard_is_detected_although_the_adapter_keeps_the_rule(name: str) -> None:
-    patch, world, seed, rule = ENGINE_FAULTS[name]
-    assert run_scenario(swarm(world, seed)).complaints == ()
+    patch, case, seed, rule = ENGINE_FAULTS[name]
+    assert run_scenario(swarm(case, seed)).complaints == ()
     with seeded_fault(patch):
-        result = run_scenario(swarm(world, seed))
+        result = run_scenario(swarm(case, seed))
     assert any(line.startswith(f"guard: {rule}: ") for line in result.complaints)
     if name in KEPT_BY_THE_ADAPTER:  # the judge alone finds nothing wrong
         assert result.rules == ()
@@ -130,8 +130,8 @@
     ]  # fmt: skip
     clients = SWARM.clients.model_copy(update={"answer_s": 3.0})
     net = scenario.NetTable(latency_ms=(latency_ms, latency_ms))
-    told = {"seed": 1, "net": net, "kinds": tuple(kinds), "clients": clients} | changes
-    return SWARM.model_copy(update=told)
+    changes_made = {"seed": 1, "net": net, "kinds": tuple(kinds), "clients": clients} | changes
+    return SWARM.model_copy(update=changes_made)
 
 
 def draining() -> scenario.Scenario:
@@ -141,33 +141,33 @@
 
 
 @pytest.mark.parametrize(
-    ("patch", "world", "rule"),
+    ("patch", "case", "rule"),
     [(adapter_ignores_waits, lambda: slow_links(45), "waits"), (adapter_ignores_listing, draining, "drains")],
 )
 def test_a_disabled_adapter_guard_is_detected_although_the_engine_has_its_own(
-    patch: Patch, world: Callable[[], scenario.Scenario], rule: str
+    patch: Patch, case: Callable[[], scenario.Scenario], rule: str
 ) -> None:
-    before = run_scenario(world())
+    before = run_scenario(case())
     with seeded_fault(patch):
-        result = run_scenario(world())
+        result = run_scenario(case())
     assert rule not in before.rules and rule in result.rules
     assert not any(line.startswith("guard: ") for line in (*before.complaints, *result.complaints))
 
 
 def test_handed_over_messages_are_kept_if_their_endpoints_are_listed_later() -> None:
     """An upgrade's new process is killed at once; the old one had waits but no endpoint list (70640)."""
-    world = scenario.load(ROOT / "scenarios" / "upgrade.toml")
-    result = run_scenario(swarm(world, 70640))
+    case = scenario.load(ROOT / "scenarios" / "upgrade.toml")
+    result = run_scenario(swarm(case, 70640))
     assert (result.rules, result.complaints) == ((), ())
 
 
 def violations(*steps: tuple[list[api.Event], list[api.Action]]) -> list[str]:
     """The rules that a monitor reports as violated, for steps 100 ms apart."""
-    said = list[str]()
-    watch = InvariantMonitor(settings(), said.append)
+    reports = list[str]()
+    watch = InvariantMonitor(settings(), reports.append)
     for at, (events, actions) in enumerate(steps):
         watch.step((1 + at) * SECOND // 10, events, actions)
-    return [line.split(": ")[1] for line in said]
+    return [line.split(": ")[1] for line in reports]
 
 
 SPOTS = endpoint_update(entry("h", 1), entry("g", 2, listing=api.Listing.DRAINING))
@@ -177,8 +177,8 @@
 def test_the_monitor_reports_each_rule_and_nothing_else() -> None:
     send = api.Send("m", "h", SECOND)
     asked: tuple[list[api.Event], list[api.Action]] = ([SPOTS, arrival("m")], [send])
-    told = violations(asked, ([attempt_outcome(send, FULL, retry_after_us=SECOND)], [send]))
-    assert told == ["waits"]
+    reported = violations(asked, ([attempt_outcome(send, FULL, retry_after_us=SECOND)], [send]))
+    assert reported == ["waits"]
     assert violations(asked, ([attempt_outcome(send, FULL)], [send])) == []
     assert violations(([SPOTS, arrival("m")], [api.Send("m", "g", SECOND)])) == ["drains"]
     assert violations(([SPOTS, api.HostOverride("h", True), arrival("m")], [send])) == ["drains"]
--- a/tests/sim/test_members.py
+++ b/tests/sim/test_members.py
@@ -41,16 +41,16 @@
         await asyncio.sleep(AT_S)
         found.update(agents)
         for name, agent in found.items():
-            told[name] = agent.swim.view.digest, agent._size, frozenset(agent.swim.view.here())
+            views[name] = agent.swim.view.digest, agent._size, frozenset(agent.swim.view.here())
 
-    told: dict[str, Any] = {}
+    views: dict[str, Any] = {}
     monkeypatch.setattr(Agent, "open", opened)
     events = tuple(map(scenario.EventTable.model_validate, rows))
     done = simulate(FLEET.model_copy(update={"events": events}), tmp_path, Options(started=look))
     assert done.complaints == [] and judge(rec.read(done.path)).breaches == ()
-    assert len({digest for digest, _, _ in told.values()}) == 1, told
-    assert {size for _, size, _ in told.values()} == {5}
-    assert {here for _, _, here in told.values()} == {frozenset(f"n{at}" for at in range(5))}
+    assert len({digest for digest, _, _ in views.values()}) == 1, views
+    assert {size for _, size, _ in views.values()} == {5}
+    assert {here for _, _, here in views.values()} == {frozenset(f"n{at}" for at in range(5))}
     return found
 
 
--- a/tests/sim/test_sweep.py
+++ b/tests/sim/test_sweep.py
@@ -64,30 +64,30 @@
 
 @pytest.mark.parametrize("name", FOUND_BY_SEED)
 def test_a_seeded_fault_is_detected_by_a_seed(name: str) -> None:
-    world = swarm(scenario.load(SWARM), FOUND_BY_SEED[name])
+    case = swarm(scenario.load(SWARM), FOUND_BY_SEED[name])
     if name in NO_INACTIVITY:
-        world = world.model_copy(update={"relays": world.relays.model_copy(update={"awake": 1024})})
+        case = case.model_copy(update={"relays": case.relays.model_copy(update={"awake": 1024})})
     if name in HIGH_RATE:
-        world = world.model_copy(update={"load": world.load.model_copy(update={"rate_per_s": 60.0})})
+        case = case.model_copy(update={"load": case.load.model_copy(update={"rate_per_s": 60.0})})
     with seeded_fault(SEEDED_FAULTS[name]):
-        assert not sweep.run_scenario(world).passed
+        assert not sweep.run_scenario(case).passed
 
 
 def test_a_failure_is_minimized_and_explained(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
     with seeded_fault(SEEDED_FAULTS["attempts_not_recovered"]):
-        world = next(
+        case = next(
             exhaust.small_scenario(case)
             for case in exhaust.kills_after(())
             if not exhaust.run_case(case).passed
         )
-        small = shrink.shrink(world, 60, lambda line: None)
-        assert small is not None
-        assert len(small.scenario.messages) <= 2
-        assert len(small.scenario.strikes) == 1
-        assert small.result.rules == ("twice",)
-        assert 3 <= len(small.story) < 15
-        assert "BROKEN twice" in small.story[-1]
-        path = shrink.write(small, tmp_path)
+        minimized = shrink.shrink(case, 60, lambda line: None)
+        assert minimized is not None
+        assert len(minimized.scenario.messages) <= 2
+        assert len(minimized.scenario.strikes) == 1
+        assert minimized.result.rules == ("twice",)
+        assert 3 <= len(minimized.story) < 15
+        assert "BROKEN twice" in minimized.story[-1]
+        path = shrink.write(minimized, tmp_path)
         assert main(["sim", "run", str(path), "--out", str(tmp_path / "again")]) == 1
     assert main(["sim", "run", str(path), "--out", str(tmp_path / "mended")]) == 0
     assert (tmp_path / "mended" / "report.html").exists()
@@ -99,20 +99,20 @@
 ) -> None:
     command = ["sim", "sweep", str(SWARM), "--seeds", "1-2", "--jobs", "1"]
     assert main(command) == 1  # two seeds reach few points
-    assert "2 seeds" in (said := capsys.readouterr().out)
-    assert "not reached: write.in.before" in said
+    assert "2 seeds" in (output := capsys.readouterr().out)
+    assert "not reached: write.in.before" in output
     assert main([*command, "--some-points"]) == 0
     with seeded_fault(SEEDED_FAULTS["key_order_ignored"]):
         assert main([*command, "--some-points"]) == 1
-    said = capsys.readouterr().out
-    assert "order" in said
-    assert f"mallowlug sim run {SWARM} --seed 1 --faults" in said
+    output = capsys.readouterr().out
+    assert "order" in output
+    assert f"mallowlug sim run {SWARM} --seed 1 --faults" in output
 
 
 def test_faults_depend_on_the_seed_alone_and_all_kinds_are_drawn() -> None:
-    world = scenario.load(SWARM)
-    drawn = [swarm(world, seed) for seed in range(60)]
-    assert drawn == [swarm(world, seed) for seed in range(60)]
+    case = scenario.load(SWARM)
+    drawn = [swarm(case, seed) for seed in range(60)]
+    assert drawn == [swarm(case, seed) for seed in range(60)]
     assert len({str(item) for item in drawn}) == 60
     whats = {event.what for item in drawn for event in item.events}
     assert whats >= {"kill", "term", "move", "wipe", "full", "stall", "jump", "apart", "drain", "power"}
--- a/tests/sim/test_upgrades.py
+++ b/tests/sim/test_upgrades.py
@@ -144,7 +144,7 @@
 
 
 @pytest.mark.parametrize(
-    ("plant", "world", "rules"),
+    ("fault", "make_scenario", "rules"),
     [
         (lock_always_granted, small, {"twice"}),
         (waits_not_handed_over, waiting, {"waits"}),
@@ -155,11 +155,11 @@
     ids=lambda value: getattr(value, "__name__", ""),
 )
 def test_a_seeded_fault_of_the_handover_is_detected(
-    plant: Patch, world: Any, rules: set[str], tmp_path: Path
+    fault: Patch, make_scenario: Any, rules: set[str], tmp_path: Path
 ) -> None:
-    assert judged(world(), tmp_path / "kept")[2].breaches == ()
-    with seeded_fault(plant):
-        _, _, verdict = judged(world(), tmp_path / "seeded_fault")
+    assert judged(make_scenario(), tmp_path / "kept")[2].breaches == ()
+    with seeded_fault(fault):
+        _, _, verdict = judged(make_scenario(), tmp_path / "seeded_fault")
     assert rules <= {breach.rule for breach in verdict.breaches}
 
 
@@ -212,7 +212,7 @@
 
 
 @pytest.mark.parametrize(
-    ("plant", "world"),
+    ("fault", "make_scenario"),
     [
         (settings_of_start_used, lambda: swarm(HANDOVER, 5)),
         (settings_not_handed_over, broken_behind_a_move),
@@ -220,10 +220,10 @@
     ],
     ids=lambda value: value.__name__,
 )
-def test_stale_settings_after_a_takeover_are_detected(plant: Patch, world: Any) -> None:
-    assert run_scenario(world()).breaches == ()
-    with seeded_fault(plant):
-        result = run_scenario(world())
+def test_stale_settings_after_a_takeover_are_detected(fault: Patch, make_scenario: Any) -> None:
+    assert run_scenario(make_scenario()).breaches == ()
+    with seeded_fault(fault):
+        result = run_scenario(make_scenario())
     assert "lost" in result.rules
 
 
