--- a/mallowlug/rig/sim/disk.py
+++ b/mallowlug/rig/sim/disk.py
@@ -45,9 +45,8 @@
         self.rng = rng
         self.files: dict[Path, Inode] = {}
         self._synced_names: dict[Path, Inode] = {}  # directory entries as of the last directory sync
-        self._unsynced_changes: list[
-            Callable[[dict[Path, Inode]], object]
-        ] = []  # directory changes since then, in order
+        # Directory changes since then, in order.
+        self._unsynced_changes: list[Callable[[dict[Path, Inode]], object]] = []
         self._descriptors: dict[int, OpenFile] = {}
         self._next_descriptor = 3
         self.full = False  # while set, writes get only the rest of the last block, then ENOSPC
--- a/mallowlug/rig/sim/faults.py
+++ b/mallowlug/rig/sim/faults.py
@@ -251,10 +251,8 @@
     """Return the scenario with this seed and the drawn faults in addition to its own."""
     plan = FaultPlan(scenario, seed)
     for draw in KINDS.values():
-        always = draw in (
-            FaultPlan.upgrades,
-            FaultPlan.operator_disables,
-        )  # they draw nothing for relays without a console or operators
+        # These draw nothing for relays without a console or operators.
+        always = draw in (FaultPlan.upgrades, FaultPlan.operator_disables)
         if always or plan.rng.random() < KIND_PROBABILITY:
             draw(plan)
     if scenario.relays.reloads:
--- a/mallowlug/rig/sim/guards.py
+++ b/mallowlug/rig/sim/guards.py
@@ -28,13 +28,11 @@
     attempts: int  # attempts so far
     in_doubt_us: int = -1  # start of the first in-doubt attempt; -1: none
     in_doubt_zone: str = ""
-    pending_attempts: dict[int, tuple[str, int]] = field(
-        default_factory=dict
-    )  # by attempt without an outcome: host and start
+    # By attempt without an outcome: its host and start.
+    pending_attempts: dict[int, tuple[str, int]] = field(default_factory=dict)
     finished: bool = False
-    overdue_since_us: int = (
-        -1
-    )  # first step past its deadline without a result: the process may have stood still before
+    # First step past its deadline without a result: the process may have been suspended before it.
+    overdue_since_us: int = -1
 
 
 class InvariantMonitor:
@@ -195,7 +193,7 @@
     def _forget(self, ref: str, message: MonitoredMessage) -> None:
         del self._messages[ref]
         if message.key:
-            line = self._key_queues[message.key]
-            line.remove(ref)
-            if not line:
+            queue = self._key_queues[message.key]
+            queue.remove(ref)
+            if not queue:
                 del self._key_queues[message.key]
--- a/mallowlug/rig/sim/loop.py
+++ b/mallowlug/rig/sim/loop.py
@@ -42,9 +42,8 @@
         self.deferred_handles: list[asyncio.Handle] = []  # handles that came due while suspended
         self.steps = 0  # handles run so far
         self.before_step: Callable[[], None] | None = None  # called before each handle; may kill the process
-        self.intercept_call: Callable[[str, bytes], str] = lambda _call, _data: (
-            ""
-        )  # returns the outcome of a system call
+        # Returns the outcome of a system call.
+        self.intercept_call: Callable[[str, bytes], str] = lambda _call, _data: ""
         self.terminate: Callable[[], None] = lambda: None  # kills the process
         self.sockets: dict[int, SimSocket] = {}  # by descriptor, in order of creation
         self.tasks: dict[asyncio.Task[Any], None] = {}
--- a/mallowlug/rig/sim/net.py
+++ b/mallowlug/rig/sim/net.py
@@ -24,7 +24,7 @@
 Address = tuple[str, int]
 WINDOW = 128 * 1024  # bytes in flight or unread at which a sender blocks
 MAX_QUEUED_DATAGRAMS = 256  # unread datagrams per socket; more are dropped
-CONNECT_RETRY_S = 1.0  # s until a connect is retried on a full backlog
+CONNECT_RETRY_S = 1.0  # s until a connection request lost to a full backlog is sent again
 
 
 @dataclass(slots=True)
--- a/mallowlug/rig/sim_cli.py
+++ b/mallowlug/rig/sim_cli.py
@@ -97,9 +97,9 @@
     took_s, coverage = time.perf_counter() - start_s, total.coverage
     length = f"{total.messages} messages, {total.length_s:.0f} s simulated in {took_s:.0f} s"
     print(f"{total.seeds} seeds, {length}: {len(total.failed)} failed")
-    strikes = sum(coverage.points.values())
+    injected = sum(coverage.points.values())
     print(
-        f"{strikes} strikes at {len(coverage.points)} points, {len(coverage.pairs)} pairs of them in two runs"
+        f"{injected} faults at {len(coverage.points)} points, {len(coverage.pairs)} pairs of them in two runs"
     )
     print(", ".join(f"{point} {count}" for point, count in sorted(coverage.points.items())))
     if coverage.missed:
@@ -125,7 +125,7 @@
         place = f"hour {held.hour} {held.relay} life {held.lifetime}"
         print(f"{place}: {held.descriptors} descriptors, {held.tasks} tasks, {held.size} bytes")
     problems = [*result.problems, *result.done.complaints]
-    print("\n".join(problems) if problems else "all of it came back")
+    print("\n".join(problems) if problems else "no growth found")
     return int(bool(problems))
 
 
@@ -142,7 +142,7 @@
     folder = rig.fresh(out, f"{selected.name}-small")
     result = shrink.shrink(selected, tries, lambda line: print(line, flush=True))
     if result is None:
-        print("nothing is wrong with it")
+        print("the scenario does not fail")
         return 0
     path = shrink.write(result, folder)
     print(f"\n{path}\n")
