--- a/mallowlug/rig/sim/hours.py
+++ b/mallowlug/rig/sim/hours.py
@@ -1,8 +1,8 @@
-"""Whether a relay comes back to where it was: its memory and descriptors after each hour of simulated time.
+"""Leak detection: a relay's memory and descriptors after each hour of simulated time.
 
-An hour's traffic and troubles are played again and again; each hour ends in a lull that is longer than any
-message, connection or memory of a failure lasts. What a relay then still holds is counted over all that can
-be reached from its composition root, by type, so that a leak names itself.
+The same hour of traffic and faults is repeated; each ends with a quiet period longer than the lifetime of
+any message, connection or failure state. What a relay then still holds is counted by type over all objects
+reachable from its composition root, so that a leak shows its type.
 """
 
 from __future__ import annotations
@@ -19,45 +19,45 @@
 
 from mallowlug.rig.run.play import Options, World, sleep_until
 from mallowlug.rig.sim.disk import SimDisk
-from mallowlug.rig.sim.ground import Simulated, simulate
-from mallowlug.rig.sim.guards import Watch
-from mallowlug.rig.sim.loop import Life, SimLoop
+from mallowlug.rig.sim.ground import SimulatedRun, simulate
+from mallowlug.rig.sim.guards import InvariantMonitor
+from mallowlug.rig.sim.loop import Lifetime, SimLoop
 from mallowlug.rig.sim.net import Network
 from mallowlug.rig.sim.process import SimProcess, SimRelay, SimSystem
 from mallowlug.rig.world import draw
 from mallowlug.rig.world.scenario import Scenario
 
-OUTSIDE = (  # what belongs to the simulation or to the interpreter, and not to a relay
-    SimLoop, SimDisk, SimSystem, Network, Life, Watch, Context, types.ModuleType, type, types.FunctionType,
-    types.BuiltinFunctionType, types.CodeType, types.FrameType,
+EXCLUDED_TYPES = (  # objects of the simulation or the interpreter, not of a relay
+    SimLoop, SimDisk, SimSystem, Network, Lifetime, InvariantMonitor, Context, types.ModuleType, type,
+    types.FunctionType, types.BuiltinFunctionType, types.CodeType, types.FrameType,
 )  # fmt: skip
-LULL_S = 60.0  # s at an hour's end without traffic or troubles
-SPARE = 0.02  # growth that is no leak: tables keep room for what they once held
-# Bytes for each that is in it.
-EACH: dict[type[Sized], int] = {bytearray: 1, list: 8, dict: 100, set: 40, deque: 8}
-SHOWN = 5  # types that a leak is told by
+QUIET_S = 60.0  # s without traffic or faults at the end of an hour
+GROWTH_TOLERANCE = 0.02  # growth that is not a leak: tables keep capacity that they once needed
+# Bytes per contained item.
+BYTES_PER_ITEM: dict[type[Sized], int] = {bytearray: 1, list: 8, dict: 100, set: 40, deque: 8}
+TYPES_SHOWN = 5  # types named in the report of a leak
 
 
-class LullError(ValueError):
-    """A scenario whose hour does not end quietly."""
+class QuietPeriodError(ValueError):
+    """The scenario's hour does not end with a quiet period."""
 
 
 @dataclass(frozen=True, slots=True)
 class Sample:
-    """What one relay's life holds at the end of an hour: descriptors, tasks, bytes, objects by type."""
+    """What one process of a relay holds at the end of an hour: descriptors, tasks, bytes, objects by type."""
 
     hour: int
     relay: str
-    life: int
+    lifetime: int
     descriptors: int
     tasks: int
     size: int
     objects: Counter[str] = field(hash=False)
 
 
-def roots_of(life: Life) -> list[object]:
-    """The composition root's own values: the locals of ``serve`` as it waits."""
-    for task in life.tasks:
+def roots_of(lifetime: Lifetime) -> list[object]:
+    """Return the local variables of ``serve``, the composition root, at the point where it waits."""
+    for task in lifetime.tasks:
         waiting: object = task.get_coro()
         while isinstance(waiting, types.CoroutineType):
             if waiting.cr_code.co_name == "serve" and waiting.cr_frame is not None:
@@ -66,57 +66,61 @@
     return []
 
 
-def reached(roots: Sequence[object]) -> Iterator[object]:
-    """Every object that hangs on these, each once; what is outside a relay ends the search."""
+def reachable(roots: Sequence[object]) -> Iterator[object]:
+    """Yield every object reachable from the roots once; the search ends at excluded types."""
     seen: set[int] = set()
-    front = list(roots)
-    while front:
-        found = front.pop()
-        if id(found) in seen or isinstance(found, OUTSIDE):
+    pending = list(roots)
+    while pending:
+        item = pending.pop()
+        if id(item) in seen or isinstance(item, EXCLUDED_TYPES):
             continue
-        seen.add(id(found))
-        yield found
-        front += gc.get_referents(found)
+        seen.add(id(item))
+        yield item
+        pending += gc.get_referents(item)
 
 
-def size_of(found: object) -> int:
-    """Bytes of an object alone. What grows in leaps counts by what is in it: spare room comes and goes."""
-    for kind, each in EACH.items():
-        if isinstance(found, kind):
-            return len(found) * each
-    return sys.getsizeof(found)
+def size_of(item: object) -> int:
+    """The size of one object in bytes. Containers count by length, as their spare capacity varies."""
+    for kind, each in BYTES_PER_ITEM.items():
+        if isinstance(item, kind):
+            return len(item) * each
+    return sys.getsizeof(item)
 
 
 def sample(hour: int, relay: SimRelay) -> Sample:
-    """Count what a relay holds now."""
+    """Count what a relay's current process holds."""
     process = relay.process
     assert isinstance(process, SimProcess)
-    life, objects, size = process.life, Counter[str](), 0
-    for found in reached(roots_of(life)):
-        objects[type(found).__qualname__] += 1
-        size += size_of(found)
-    files = relay.machine.disk.opened_by(life)
-    return Sample(hour, relay.name, life.number, len(life.sockets) + files, len(life.tasks), size, objects)
-
-
-def grown(samples: Sequence[Sample]) -> list[str]:
-    """What did not come back, against the same life's first full hour."""
+    lifetime, objects, size = process.lifetime, Counter[str](), 0
+    for item in reachable(roots_of(lifetime)):
+        objects[type(item).__qualname__] += 1
+        size += size_of(item)
+    files = relay.machine.disk.descriptor_count(lifetime)
+    return Sample(
+        hour, relay.name, lifetime.number, len(lifetime.sockets) + files, len(lifetime.tasks), size, objects
+    )
+
+
+def find_growth(samples: Sequence[Sample]) -> list[str]:
+    """Report growth against the first hour of the same process."""
     problems, firsts = list[str](), dict[tuple[str, int], Sample]()
-    for now in samples:
-        first = firsts.setdefault((now.relay, now.life), now)
-        place = f"{now.relay} life {now.life} hour {now.hour}"
+    for current in samples:
+        first = firsts.setdefault((current.relay, current.lifetime), current)
+        place = f"{current.relay} life {current.lifetime} hour {current.hour}"
         for name in ("descriptors", "tasks"):
-            if (held := getattr(now, name)) > (before := getattr(first, name)):
+            if (held := getattr(current, name)) > (before := getattr(first, name)):
                 problems.append(f"{place}: {held} {name}, {before} in hour {first.hour}")
-        if now.size > first.size * (1 + SPARE):
-            more = (now.objects - first.objects).most_common(SHOWN)
-            told = ", ".join(f"{count} {name}" for name, count in more)
-            problems.append(f"{place}: {now.size} bytes, {first.size} in hour {first.hour}; more: {told}")
+        if current.size > first.size * (1 + GROWTH_TOLERANCE):
+            more = (current.objects - first.objects).most_common(TYPES_SHOWN)
+            type_counts = ", ".join(f"{count} {name}" for name, count in more)
+            problems.append(
+                f"{place}: {current.size} bytes, {first.size} in hour {first.hour}; more: {type_counts}"
+            )
     return problems
 
 
-def repeated(scenario: Scenario, hours: int) -> Scenario:
-    """The scenario's hour so many times; its last ``LULL_S`` are without traffic, and events end before."""
+def repeat_hours(scenario: Scenario, hours: int) -> Scenario:
+    """Repeat the scenario's hour ``hours`` times, with its events in each."""
     hour_s = scenario.length_s
     events = [
         event.model_copy(update={"at_s": hour * hour_s + event.at_s})
@@ -127,30 +131,32 @@
 
 
 @dataclass(slots=True)
-class Hours:
-    """What hours of simulated time say."""
+class HourlyResult:
+    """The result of a run of several simulated hours."""
 
-    done: Simulated
+    done: SimulatedRun
     samples: list[Sample]
 
     @property
     def problems(self) -> list[str]:
-        """What did not come back."""
-        return grown(self.samples)
+        """Growth found between hours."""
+        return find_growth(self.samples)
 
 
-def played(scenario: Scenario, hours: int, folder: Path, lull_s: float = LULL_S) -> Hours:
-    """Play an hour (the scenario's length) again and again, and count at each one's end.
+def run_hours(scenario: Scenario, hours: int, folder: Path, quiet_s: float = QUIET_S) -> HourlyResult:
+    """Play an hour (the scenario's length) ``hours`` times and count objects at the end of each.
 
-    ``LullError`` where the scenario leaves no room for its lull.
+    Raises ``QuietPeriodError`` if the scenario leaves no time for the quiet period.
     """
     hour_s, samples = scenario.length_s, list[Sample]()
-    if hour_s <= lull_s:
-        raise LullError(f"{hour_s:g} s leave no room for a lull of {lull_s:g} s")
-    if late := [event for event in scenario.events if event.at_s + event.len_s > hour_s - lull_s]:
-        raise LullError(f"{late[0].what} at {late[0].at_s} s is not over {lull_s:g} s before the hour's end")
-    long = repeated(scenario, hours)
-    traffic = [arrival for arrival in draw.arrivals_of(long) if arrival.at_s % hour_s < hour_s - lull_s]
+    if hour_s <= quiet_s:
+        raise QuietPeriodError(f"{hour_s:g} s leave no room for a quiet period of {quiet_s:g} s")
+    if late := [event for event in scenario.events if event.at_s + event.len_s > hour_s - quiet_s]:
+        raise QuietPeriodError(
+            f"{late[0].what} at {late[0].at_s} s is not over {quiet_s:g} s before the hour's end"
+        )
+    long = repeat_hours(scenario, hours)
+    traffic = [arrival for arrival in draw.arrivals_of(long) if arrival.at_s % hour_s < hour_s - quiet_s]
 
     async def count(world: World) -> None:
         start_s = asyncio.get_running_loop().time()
@@ -159,4 +165,4 @@
             samples.extend(sample(hour, relay) for relay in world.relays if isinstance(relay, SimRelay))
 
     done = simulate(long, folder, Options(traffic=traffic, started=count))
-    return Hours(done, samples)
+    return HourlyResult(done, samples)
--- a/mallowlug/rig/sim/process.py
+++ b/mallowlug/rig/sim/process.py
@@ -1,7 +1,7 @@
-"""Relays in the simulation: the real program from its composition root down, one life after another.
+"""Simulated relays: the real program from its composition root down, one process lifetime after another.
 
-A life ends as a process does: at once, wherever it is, with all its handles and descriptors; what it wrote
-stays on its machine's disk. A system call can be the last thing that a life does, or fail.
+A simulated process ends like a real one: at once, at any point, with all its handles and descriptors; what it
+wrote stays on the disk of its machine. Faults can end a process at any system call or make the call fail.
 """
 
 from __future__ import annotations
@@ -25,44 +25,44 @@
 from mallowlug.rig.judge import record as rec
 from mallowlug.rig.run.relays import Process, Relay, asked
 from mallowlug.rig.sim.disk import SimDisk
-from mallowlug.rig.sim.loop import LIFE, Killed, Life, SimLoop, vars_of
-from mallowlug.rig.sim.net import Network, SimSocket, failure
+from mallowlug.rig.sim.loop import CURRENT_LIFETIME, Killed, Lifetime, SimLoop, untyped
+from mallowlug.rig.sim.net import Network, SimSocket, os_error
 from mallowlug.rig.world.scenario import EventTable, StrikeTable
 
-EPOCH_NS = 1_750_000_000 * 10**9  # the wall clock's time when the simulation's monotonic clock shows 0
+EPOCH_NS = 1_750_000_000 * 10**9  # wall clock time at 0 of the simulated monotonic clock
 CONFIG, STATE = Path("/config.json"), Path("/state")
 ERRNO = {"ENOSPC": 28, "EIO": 5}
 
 
-class LifeLog(logging.Handler):
-    """Each life's log lines, by simulated time."""
+class LifetimeLog(logging.Handler):
+    """Collects the log lines of each relay, with simulated time and process number."""
 
     def __init__(self, loop: SimLoop) -> None:
         super().__init__(logging.INFO)
         self._loop = loop
-        self.lines: dict[str, list[str]] = {}  # by relay
+        self.lines: dict[str, list[str]] = {}  # by relay name
 
     def emit(self, record: logging.LogRecord) -> None:
-        if (life := LIFE.get()) is not None and life.alive:
-            line = f"{self._loop.now_s:.6f} {life.number} {record.levelname} {record.getMessage()}"
-            self.lines.setdefault(life.name, []).append(line)
+        if (lifetime := CURRENT_LIFETIME.get()) is not None and lifetime.alive:
+            line = f"{self._loop.now_s:.6f} {lifetime.number} {record.levelname} {record.getMessage()}"
+            self.lines.setdefault(lifetime.name, []).append(line)
 
 
 @dataclass(slots=True)
 class Machine:
-    """What outlasts a relay's lives: its disk and its wall clock."""
+    """What a relay's restarts keep: its disk, its wall clock and its optional settings."""
 
     name: str
     disk: SimDisk
     extras: config.Extras
-    wall_off_ns: int = 0
-    boots: int = 1
-    fills: int = 0  # reasons for which its disk takes nothing now
-    console: tuple[str, int] | None = None  # of the life that is started next; None: it has none
+    wall_offset_ns: int = 0
+    boot_count: int = 1
+    full_reasons: int = 0  # number of active faults that fill the disk
+    console: tuple[str, int] | None = None  # console address of the next process; None: no console
 
 
 class SimSystem:
-    """The operating system that one life is given."""
+    """The operating system interface that one process gets."""
 
     def __init__(self, loop: SimLoop, net: Network, machine: Machine) -> None:
         self._loop, self._net, self._machine = loop, net, machine
@@ -72,36 +72,36 @@
         self.disk = machine.disk
 
     def wall_ns(self) -> int:
-        """The machine's wall clock, which may have jumped."""
-        return EPOCH_NS + int(self._loop.now_s * 1e6) * 1000 + self._machine.wall_off_ns
+        """The machine's wall clock in ns, with its injected jumps."""
+        return EPOCH_NS + int(self._loop.now_s * 1e6) * 1000 + self._machine.wall_offset_ns
 
     def boot(self) -> str:
-        """What names this run of the machine."""
-        return f"boot-{self._machine.boots}"
+        """The boot id of the machine."""
+        return f"boot-{self._machine.boot_count}"
 
     def stream(self, family: int) -> socket.socket:
-        """A simulated socket."""
+        """Create a simulated socket."""
         return cast(socket.socket, self._net.stream(family))
 
     def listener(self, address: tuple[str, int], shared: bool = False) -> socket.socket:
-        """A simulated socket that listens."""
-        life = LIFE.get()
-        assert isinstance(life, SimLife)
-        life.calls_to_listen = life.calls
+        """Create a simulated listening socket; note how many system calls came before it."""
+        lifetime = CURRENT_LIFETIME.get()
+        assert isinstance(lifetime, SimLifetime)
+        lifetime.calls_before_listen = lifetime.calls
         return cast(socket.socket, self._net.listener(address, shared))
 
     def datagram(self, address: tuple[str, int]) -> socket.socket:
-        """A simulated UDP socket."""
+        """Create a simulated UDP socket."""
         return cast(socket.socket, self._net.datagram(address))
 
     def steer(self, sock: socket.socket) -> bool:
-        """New connections come to the later one of two sockets."""
+        """Direct new connections to the later one of two listening sockets."""
         self._net.steer(cast(SimSocket, sock))
         return True
 
 
-def name_of(call: str, data: bytes) -> str:
-    """A system call's name for those who count what was struck: with what it writes."""
+def call_name(call: str, data: bytes) -> str:
+    """The name of a system call in fault points; writes and sends also name what they write."""
     if call == "write":
         head = data.partition(b'["')[2].partition(b'"')[0] or data
         return f"write.{head.decode('latin-1')}"
@@ -114,161 +114,168 @@
 
 
 @dataclass(slots=True)
-class Struck:
-    """A strike that fell."""
+class InjectedFault:
+    """An injected fault: when, in which process of which relay, and at which point."""
 
     at_us: int
     relay: str
-    life: int
+    lifetime: int
     point: str
 
 
 class Kernel:
-    """Counts the system calls and steps of every life, and strikes where it was told to."""
+    """Counts the system calls and loop steps of every process and injects the configured faults."""
 
     def __init__(self, loop: SimLoop, net: Network, strikes: Sequence[StrikeTable]) -> None:
         self.loop, self.net = loop, net
         self._strikes = strikes
-        self.struck: list[Struck] = []
-        self.told: Callable[[Struck], None] = lambda _struck: None
+        self.injected: list[InjectedFault] = []
+        self.on_injected: Callable[[InjectedFault], None] = lambda _fault: None
 
-    def enter(self, life: SimLife, call: str, data: bytes) -> str:
-        """A life makes a system call: how it is to end; ``Killed`` or ``OSError`` where it does not begin."""
-        life.calls += 1
-        if not life.strikes:
+    def intercept_call(self, lifetime: SimLifetime, call: str, data: bytes) -> str:
+        """Return the outcome of a system call; raise ``Killed`` or ``OSError`` if a fault prevents it."""
+        lifetime.calls += 1
+        if not lifetime.strikes:
             return ""
-        name = name_of(call, data)
-        life.by_call.update({call, name})
-        for strike in life.strikes:
-            count = life.by_call[strike.call] if strike.call else life.calls
+        name = call_name(call, data)
+        lifetime.call_counts.update({call, name})
+        for strike in lifetime.strikes:
+            count = lifetime.call_counts[strike.call] if strike.call else lifetime.calls
             if strike.unit == "call" and strike.call in ("", call, name) and strike.at == count:
-                return self._strike(life, strike, name)
+                return self._inject(lifetime, strike, name)
         return ""
 
-    def _strike(self, life: SimLife, strike: StrikeTable, name: str) -> str:
+    def _inject(self, lifetime: SimLifetime, strike: StrikeTable, name: str) -> str:
         if strike.what == "kill":
-            self._note(life, f"{name}.{strike.when}")
+            self._record_injection(lifetime, f"{name}.{strike.when}")
             if strike.when == "before":
-                self.kill(life)
+                self.kill(lifetime)
                 raise Killed
             return strike.when
-        self._note(life, f"{name}.{strike.what}")
-        life.excused = True
+        self._record_injection(lifetime, f"{name}.{strike.what}")
+        lifetime.disk_failed = True
         if strike.what == "short":
             return "short"
-        raise failure(ERRNO[strike.what])
+        raise os_error(ERRNO[strike.what])
 
-    def _note(self, life: SimLife, point: str) -> None:
-        found = Struck(int(self.loop.now_s * 1e6), life.name, life.number, point)
-        self.struck.append(found)
-        self.told(found)
+    def _record_injection(self, lifetime: SimLifetime, point: str) -> None:
+        fault = InjectedFault(int(self.loop.now_s * 1e6), lifetime.name, lifetime.number, point)
+        self.injected.append(fault)
+        self.on_injected(fault)
 
     def start(self, machine: Machine, number: int) -> SimProcess:
-        """The next life of a machine's relay."""
-        mine = [s for s in self._strikes if f"n{s.relay}" == machine.name and s.life == number]
-        life = SimLife(machine, number, mine)
-        life.enter, life.die = partial(self.enter, life), partial(self.kill, life)
-        steps = {strike.at for strike in mine if strike.unit == "step"}
+        """Start the next process of a machine's relay."""
+        own_strikes = [s for s in self._strikes if f"n{s.relay}" == machine.name and s.life == number]
+        lifetime = SimLifetime(machine, number, own_strikes)
+        lifetime.intercept_call, lifetime.terminate = (
+            partial(self.intercept_call, lifetime),
+            partial(self.kill, lifetime),
+        )
+        steps = {strike.at for strike in own_strikes if strike.unit == "step"}
         if steps:
-            life.before_step = lambda: self._step(life, steps)
-        process = SimProcess(self, life)
-        life.context = copy_context()
-        life.context.run(LIFE.set, life)
+            lifetime.before_step = lambda: self._check_step(lifetime, steps)
+        process = SimProcess(self, lifetime)
+        lifetime.context = copy_context()
+        lifetime.context.run(CURRENT_LIFETIME.set, lifetime)
         system = SimSystem(self.loop, self.net, machine)
-        life.context.run(self.loop.create_task, self._main(life, system))
+        lifetime.context.run(self.loop.create_task, self._run_program(lifetime, system))
         return process
 
-    def _step(self, life: SimLife, steps: set[int]) -> None:
-        if life.steps in steps:
-            self._note(life, "step")
-            self.kill(life)
+    def _check_step(self, lifetime: SimLifetime, steps: set[int]) -> None:
+        if lifetime.steps in steps:
+            self._record_injection(lifetime, "step")
+            self.kill(lifetime)
 
-    async def _main(self, life: SimLife, system: SimSystem) -> None:
-        """What ``mallowlug run`` does, and the end of the process behind it."""
+    async def _run_program(self, lifetime: SimLifetime, system: SimSystem) -> None:
+        """Run the program as ``mallowlug run`` does, then end the process with its exit code."""
         try:
-            code = await serve(config.load(system), system, life.machine.extras)
+            code = await serve(config.load(system), system, lifetime.machine.extras)
         except config.ConfigError as error:
             logging.getLogger("mallowlug").critical("configuration: %s", error)
             code = 2
         except Exception:
-            logging.getLogger("mallowlug").exception("the process broke")
+            logging.getLogger("mallowlug").exception("unhandled exception")
             code = 1
-        me = asyncio.current_task()
-        rest = [task for task in life.tasks if task is not me]
-        for task in rest:
+        current = asyncio.current_task()
+        others = [task for task in lifetime.tasks if task is not current]
+        for task in others:
             task.cancel()
-        await asyncio.gather(*rest, return_exceptions=True)
-        life.left = [f"socket {sock.state}" for sock in life.sockets.values() if sock.state == "listening"]
-        life.left += [f"task {task.get_name()}" for task in life.tasks if task is not me and not task.done()]
-        self.end(life, code)
-
-    def kill(self, life: SimLife) -> None:
-        """SIGKILL."""
-        self.end(life, -signal.SIGKILL)
-
-    def end(self, life: SimLife, code: int) -> None:
-        """The process is gone; what it held the kernel closes."""
-        if not life.alive:
+        await asyncio.gather(*others, return_exceptions=True)
+        lifetime.leaks = [
+            f"socket {sock.state}" for sock in lifetime.sockets.values() if sock.state == "listening"
+        ]
+        lifetime.leaks += [
+            f"task {task.get_name()}" for task in lifetime.tasks if task is not current and not task.done()
+        ]
+        self.end(lifetime, code)
+
+    def kill(self, lifetime: SimLifetime) -> None:
+        """Kill the process (SIGKILL)."""
+        self.end(lifetime, -signal.SIGKILL)
+
+    def end(self, lifetime: SimLifetime, code: int) -> None:
+        """End a process; the kernel closes its sockets and descriptors."""
+        if not lifetime.alive:
             return
-        life.alive = False
-        self.loop.forget(life)
-        self.net.vanish(life)
-        life.machine.disk.release(life)
-        for task in list(life.tasks):
-            vars_of(task)._log_destroy_pending = False
-            # Its coroutines are unwound now, in order, where nothing that they do has an effect any more;
-            # left to the garbage collector they would be at any time. One that is running unwinds by itself.
+        lifetime.alive = False
+        self.loop.cancel_handles_of(lifetime)
+        self.net.close_sockets_of(lifetime)
+        lifetime.machine.disk.close_descriptors_of(lifetime)
+        for task in list(lifetime.tasks):
+            untyped(task)._log_destroy_pending = False
+            # Close its coroutines now, in order: nothing that they do has an effect any more, and the garbage
+            # collector would close them at an arbitrary time. The running one unwinds by itself.
             with contextlib.suppress(RuntimeError, ValueError, Killed):
-                life.context.copy().run(vars_of(task.get_coro()).close)
-        if not life.over.done():
-            life.over.set_result(code)
+                lifetime.context.copy().run(untyped(task.get_coro()).close)
+        if not lifetime.exit_future.done():
+            lifetime.exit_future.set_result(code)
 
 
-class SimLife(Life):
-    """A life with its machine and what is to strike it."""
+class SimLifetime(Lifetime):
+    """A process lifetime with its machine and the faults configured for it."""
 
     def __init__(self, machine: Machine, number: int, strikes: Sequence[StrikeTable]) -> None:
         super().__init__(machine.name, number)
         self.machine, self.strikes = machine, tuple(strikes)
-        self.calls, self.by_call = 0, Counter[str]()
-        self.calls_to_listen = 0  # system calls before it could take anything on
+        self.calls, self.call_counts = 0, Counter[str]()
+        self.calls_before_listen = 0  # system calls before it listened and could accept a message
         self.context = copy_context()
-        self.over: asyncio.Future[int] = asyncio.get_running_loop().create_future()
-        self.left: list[str] = []  # what was not closed at an orderly end
-        self.excused = False  # its disk failed: it may give up, and say so
+        self.exit_future: asyncio.Future[int] = asyncio.get_running_loop().create_future()
+        self.leaks: list[str] = []  # tasks and listening sockets left open by an orderly shutdown
+        self.disk_failed = False  # a disk fault was injected: the process may exit with an error
 
 
 class SimProcess(Process):
-    """A life as its supervisor sees it."""
+    """A process as its supervisor sees it."""
 
-    def __init__(self, kernel: Kernel, life: SimLife) -> None:
-        self._kernel, self.life = kernel, life
+    def __init__(self, kernel: Kernel, lifetime: SimLifetime) -> None:
+        self._kernel, self.lifetime = kernel, lifetime
         self.console: tuple[str, int] | None = None
 
     @property
     def returncode(self) -> int | None:
-        """Its exit code, negative for a signal; None while it runs."""
-        return self.life.over.result() if self.life.over.done() else None
+        """The exit code, negative for a signal; None while the process runs."""
+        return self.lifetime.exit_future.result() if self.lifetime.exit_future.done() else None
 
     async def wait(self) -> int:
-        """Wait for its end; the exit code."""
-        return await asyncio.shield(self.life.over)
+        """Wait for the process to end; return its exit code."""
+        return await asyncio.shield(self.lifetime.exit_future)
 
     def send_signal(self, signal: int) -> None:
-        """Signal it: its handler runs as its next step; without one SIGTERM ends it and SIGHUP is ignored."""
-        life = self.life
-        if signal in life.handlers:
-            self._kernel.loop.call_soon(life.handlers[signal], context=life.context.copy())
+        """Send a signal: its handler runs as the next step. Without one, SIGTERM ends the process."""
+        lifetime = self.lifetime
+        if signal in lifetime.handlers:
+            self._kernel.loop.call_soon(lifetime.handlers[signal], context=lifetime.context.copy())
         elif signal in (9, 15):
-            self._kernel.end(life, -signal)
+            self._kernel.end(lifetime, -signal)
 
     def kill(self) -> None:
-        """SIGKILL."""
-        self._kernel.kill(self.life)
+        """Kill the process (SIGKILL)."""
+        self._kernel.kill(self.lifetime)
 
 
-def edited(classes: list[dict[str, Any]], edit: str, number: int) -> None:
-    """Change settings in a way that no rule depends on: one class more, or aims a little shorter."""
+def edit_classes(classes: list[dict[str, Any]], edit: str, number: int) -> None:
+    """Make a settings change that no rule depends on: an additional class, or target times cut by a tenth."""
     if edit == "classes":
         classes.append(classes[0] | {"name": f"more-{number}"})
     for cls in classes if edit == "deadlines" else ():
@@ -276,7 +283,7 @@
 
 
 class SimRelay(Relay):
-    """A relay over all its lives, on a machine of its own."""
+    """A relay across its restarts, on a machine of its own."""
 
     def __init__(
         self,
@@ -286,83 +293,85 @@
         writer: rec.Writer,
         config: Callable[[], dict[str, Any]],
     ) -> None:
-        super().__init__(name, kernel.net.address(), writer, config)
-        self.kernel, self.machine, self.staffed = kernel, machine, False  # staffed: its lives have a console
+        super().__init__(name, kernel.net.allocate_address(), writer, config)
+        self.kernel, self.machine, self.has_console = kernel, machine, False
         self.processes: list[SimProcess] = []
-        self.edits: list[str] = []  # what staff have changed in its settings: classes, deadlines
+        self.config_edits: list[str] = []  # changes made by operators: "classes" or "deadlines"
 
     def write_config(self) -> None:
-        self.machine.disk.put(CONFIG, self.told())
+        self.machine.disk.install_file(CONFIG, self.told())
 
     def told(self) -> bytes:
         raw = json.loads(super().told())
-        for number, edit in enumerate(self.edits):
-            edited(raw["settings"]["request_classes"], edit, number)
+        for number, edit in enumerate(self.config_edits):
+            edit_classes(raw["settings"]["request_classes"], edit, number)
         return json.dumps(raw).encode()
 
     def reload(self, event: EventTable) -> None:
-        """Staff put another file in place and tell one of its processes, as the event says."""
+        """Replace the settings file as the event says, and send SIGHUP unless ``event.unsaid``."""
         if event.file in ("classes", "deadlines"):
-            self.edits.append(event.file)
-        whole = self.told()
-        self.machine.disk.put(CONFIG, whole[: len(whole) // 2] if event.file == "broken" else whole)
+            self.config_edits.append(event.file)
+        content = self.told()
+        self.machine.disk.install_file(
+            CONFIG, content[: len(content) // 2] if event.file == "broken" else content
+        )
         if not event.unsaid:
-            self.signal_hup(event.back)
+            self.send_sighup(event.back)
 
-    def signal_hup(self, last: bool) -> None:
-        """SIGHUP to the process that its supervisor goes by, or to the ``last`` one that was started."""
+    def send_sighup(self, last: bool) -> None:
+        """Send SIGHUP to the current process, or to the one started ``last``."""
         process = self.processes[-1] if last and self.processes else self.process
         if process is not None and process.returncode is None:
             self.note("hup")
             process.send_signal(signal.SIGHUP)
 
     async def spawn(self) -> SimProcess:
-        if self.staffed:
-            self.machine.console = self.kernel.net.address()
+        if self.has_console:
+            self.machine.console = self.kernel.net.allocate_address()
         process = self.kernel.start(self.machine, self.lives)
         process.console = self.machine.console
         self.processes.append(process)
         return process
 
     @property
-    def left(self) -> list[str]:
-        """What its lives left open at an orderly end."""
-        return [item for process in self.processes for item in process.life.left]
+    def leaks(self) -> list[str]:
+        """What its processes left open at an orderly shutdown."""
+        return [item for process in self.processes for item in process.lifetime.leaks]
 
     @property
     def crashes(self) -> list[str]:
-        """Lives that ended by themselves, and not by an order, a strike or a failing disk."""
-        ends = [(process.life, process.returncode) for process in self.processes]
-        return [f"{life.name} life {life.number} ended with {code}" for life, code in ends
-                if code not in (0, -9, None) and not life.excused]  # fmt: skip
+        """Processes that ended by themselves without an order, an injected kill or a disk fault."""
+        ends = [(process.lifetime, process.returncode) for process in self.processes]
+        return [f"{lifetime.name} life {lifetime.number} ended with {code}" for lifetime, code in ends
+                if code not in (0, -9, None) and not lifetime.disk_failed]  # fmt: skip
 
     async def kill(self) -> None:
-        """SIGKILL, to all processes that it has."""
+        """Kill all processes of the relay (SIGKILL)."""
         for process in self.processes:
             if process is not self.process:
                 process.kill()
         await super().kill()
 
     async def by_hand(self, host: str, out: bool) -> bool:
-        """At the console of any process that it has now."""
+        """Disable (``out``) or enable a host at the console of any running process, drawn at random."""
         alive = [p.console for p in self.processes if p.returncode is None and p.console is not None]
         if not alive:
             return False
         target = f"/hosts/{'disable' if out else 'enable'}?name={host}"
         return await asked(self.kernel.net.rng.choice(alive), "POST", target) == 200
 
-    def owner(self) -> Life | None:
-        """Which life holds the lock of the folder's owner, as the kernel knows."""
-        return self.machine.disk.holder(STATE / "owner")
+    def owning_lifetime(self) -> Lifetime | None:
+        """The process that holds the lock on the state folder's ``owner`` file."""
+        return self.machine.disk.lock_holder(STATE / "owner")
 
     def lose(self) -> None:
         self.machine.disk.wipe()
-        self.machine.boots += 1
+        self.machine.boot_count += 1
 
     def cut_power(self) -> None:
-        """The machine stops at once and comes back with its disk: what was synced, and perhaps more."""
+        """Cut the machine's power and restart it; synced data survives, unsynced data perhaps."""
         self.note("kill", "power")
         for process in self.processes:
             process.kill()
         self.machine.disk.crash()
-        self.machine.boots += 1
+        self.machine.boot_count += 1
--- a/mallowlug/rig/sim/upgrade.py
+++ b/mallowlug/rig/sim/upgrade.py
@@ -1,7 +1,7 @@
-"""An upgrade as a supervisor makes it: a second process beside the first, its yes, the first one's end.
+"""An upgrade as a supervisor does it: start a second process, wait until it is ready, end the first one.
 
-To the record both are one relay: nothing is noted while both live, so every rule goes on through it. Only
-where a process that owned the messages dies is there an end, and a new beginning once another one owns them.
+The record shows both as one relay: nothing is noted while both run, so every rule stays in force. An end is
+noted only if a process that owned the messages dies, and a new start once another process owns them.
 """
 
 from __future__ import annotations
@@ -14,9 +14,9 @@
 from mallowlug.rig.sim.process import SimProcess, SimRelay
 from mallowlug.rig.world.scenario import EventTable
 
-READY_S = 6.0  # s in which the new process has to say yes
-LOOK_S = 0.02
-BACK_S = 3.0  # s in which a process that is left alone has to own the messages again
+READY_S = 6.0  # s in which the new process has to become ready
+POLL_S = 0.02
+FALLBACK_S = 3.0  # s in which the remaining process has to own the messages again
 
 
 class Upgrade:
@@ -25,10 +25,10 @@
     def __init__(self, relay: SimRelay, event: EventTable) -> None:
         self._relay, self._event = relay, event
         self._loop = asyncio.get_running_loop()
-        self._ended = False  # whether an end of the owner is noted that no beginning has followed yet
+        self._ended = False  # an end of the owner was noted, and no new start since
 
     async def play(self) -> None:
-        """All of it; nobody else ends or starts the relay meanwhile."""
+        """Run the whole upgrade; holds the relay's lock, so that nothing else ends or starts the relay."""
         async with self._relay.turn:
             old = self._relay.process
             if not isinstance(old, SimProcess) or old.returncode is not None:
@@ -36,87 +36,87 @@
             self._relay.write_config()
             new = await self._relay.spawn()
             self._relay.lives += 1
-            watching = self._loop.create_task(self._watch(old, new))
+            handover_watch = self._loop.create_task(self._watch(old, new))
             if self._event.len_s:
                 self._killing = self._loop.create_task(self._kill_later(new if self._event.back else old))
-            yes = await self._yes(new)
-            if yes and new.returncode is None:
+            ready = await self._becomes_ready(new)
+            if ready and new.returncode is None:
                 self._relay.process = new
-                self._begun()
-                following = self._loop.create_task(self._note_end(new))
+                self._note_ready()
+                exit_watch = self._loop.create_task(self._note_end(new))
                 await self._end(old)
-                following.cancel()
+                exit_watch.cancel()
                 return
-            watching.cancel()
+            handover_watch.cancel()
             new.kill()
-            if await self._goes_back_to(old):
+            if await self._falls_back_to(old):
                 return
-            # Both are gone: a supervisor starts it anew.
+            # Both have ended: a supervisor starts the relay again.
             await asyncio.sleep(0.05)
             await self._relay.up(0.05)
 
     async def _kill_later(self, process: SimProcess) -> None:
         await asyncio.sleep(self._event.len_s)
-        self._strike(process)
+        self._kill_process(process)
 
-    def _strike(self, process: SimProcess) -> None:
-        """SIGKILL; where it owned the messages, the relay has ended for a moment."""
+    def _kill_process(self, process: SimProcess) -> None:
+        """Kill a process (SIGKILL); if it owned the messages, note the relay's end."""
         if process.returncode is None:
-            if self._relay.owner() is process.life and not self._ended:
+            if self._relay.owning_lifetime() is process.lifetime and not self._ended:
                 self._relay.note("kill")
-                self._exit(-9)
+                self._note_exit(-9)
             process.kill()
 
-    def _exit(self, code: int) -> None:
-        """Who owned the messages is gone; noted once until another one owns them."""
+    def _note_exit(self, code: int) -> None:
+        """Note once that the owner of the messages has ended, until another process owns them."""
         if not self._ended:
             self._relay.note("exit", str(code))
             self._ended = True
 
-    def _begun(self) -> None:
+    def _note_ready(self) -> None:
         if self._ended:
             self._relay.note("ready")
             self._ended = False
 
     async def _watch(self, old: SimProcess, new: SimProcess) -> None:
-        """Note the old one's end at once, also by a strike of the kernel, if it owned the messages."""
+        """Note the old process's end at once, also by an injected kill, if it owned the messages."""
         code = await old.wait()
-        if self._relay.process is old and self._relay.owner() is not new.life:
-            self._exit(code)
+        if self._relay.process is old and self._relay.owning_lifetime() is not new.lifetime:
+            self._note_exit(code)
 
     async def _note_end(self, owner: SimProcess) -> None:
-        """Note the end of one that has said yes, while the old one still keeps the door."""
-        self._exit(await owner.wait())
+        """Note the end of a new process that was ready, while the old one still holds the spool."""
+        self._note_exit(await owner.wait())
 
-    async def _yes(self, new: SimProcess) -> bool:
-        """Whether the new process says at its console that it is ready, in time."""
-        last_s = self._loop.time() + READY_S
+    async def _becomes_ready(self, new: SimProcess) -> bool:
+        """Whether the new process reports ready at its console in time."""
+        deadline_s = self._loop.time() + READY_S
         console = self._relay.machine.console
         assert console is not None
-        while self._loop.time() < last_s and new.returncode is None:
+        while self._loop.time() < deadline_s and new.returncode is None:
             if await asked(console, "GET", "/ready") == 200:
                 return True
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(POLL_S)
         return False
 
-    async def _goes_back_to(self, old: SimProcess) -> bool:
-        """The new process is gone: whether the old one owns the messages (again)."""
-        last_s = self._loop.time() + BACK_S
-        while old.returncode is None and self._loop.time() < last_s:
-            if self._relay.owner() is old.life:
-                self._begun()
+    async def _falls_back_to(self, old: SimProcess) -> bool:
+        """After the end of the new process: whether the old one owns the messages (again)."""
+        deadline_s = self._loop.time() + FALLBACK_S
+        while old.returncode is None and self._loop.time() < deadline_s:
+            if self._relay.owning_lifetime() is old.lifetime:
+                self._note_ready()
                 return True
-            self._exit(-9)
-            await asyncio.sleep(LOOK_S)
+            self._note_exit(-9)
+            await asyncio.sleep(POLL_S)
         if old.returncode is None:
             old.kill()
-        self._exit(-9)
+        self._note_exit(-9)
         return False
 
     async def _end(self, old: SimProcess) -> None:
-        """SIGTERM, and SIGKILL where it lasts too long."""
+        """Stop a process by SIGTERM, and by SIGKILL if it takes too long."""
         old.send_signal(signal.SIGTERM)
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(TERM_S):
                 await old.wait()
-        self._strike(old)
+        self._kill_process(old)
--- a/tests/sim/test_members.py
+++ b/tests/sim/test_members.py
@@ -1,4 +1,4 @@
-"""The view of the fleet in the simulated world: relays, partners and traffic around it, faults between."""
+"""The fleet view in simulation: relays with partners and traffic, and faults between them."""
 
 from __future__ import annotations
 
@@ -17,16 +17,19 @@
 from mallowlug.rig.sim.ground import simulate
 from mallowlug.rig.sim.loop import SimLoop
 from mallowlug.rig.sim.net import Network
-from mallowlug.rig.sim.sweep import played
+from mallowlug.rig.sim.sweep import run_scenario
 from mallowlug.rig.world import scenario
 from tests.world import ROOT
 
 FLEET = scenario.load(ROOT / "scenarios" / "fleet.toml")
-AT_S = 12.0  # when the views are looked at: behind the last fault
+AT_S = 12.0  # when the views are compared: after the last fault
 
 
-def looked(tmp_path: Path, monkeypatch: pytest.MonkeyPatch, *rows: dict[str, Any]) -> dict[str, Agent]:
-    """By relay: what holds its view at that time. No rule of the relay is broken meanwhile."""
+def views_after(tmp_path: Path, monkeypatch: pytest.MonkeyPatch, *rows: dict[str, Any]) -> dict[str, Agent]:
+    """Run with these events; return each relay's fleet agent at ``AT_S``.
+
+    Requires that all views are equal then, and that no rule is broken.
+    """
     agents, found = dict[str, Agent](), dict[str, Agent]()
     real = Agent.open
 
@@ -38,23 +41,23 @@
         await asyncio.sleep(AT_S)
         found.update(agents)
         for name, agent in found.items():
-            told[name] = agent.swim.view.digest, agent._size, frozenset(agent.swim.view.here())
+            views[name] = agent.swim.view.digest, agent._size, frozenset(agent.swim.view.here())
 
-    told: dict[str, Any] = {}
+    views: dict[str, Any] = {}
     monkeypatch.setattr(Agent, "open", opened)
     events = tuple(map(scenario.EventTable.model_validate, rows))
     done = simulate(FLEET.model_copy(update={"events": events}), tmp_path, Options(started=look))
     assert done.complaints == [] and judge(rec.read(done.path)).breaches == ()
-    assert len({digest for digest, _, _ in told.values()}) == 1, told
-    assert {size for _, size, _ in told.values()} == {5}
-    assert {here for _, _, here in told.values()} == {frozenset(f"n{at}" for at in range(5))}
+    assert len({digest for digest, _, _ in views.values()}) == 1, views
+    assert {size for _, size, _ in views.values()} == {5}
+    assert {here for _, _, here in views.values()} == {frozenset(f"n{at}" for at in range(5))}
     return found
 
 
-def test_views_settle_through_a_cut_a_kill_a_standstill_and_an_upgrade(
+def test_views_converge_after_a_partition_a_kill_a_suspension_and_an_upgrade(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    found = looked(
+    found = views_after(
         tmp_path, monkeypatch,
         {"at_s": 2.0, "what": "apart", "relay": 1, "len_s": 3.0},
         {"at_s": 3.0, "what": "kill", "relay": 2},
@@ -66,12 +69,12 @@
 
 
 @pytest.mark.parametrize("seed", range(1, 6))
-def test_no_rule_breaks_where_relays_know_of_each_other(seed: int) -> None:
-    result = played(swarm(FLEET, seed))
+def test_relays_in_a_fleet_keep_all_rules(seed: int) -> None:
+    result = run_scenario(swarm(FLEET, seed))
     assert (result.state, result.rules, result.complaints) == ("kept", (), ())
 
 
-async def test_datagrams_may_be_lost_doubled_and_late_and_a_socket_holds_so_many() -> None:
+async def test_datagrams_may_be_lost_duplicated_or_late_and_queues_are_limited() -> None:
     def run(**faults: float) -> list[int]:
         loop = SimLoop()
         net = loop.net = Network(loop, random.Random(1))
@@ -81,15 +84,15 @@
 
         async def send() -> None:
             for number in range(300):
-                one.sendto(bytes([number % 256]), other.here)
+                one.sendto(bytes([number % 256]), other.local_address)
             await asyncio.sleep(5)
 
-        loop.complete(send())
+        loop.run_main(send())
         return [data[0] for data, _ in other.queue]
 
     plain = await asyncio.to_thread(run)
     assert plain == list(range(256))
     assert 100 < len(await asyncio.to_thread(run, loss=0.5)) < 200
-    late = await asyncio.to_thread(run, late_s=1.0)
+    late = await asyncio.to_thread(run, max_delay_s=1.0)
     assert late != sorted(late)
-    assert len(set(await asyncio.to_thread(run, doubled=1.0))) < 256
+    assert len(set(await asyncio.to_thread(run, duplication=1.0))) < 256
