--- a/mallowlug/core/relay.py
+++ b/mallowlug/core/relay.py
@@ -348,7 +348,9 @@
             self.sent_by_former_core + self._partners.messages_written,
         )
         inactive = (host for host in self._disabled_hosts.hosts if host not in self._engine.endpoints)
-        avoided_count = self._engine.count_avoided() + sum(self._listings.is_listed(host) for host in inactive)
+        avoided_count = self._engine.count_avoided() + sum(
+            self._listings.is_listed(host) for host in inactive
+        )
         return Gauges(
             sent_count,
             len(self._held_messages),
--- a/tests/calls.py
+++ b/tests/calls.py
@@ -1,4 +1,4 @@
-"""Helpers to make calls to one host through ``Hosts`` and to wait for their outcomes."""
+"""Helpers to make calls to one host through ``HttpPartners`` and to wait for their outcomes."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class HostCalls:
-    """``Hosts`` with one listed host; keeps the outcomes of the messages by id."""
+    """``HttpPartners`` with one listed host; keeps the outcomes of the messages by id."""
 
     def __init__(self, port: int, connect_us: int = 10_000_000) -> None:
         self.outcomes: dict[str, PartOutcome] = {}
