--- a/mallowlug/core/disabled_hosts.py
+++ b/mallowlug/core/disabled_hosts.py
@@ -96,13 +96,13 @@
         """Store a new set of hosts and report the change of ``host``; returns why it failed, or empty."""
         data = b"".join(msgspec.json.encode(name) + b"\n" for name in hosts)
         if len(data) > self._max_bytes and len(hosts) > len(self.hosts):
-            return "too many hosts are disabled already"
+            return "too many hosts are out already"
         try:
             if not replace_file(self._disk, self._path, data, self._durable):
                 return "the disk is full"
         except OSError as error:
             LOG.error("disabled hosts: change of %s not stored: %s", host, error)
-            return f"not stored: {error}"
+            return f"not kept: {error}"
         self.hosts = hosts
         LOG.warning("disabled hosts: %s was %s", host, self._state_text(host))
         self.on_change(host, host in hosts)
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -83,7 +83,7 @@
     assert len(DisabledHosts(tmp_path, POSIX.disk).hosts) == HOST_COUNT + 1
     long_ids = [f"{number:0>120}" for number in range(LARGE_FOLDER.disabled_hosts_bytes // 120)]
     replies = [disabled_hosts.disable(host) for host in long_ids]
-    assert replies[0] == "" and replies[-1] == "too many hosts are disabled already"
+    assert replies[0] == "" and replies[-1] == "too many hosts are out already"
     stored = DisabledHosts(tmp_path, POSIX.disk).hosts
     assert set(HOSTS) <= set(stored) and len(stored) == len(HOSTS) + replies.count("")
 
