--- a/mallowlug/rig/judge/ledger.py
+++ b/mallowlug/rig/judge/ledger.py
@@ -39,11 +39,11 @@
 class Message:
     """One message as it was handed in, and everything that became of it."""
 
-    ask: rec.Ask
-    cls: rec.ClassFacts | None
+    ask: rec.MessageSubmitted
+    cls: rec.ClassSpec | None
     number: int
     taken_us: int = -1
-    said: rec.Said | None = None
+    said: rec.ClientOutcome | None = None
     delivered_us: int = -1
     notices: list[rec.Notice] = field(default_factory=list)
     attempts: list[Attempt] = field(default_factory=list)
@@ -59,11 +59,11 @@
 class Books:
     """What every rule needs to know, kept in step with the events."""
 
-    def __init__(self, head: rec.Head) -> None:
+    def __init__(self, head: rec.RecordHead) -> None:
         self.head, self.figures = head, head.figures
         self.classes = {cls.name: cls for cls in head.classes}
         self.kinds = {kind.name: kind for kind in head.kinds}
-        self.hosts: dict[str, rec.Host] = {}
+        self.hosts: dict[str, rec.HostAdded] = {}
         self.messages: dict[str, Message] = {}
         self.calls: dict[int, list[tuple[Message, Attempt]]] = {}
         self.call_of: dict[int, rec.Call] = {}
@@ -180,36 +180,36 @@
         """Keep the books."""
         self.end_us = max(self.end_us, event.at)
         match event:
-            case rec.Host():
+            case rec.HostAdded():
                 self.hosts[event.host] = event
-            case rec.Ask():
+            case rec.MessageSubmitted():
                 if event.id not in self.messages:  # written once more on a new connection: the same message
                     cls = self.classes.get(event.cls)
                     self.messages[event.id] = Message(event, cls, len(self.messages))
-            case rec.Said() if event.id in self.messages:
+            case rec.ClientOutcome() if event.id in self.messages:
                 message = self.messages[event.id]
                 message.said = event
                 if event.what == "taken" and message.taken_us < 0:
                     message.taken_us = event.at
             case rec.Call():
                 self._call(event)
-            case rec.Answer():
+            case rec.CallAnswered():
                 for message, attempt in self.calls.get(event.call, []):
                     attempt.end = event.ends.get(message.ask.id, "")
                     attempt.ended_us, attempt.answered = event.at, True
                     if attempt.end == "delivered" and message.delivered_us < 0:
                         message.delivered_us = event.at
-            case rec.Gone():
+            case rec.CallBroken():
                 for _, attempt in self.calls.get(event.call, []):
                     if attempt.ended_us < 0:
                         attempt.ended_us = event.at
             case rec.Notice() if event.id in self.messages:
                 self.messages[event.id].notices.append(event)
-            case rec.Process():
+            case rec.ProcessEvent():
                 self._process(event)
-            case rec.Link():
+            case rec.LinkDelay():
                 self.links[event.between].append((event.at, event.late_us))
-            case rec.Reach():
+            case rec.ReachabilityChange():
                 windows = self.cut_off[event.relay]
                 if not event.open and (not windows or windows[-1][1] >= 0):
                     windows.append([event.at, -1])
@@ -226,7 +226,7 @@
                 parts.append((message, attempt))
         self.calls[event.call], self.call_of[event.call] = parts, event
 
-    def _process(self, event: rec.Process) -> None:
+    def _process(self, event: rec.ProcessEvent) -> None:
         windows = self.away[event.relay]
         if event.what == "full":
             self.full[event.relay] = event.at, math.inf
--- a/mallowlug/rig/judge/life.py
+++ b/mallowlug/rig/judge/life.py
@@ -134,24 +134,24 @@
     for event in record.events:
         books.take(event)
         match event:
-            case rec.Ask() if event.cls in effects:
+            case rec.MessageSubmitted() if event.cls in effects:
                 lives.setdefault(event.id, Life(effects[event.cls]))
                 relays[event.id] = event.relay
-            case rec.Said() if event.what == "taken":
+            case rec.ClientOutcome() if event.what == "taken":
                 take(event.at, event.id, "taken")
             case rec.Call() if books.sent(event) == event.began:  # else held up on its way: no step of now
                 calls[event.call] = list(event.ids)
                 for ref in event.ids:
                     take(event.at, ref, "try")
-            case rec.Answer() if calls.pop(event.call, None) is not None:
+            case rec.CallAnswered() if calls.pop(event.call, None) is not None:
                 for ref, end in event.ends.items():
                     take(event.at, ref, STEP_OF[end])
-            case rec.Gone():
+            case rec.CallBroken():
                 for ref in calls.pop(event.call, []):
                     take(event.at, ref, "failed")
             case rec.Notice():
                 take(event.at, event.id, event.result)
-            case rec.Process() if event.what in ("exit", "wiped"):
+            case rec.ProcessEvent() if event.what in ("exit", "wiped"):
                 for ref in [ref for ref, relay in relays.items() if relay == event.relay]:
                     take(event.at, ref, "dies")
                     if event.what == "wiped" or books.owing(event.relay, event.at):
--- a/mallowlug/rig/judge/members.py
+++ b/mallowlug/rig/judge/members.py
@@ -30,23 +30,25 @@
 
     up: dict[str, int] = field(default_factory=dict)  # by relay: since when its process runs
     shut: set[tuple[str, str]] = field(default_factory=set)  # ways that are cut or bad
-    seen: dict[str, rec.Held] = field(default_factory=dict)  # by relay: the last view it was seen to hold
+    seen: dict[str, rec.FleetView] = field(
+        default_factory=dict
+    )  # by relay: the last view it was seen to hold
     lives: dict[tuple[str, str], int] = field(default_factory=dict)  # by holder and member: highest life
     quiet_us: int = 0  # since when nothing was disturbed
     lapses: dict[tuple[str, str], Lapse] = field(default_factory=dict)  # the first of each rule and relay
 
     def take(self, event: rec.AnyEvent) -> None:
         """Keep the books, and look at each view as it was seen."""
-        if isinstance(event, rec.Process):
+        if isinstance(event, rec.ProcessEvent):
             self._process(event)
-        elif isinstance(event, rec.Way):
+        elif isinstance(event, rec.DatagramPath):
             self.quiet_us = event.at
             (self.shut.discard if event.clear else self.shut.add)((event.one, event.other))
-        elif isinstance(event, rec.Held) and event.relay in self.up:
+        elif isinstance(event, rec.FleetView) and event.relay in self.up:
             self.seen[event.relay] = event
             self._look(event)
 
-    def _process(self, event: rec.Process) -> None:
+    def _process(self, event: rec.ProcessEvent) -> None:
         if event.what == "start":
             self.up[event.relay] = event.at
         elif event.what in ("kill", "term", "exit"):
@@ -55,10 +57,10 @@
             self.lives = {key: life for key, life in self.lives.items() if key[0] != event.relay}
         self.quiet_us = event.at
 
-    def _lapse(self, rule: str, event: rec.Held, detail: str) -> None:
+    def _lapse(self, rule: str, event: rec.FleetView, detail: str) -> None:
         self.lapses.setdefault((rule, event.relay), Lapse(rule, event.at, event.relay, detail))
 
-    def _look(self, event: rec.Held) -> None:
+    def _look(self, event: rec.FleetView) -> None:
         for member, (life, _) in event.members.items():
             key = event.relay, member
             if life < self.lives.get(key, 0):
--- a/mallowlug/rig/judge/record.py
+++ b/mallowlug/rig/judge/record.py
@@ -24,7 +24,7 @@
     """A record that cannot be read; the message names file, line and reason."""
 
 
-class ClassFacts(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class ClassSpec(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """A class of message: what it is worth (times in microseconds) and what a repeat of it does."""
 
     name: str
@@ -38,7 +38,7 @@
     in_order: bool = False
 
 
-class KindFacts(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class KindSpec(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """A kind of endpoint: whether each is a route of its own, and how many messages a call may carry."""
 
     name: str
@@ -47,14 +47,14 @@
     item_cost: float = 0.15  # work of a further message in a call, as a share of the first one's
 
 
-class MemberFacts(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class TenantQuota(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """A member and the rate of its share, in messages a second over all relays."""
 
     name: str
     quota_per_s: float
 
 
-class Figures(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class RuleLimits(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """The figures of the rules. Times in microseconds; ``slack_us`` is added to each limit on sockets."""
 
     drain_grace_us: int = 500_000
@@ -76,21 +76,21 @@
     at: int
 
 
-class Head(Event, frozen=True, tag="head"):
+class RecordHead(Event, frozen=True, tag="head"):
     """The first line: what the run was, and the facts that the rules go by."""
 
     name: str
     seed: int
-    classes: list[ClassFacts]
-    kinds: list[KindFacts]
-    members: list[MemberFacts]
-    figures: Figures
+    classes: list[ClassSpec]
+    kinds: list[KindSpec]
+    members: list[TenantQuota]
+    figures: RuleLimits
     scenario: dict[str, Any] = {}  # as it was played, so that the record can be played again
     dials: bool = False  # whether every connect to an endpoint is told, also one that is refused
     version: int = VERSION
 
 
-class Host(Event, frozen=True, tag="host"):
+class HostAdded(Event, frozen=True, tag="host"):
     """An endpoint exists from now on; ``per_s`` is the rate of messages at which it is at its limit."""
 
     host: str
@@ -100,7 +100,7 @@
     per_s: float
 
 
-class Life(Event, frozen=True, tag="life"):
+class HostStateChange(Event, frozen=True, tag="life"):
     """An endpoint's outage begins (``out``) or ends (``back``): then it is cold for ``warm_us``."""
 
     host: str
@@ -109,7 +109,7 @@
     warm_us: int = 0
 
 
-class Process(Event, frozen=True, tag="relay"):
+class ProcessEvent(Event, frozen=True, tag="relay"):
     """What happened to a relay's process; ``wiped``: its folder is lost as well, ``deaf``: it stands
     still or nothing reaches it, until ``hears``; ``full``: its disk takes nothing, until ``room``.
     """
@@ -119,7 +119,7 @@
     detail: str = ""
 
 
-class Hand(Event, frozen=True, tag="hand"):
+class HostDisabled(Event, frozen=True, tag="hand"):
     """Staff took a host out at a relay, from its yes on, or are about to take it back."""
 
     relay: str
@@ -127,7 +127,7 @@
     out: bool
 
 
-class Ask(Event, frozen=True, tag="ask"):
+class MessageSubmitted(Event, frozen=True, tag="ask"):
     """A client's request is written, up to its last byte; ``first`` is the id of the message's first try."""
 
     id: str
@@ -142,7 +142,7 @@
     size: int = 0
 
 
-class Said(Event, frozen=True, tag="said"):
+class ClientOutcome(Event, frozen=True, tag="said"):
     """What a client heard of its request. ``silent``: nothing in time; ``cut``: the connection ended instead;
     ``fresh``: it was the first request on its connection."""
 
@@ -152,7 +152,7 @@
     fresh: bool = False
 
 
-class Dial(Event, frozen=True, tag="dial"):
+class ConnectStarted(Event, frozen=True, tag="dial"):
     """A relay begins to connect to an endpoint. Only a simulated network tells: a closed port cannot."""
 
     relay: str
@@ -169,7 +169,7 @@
     connection: int = 0
 
 
-class Ran(Event, frozen=True, tag="ran"):
+class MessageProcessed(Event, frozen=True, tag="ran"):
     """A message was processed; ``effect`` is false where its key was still remembered."""
 
     call: int
@@ -178,7 +178,7 @@
     effect: bool
 
 
-class Answer(Event, frozen=True, tag="answer"):
+class CallAnswered(Event, frozen=True, tag="answer"):
     """A call's answer is written. ``spoilt``: so that only a first line with 200 can be believed of it."""
 
     call: int
@@ -187,14 +187,14 @@
     spoilt: bool = False
 
 
-class Gone(Event, frozen=True, tag="gone"):
+class CallBroken(Event, frozen=True, tag="gone"):
     """A call's connection ended before its answer."""
 
     call: int
     by: Literal["relay", "host"]
 
 
-class Left(Event, frozen=True, tag="left"):
+class ConnectionClosed(Event, frozen=True, tag="left"):
     """The relay closed the connection on which this call, the last one there, was told to wait."""
 
     call: int
@@ -209,14 +209,14 @@
     wait_us: int = 0
 
 
-class Listed(Event, frozen=True, tag="listed"):
+class DirectoryChange(Event, frozen=True, tag="listed"):
     """The truth about an endpoint has changed in the directory."""
 
     host: str
     state: Literal["ready", "draining", "gone"]
 
 
-class Told(Event, frozen=True, tag="told"):
+class StateAnnounced(Event, frozen=True, tag="told"):
     """A state of an endpoint was written to a relay."""
 
     relay: str
@@ -224,21 +224,21 @@
     state: Literal["ready", "draining", "gone"]
 
 
-class Watch(Event, frozen=True, tag="watch"):
+class WatchChange(Event, frozen=True, tag="watch"):
     """A relay's watch on the directory begins or ends."""
 
     relay: str
     open: bool
 
 
-class Reach(Event, frozen=True, tag="reach"):
+class ReachabilityChange(Event, frozen=True, tag="reach"):
     """Whether anything passes between a relay and the platform; a cut network is silent."""
 
     relay: str
     open: bool
 
 
-class Link(Event, frozen=True, tag="link"):
+class LinkDelay(Event, frozen=True, tag="link"):
     """How much later (us) than written bytes arrive from now on between relays and others; -1: not at all,
     until the next such event.
     """
@@ -247,7 +247,7 @@
     late_us: int
 
 
-class Way(Event, frozen=True, tag="way"):
+class DatagramPath(Event, frozen=True, tag="way"):
     """Whether datagrams from one relay to another pass as they should."""
 
     one: str
@@ -255,7 +255,7 @@
     clear: bool
 
 
-class Held(Event, frozen=True, tag="held"):
+class FleetView(Event, frozen=True, tag="held"):
     """The view that a relay was seen to hold: by member its life and state, and the group of its parts."""
 
     relay: str
@@ -264,7 +264,7 @@
     members: dict[str, tuple[int, str]]
 
 
-class Rude(Event, frozen=True, tag="rude"):
+class MalformedClient(Event, frozen=True, tag="rude"):
     """How a client that sends nonsense fared: an error, a close, or neither in time."""
 
     relay: str
@@ -272,14 +272,14 @@
     end: Literal["error", "close", "taken", "none"]
 
 
-class Mark(Event, frozen=True, tag="mark"):
+class Annotation(Event, frozen=True, tag="mark"):
     """Something for the reader: an outage, a fault, a fail point."""
 
     what: str
     detail: str = ""
 
 
-class End(Event, frozen=True, tag="end"):
+class RecordEnd(Event, frozen=True, tag="end"):
     """The last line: how many events came before it, the rig's own CPU time in seconds, and by how much (us)
     its event loop was late at worst.
     """
@@ -290,8 +290,10 @@
 
 
 AnyEvent = (
-    Head | Host | Life | Process | Hand | Ask | Said | Dial | Call | Ran | Answer | Gone | Left | Notice
-    | Listed | Told | Watch | Reach | Link | Way | Held | Rude | Mark | End
+    RecordHead | HostAdded | HostStateChange | ProcessEvent | HostDisabled | MessageSubmitted | ClientOutcome
+    | ConnectStarted | Call | MessageProcessed | CallAnswered | CallBroken | ConnectionClosed | Notice
+    | DirectoryChange | StateAnnounced | WatchChange | ReachabilityChange | LinkDelay | DatagramPath
+    | FleetView | MalformedClient | Annotation | RecordEnd
 )  # fmt: skip
 ENCODER = msgspec.json.Encoder()
 DECODER = msgspec.json.Decoder(AnyEvent)
@@ -300,7 +302,7 @@
 class Record(msgspec.Struct, frozen=True):
     """A record as it was read: its head, its events in order, and whether it is whole."""
 
-    head: Head
+    head: RecordHead
     events: list[AnyEvent]
     whole: bool
 
@@ -310,14 +312,16 @@
     return time.monotonic_ns() // 1000 - start_us
 
 
-class Writer:
+class RecordWriter:
     """Appends events; what it has written outlasts the process."""
 
-    def __init__(self, path: Path, head: Callable[[int], Head], clock: Callable[[], int] = now_us) -> None:
+    def __init__(
+        self, path: Path, head: Callable[[int], RecordHead], clock: Callable[[], int] = now_us
+    ) -> None:
         self._clock, self.start_us = clock, clock()
         self._file: IO[bytes] = path.open("wb")
         self.count = 0
-        self.told: list[Callable[[AnyEvent], None]] = []  # who else wants to see each event
+        self.listeners: list[Callable[[AnyEvent], None]] = []  # who else wants to see each event
         self._put(head(0))
 
     @property
@@ -327,7 +331,7 @@
 
     def _put(self, event: AnyEvent) -> None:
         self._file.write(ENCODER.encode(event) + b"\n")
-        for listener in self.told:
+        for listener in self.listeners:
             listener(event)
 
     def add(self, event: AnyEvent) -> None:
@@ -341,7 +345,7 @@
         """Write the last line, behind what other processes have seen."""
         for event in others:
             self.add(event)
-        self._put(End(self.now, self.count, cpu_s, late_us))
+        self._put(RecordEnd(self.now, self.count, cpu_s, late_us))
         self._file.close()
 
 
@@ -350,7 +354,7 @@
     path.write_bytes(b"".join(ENCODER.encode(event) + b"\n" for event in (record.head, *record.events)))
 
 
-def lines(path: Path) -> Iterator[tuple[int, AnyEvent | None]]:
+def read_lines(path: Path) -> Iterator[tuple[int, AnyEvent | None]]:
     """Each line's number and event; None for a last line without its end, which a killed writer leaves."""
     try:
         data = path.read_bytes()
@@ -372,18 +376,18 @@
     Events are put in order by their times; of those at the same time, in order of lines.
     """
     head, events, end, torn = None, list[AnyEvent](), None, False
-    for number, event in lines(path):
+    for number, event in read_lines(path):
         if event is None:
             torn = True
         elif head is None:
-            if not isinstance(event, Head):
+            if not isinstance(event, RecordHead):
                 raise RecordError(f"{path}:{number}: the first line is no head")
             if event.version != VERSION:
                 raise RecordError(f"{path}:{number}: version {event.version}, not {VERSION}")
             head = event
-        elif isinstance(event, Head) or end is not None:
+        elif isinstance(event, RecordHead) or end is not None:
             raise RecordError(f"{path}:{number}: a second head, or something behind the end")
-        elif isinstance(event, End):
+        elif isinstance(event, RecordEnd):
             end = event
             if end.events != len(events):
                 raise RecordError(f"{path}:{number}: {len(events)} events, but {end.events} were written")
@@ -395,6 +399,6 @@
     return Record(head, [*events, *([end] if end else [])], end is not None and not torn)
 
 
-def merged(*parts: Iterable[AnyEvent]) -> list[AnyEvent]:
+def merge_events(*parts: Iterable[AnyEvent]) -> list[AnyEvent]:
     """Events of several processes in the order of the one clock; each part has to be in order itself."""
     return list(heapq.merge(*parts, key=lambda event: event.at))
--- a/mallowlug/rig/judge/returns.py
+++ b/mallowlug/rig/judge/returns.py
@@ -31,7 +31,7 @@
         self._dials: dict[str, list[tuple[int, str]]] = defaultdict(list)  # by route: when, and by whom
 
     def see(self, event: rec.AnyEvent) -> None:
-        if isinstance(event, rec.Life) and event.host in self.books.hosts:
+        if isinstance(event, rec.HostStateChange) and event.host in self.books.hosts:
             route = self.books.route(event.host)
             if event.state == "fell":
                 self._fell[route].append(event.at)
@@ -41,7 +41,7 @@
                 per_s = sum(h.per_s for h in self.books.hosts.values() if self.books.route(h.host) == route)
                 back = cold.Return(event.at, per_s, event.cold_from, event.warm_us)
                 self._outages.append((route, self._out.pop(route), back))
-        elif isinstance(event, rec.Dial) and event.host in self.books.hosts:
+        elif isinstance(event, rec.ConnectStarted) and event.host in self.books.hosts:
             self._dials[self.books.route(event.host)].append((event.at, event.relay))
         elif isinstance(event, rec.Call) and event.host in self.books.hosts:
             kind = self.books.kinds.get(self.books.hosts[event.host].kind)
--- a/mallowlug/rig/judge/rules.py
+++ b/mallowlug/rig/judge/rules.py
@@ -33,7 +33,7 @@
     reasons: tuple[str, ...] = ()  # why it is unknown
 
 
-def refusal(event: rec.Notice | rec.Said) -> bool:
+def refusal(event: rec.Notice | rec.ClientOutcome) -> bool:
     """Whether a client was told that a retry is harmless."""
     return event.result == "bounced" if isinstance(event, rec.Notice) else event.what == "refused"
 
@@ -90,7 +90,7 @@
                     break
         return limit
 
-    def _cut(self, message: Message, said: rec.Said) -> None:
+    def _cut(self, message: Message, said: rec.ClientOutcome) -> None:
         ask, grace = message.ask, self.books.figures.ready_grace_us
         for end, ready in self.books.away[ask.relay]:
             if end <= said.at and (ready < 0 or ask.at <= ready + grace):
@@ -121,9 +121,9 @@
         if isinstance(event, rec.Call):
             for message, attempt in self.books.calls[event.call]:
                 self._again(event, message, attempt, [a for a in message.attempts if a is not attempt])
-        elif isinstance(event, rec.Ran):
+        elif isinstance(event, rec.MessageProcessed):
             self._ran(event)
-        elif isinstance(event, rec.Notice | rec.Said) and refusal(event):
+        elif isinstance(event, rec.Notice | rec.ClientOutcome) and refusal(event):
             self._handed_back(event.at, self.books.messages.get(event.id))
 
     def _again(self, call: rec.Call, message: Message, own: Attempt, earlier: list[Attempt]) -> None:
@@ -155,7 +155,7 @@
             if not given_up and (earlier.ended_us < 0 or earlier.ended_us > call.began + slack_us):
                 self.broken(call.at, message.ask.relay, [message.ask.id], "a second copy while one was out")
 
-    def _ran(self, event: rec.Ran) -> None:
+    def _ran(self, event: rec.MessageProcessed) -> None:
         message = self.books.messages.get(event.id)
         if message is None or message.cls is None or message.cls.effect == "safe" or not event.effect:
             return
@@ -197,26 +197,26 @@
         self._blind: dict[str, int] = {}  # by relay: without a watch since
 
     def see(self, event: rec.AnyEvent) -> None:
-        if isinstance(event, rec.Told):
+        if isinstance(event, rec.StateAnnounced):
             if event.state == "ready":
                 self._told.pop((event.relay, event.host), None)
             else:
                 self.checked += 1
                 self._told.setdefault((event.relay, event.host), event.at)
-        elif isinstance(event, rec.Hand):
+        elif isinstance(event, rec.HostDisabled):
             if event.out:
                 self.checked += 1
                 self._hand.setdefault((event.relay, event.host), event.at)
             else:
                 self._hand.pop((event.relay, event.host), None)
-        elif isinstance(event, rec.Process) and event.what == "wiped":  # it is lost with its folder
+        elif isinstance(event, rec.ProcessEvent) and event.what == "wiped":  # it is lost with its folder
             self._hand = {key: at_us for key, at_us in self._hand.items() if key[0] != event.relay}
-        elif isinstance(event, rec.Listed):
+        elif isinstance(event, rec.DirectoryChange):
             if event.state == "ready":
                 self._listed.pop(event.host, None)
             else:
                 self._listed.setdefault(event.host, event.at)
-        elif isinstance(event, rec.Watch):
+        elif isinstance(event, rec.WatchChange):
             if event.open:
                 self._blind.pop(event.relay, None)
             else:
@@ -264,7 +264,7 @@
         self._calls: list[tuple[rec.Call, Message]] = []
 
     def see(self, event: rec.AnyEvent) -> None:
-        if isinstance(event, rec.Said) and event.what == "taken":
+        if isinstance(event, rec.ClientOutcome) and event.what == "taken":
             message = self.books.messages.get(event.id)
             if message and message.cls and message.cls.in_order and message.ask.order:
                 queue = self._keys[message.ask.relay, message.cls.name, message.ask.order]
@@ -319,7 +319,7 @@
         self._waits: dict[tuple[str, str], list[tuple[int, int, int, int]]] = defaultdict(list)
 
     def see(self, event: rec.AnyEvent) -> None:
-        if isinstance(event, rec.Answer) and event.wait_us > 0 and not event.spoilt:
+        if isinstance(event, rec.CallAnswered) and event.wait_us > 0 and not event.spoilt:
             call = self.books.call_of.get(event.call)
             if call is not None and call.host in self.books.hosts and not self._left(call, event.at):
                 route = self.books.route(call.host)
@@ -328,7 +328,10 @@
                 self._waits[self.books.relay_of(call), route].append(told)
         elif isinstance(event, rec.Call) and event.host in self.books.hosts:
             self._call(event)
-        elif isinstance(event, rec.Left) and (call := self.books.call_of.get(event.call)) is not None:
+        elif (
+            isinstance(event, rec.ConnectionClosed)
+            and (call := self.books.call_of.get(event.call)) is not None
+        ):
             left_us = self.books.written("hosts", event.at)
             key = self.books.relay_of(call), self.books.route(call.host)
             self._waits[key] = [w for w in self._waits[key] if w[3] != event.call or w[0] < left_us]
@@ -364,7 +367,7 @@
     breaches = sorted((b for rule in rules for b in rule.breaches), key=lambda breach: breach.at_us)
     reasons = [reason for rule in rules for reason in rule.undecided]
     last = record.events[-1] if record.events else None
-    if isinstance(last, rec.End) and last.late_us > LATE_US:
+    if isinstance(last, rec.RecordEnd) and last.late_us > LATE_US:
         # What it saw late it timed late: no breach of a time can be laid to the relay then.
         reasons.insert(0, f"the rig ran late, by {last.late_us / 1000:.0f} ms at worst")
         breaches = [breach for breach in breaches if breach.rule == "twice"]
--- a/mallowlug/rig/judge/service.py
+++ b/mallowlug/rig/judge/service.py
@@ -41,8 +41,8 @@
 class Wish:
     """One message as its client wants it: its first try and the earliest delivery of any try."""
 
-    ask: rec.Ask
-    cls: rec.ClassFacts
+    ask: rec.MessageSubmitted
+    cls: rec.ClassSpec
     weight: float  # what it is worth at best
     within: bool  # within its member's share
     delivered_us: int = -1
@@ -67,7 +67,7 @@
     first_of: dict[str, str] = {}
     taken, calls, written = set[str](), dict[int, rec.Call](), dict[str, int]()
     for event in record.events:
-        if isinstance(event, rec.Ask) and event.cls in classes:
+        if isinstance(event, rec.MessageSubmitted) and event.cls in classes:
             first_of[event.id] = event.first or event.id
             if not event.first and event.id not in wishes:
                 within = True
@@ -79,11 +79,11 @@
                 cls = classes[event.cls]
                 weight = cls.worth * (1.0 if within else head.figures.over_share_worth)
                 wishes[event.id] = Wish(event, cls, weight, within)
-        elif isinstance(event, rec.Said) and event.what == "taken":
+        elif isinstance(event, rec.ClientOutcome) and event.what == "taken":
             taken.add(event.id)
         elif isinstance(event, rec.Call):
             calls[event.call] = event
-        elif isinstance(event, rec.Answer):
+        elif isinstance(event, rec.CallAnswered):
             for ref, end in event.ends.items():
                 if end == "delivered":
                     written.setdefault(ref, event.at)
@@ -128,7 +128,9 @@
 
     whole, window = share(wishes), min(windows(wishes).values(), default=1.0)
     worst_class, worst_member = worst(classes), worst(members)
-    ends = [end for event in record.events if isinstance(event, rec.Answer) for end in event.ends.values()]
+    ends = [
+        end for event in record.events if isinstance(event, rec.CallAnswered) for end in event.ends.values()
+    ]
     return Service(
         total=0.4 * whole + 0.3 * window + 0.2 * worst_class + 0.1 * worst_member,
         whole=whole,
--- a/mallowlug/rig/judge/tail.py
+++ b/mallowlug/rig/judge/tail.py
@@ -45,11 +45,11 @@
 
 def tail_of(record: rec.Record) -> Tail:
     """What a record says. Only requests that were taken on have an accept time."""
-    asked = {event.id: event.at for event in record.events if isinstance(event, rec.Ask)}
+    asked = {event.id: event.at for event in record.events if isinstance(event, rec.MessageSubmitted)}
     accepts = [
         (event.at - asked[event.id]) / 1000
         for event in record.events
-        if isinstance(event, rec.Said) and event.what == "taken" and event.id in asked
+        if isinstance(event, rec.ClientOutcome) and event.what == "taken" and event.id in asked
     ]
     wishes = wishes_of(record)
     took = [(w.delivered_us - w.ask.at) / 1000 if w.delivered_us >= 0 else math.inf for w in wishes]
--- a/mallowlug/rig/judge/untried.py
+++ b/mallowlug/rig/judge/untried.py
@@ -30,11 +30,15 @@
         self._ill: dict[int | str, list[list[int]]] = defaultdict(list)
 
     def see(self, event: rec.AnyEvent) -> None:
-        if isinstance(event, rec.Life) and event.host in self.books.hosts:
+        if isinstance(event, rec.HostStateChange) and event.host in self.books.hosts:
             self._window(self.books.hosts[event.host].dest, event.at, event.state == "back")
-        elif isinstance(event, rec.Process) and event.what in ("full", "room"):
+        elif isinstance(event, rec.ProcessEvent) and event.what in ("full", "room"):
             self._window(event.relay, event.at, event.what == "room")
-        if not isinstance(event, rec.Process) or event.what != "ready" or not self.books.ends[event.relay]:
+        if (
+            not isinstance(event, rec.ProcessEvent)
+            or event.what != "ready"
+            or not self.books.ends[event.relay]
+        ):
             return
         ended_us = self.books.ends[event.relay][-1]
         for ref, message in self.books.messages.items():
--- a/mallowlug/rig/report/live.py
+++ b/mallowlug/rig/report/live.py
@@ -21,7 +21,7 @@
     out: Counter[str] = field(default_factory=Counter)  # by endpoint: calls in flight
     life: dict[str, str] = field(default_factory=dict)
     happened: deque[tuple[int, str]] = field(default_factory=lambda: deque(maxlen=LAST))
-    _asks: dict[str, rec.Ask] = field(default_factory=dict)
+    _asks: dict[str, rec.MessageSubmitted] = field(default_factory=dict)
     _taken: set[str] = field(default_factory=set)
     _calls: dict[int, str] = field(default_factory=dict)
 
@@ -29,14 +29,14 @@
         """Take an event in."""
         self.now_us = max(self.now_us, event.at)
         match event:
-            case rec.Process():
+            case rec.ProcessEvent():
                 self.relays[event.relay] = event.what
                 if event.what in ("kill", "term", "hup", "exit"):
                     self.happened.append((event.at, f"{event.relay}: {event.what} {event.detail}"))
-            case rec.Ask():
+            case rec.MessageSubmitted():
                 self.counts["asked"] += 1
                 self._asks[event.id] = event
-            case rec.Said():
+            case rec.ClientOutcome():
                 self.counts[event.what] += 1
                 ask = self._asks.get(event.id)
                 if event.what == "taken" and ask is not None:
@@ -46,21 +46,21 @@
                 self.counts["calls"] += 1
                 self._calls[event.call] = event.host
                 self.out[event.host] += 1
-            case rec.Answer():
+            case rec.CallAnswered():
                 self._settled(event.call)
                 for ref, end in event.ends.items():
                     self.counts[f"calls {end}"] += 1
                     if end == "delivered":
                         self._over(ref)
-            case rec.Gone():
+            case rec.CallBroken():
                 self._settled(event.call)
             case rec.Notice():
                 self.counts[event.result] += 1
                 self._over(event.id)
-            case rec.Life():
+            case rec.HostStateChange():
                 self.life[event.host] = event.state
                 self.happened.append((event.at, f"{event.host}: {event.state}"))
-            case rec.Mark():
+            case rec.Annotation():
                 self.happened.append((event.at, f"{event.what} {event.detail}"))
 
     def _settled(self, call: int) -> None:
--- a/mallowlug/rig/report/page.py
+++ b/mallowlug/rig/report/page.py
@@ -40,7 +40,7 @@
 class Running:
     """What is open while the events are gone through."""
 
-    asks: dict[str, rec.Ask] = field(default_factory=dict)
+    asks: dict[str, rec.MessageSubmitted] = field(default_factory=dict)
     taken: Counter[str] = field(default_factory=Counter)  # by relay
     open: set[str] = field(default_factory=set)
     calls: dict[int, rec.Call] = field(default_factory=dict)
@@ -57,21 +57,21 @@
     def see(self, event: rec.AnyEvent) -> None:
         """Take an event in."""
         match event:
-            case rec.Host():
+            case rec.HostAdded():
                 self.dests[event.host] = event.dest
-            case rec.Ask():
+            case rec.MessageSubmitted():
                 self.asks[event.id] = event
-            case rec.Said(what="taken") if event.id in self.asks and event.id not in self.open:
+            case rec.ClientOutcome(what="taken") if event.id in self.asks and event.id not in self.open:
                 self.open.add(event.id)
                 self.taken[self.asks[event.id].relay] += 1
             case rec.Call():
                 self.calls[event.call] = event
                 self.out[self.dests[event.host]] += 1
-            case rec.Answer() | rec.Gone():
+            case rec.CallAnswered() | rec.CallBroken():
                 call = self.calls.pop(event.call, None)
                 if call is not None:
                     self.out[self.dests[call.host]] -= 1
-                if isinstance(event, rec.Answer) and call is not None:
+                if isinstance(event, rec.CallAnswered) and call is not None:
                     ends = list(event.ends.values())
                     self.refused[self.dests[call.host]] += ends.count("refused")
                     for ref, end in event.ends.items():
@@ -84,8 +84,8 @@
 def curves_of(record: rec.Record) -> Curves:
     """Sample what is open at every step."""
     running, curves, next_us = Running(), Curves(), STEP_US
-    relays = sorted({event.relay for event in record.events if isinstance(event, rec.Process)})
-    dests = sorted({event.dest for event in record.events if isinstance(event, rec.Host)})
+    relays = sorted({event.relay for event in record.events if isinstance(event, rec.ProcessEvent)})
+    dests = sorted({event.dest for event in record.events if isinstance(event, rec.HostAdded)})
     for event in record.events:
         while event.at >= next_us:
             curves.at_s.append(next_us / 1e6)
@@ -103,14 +103,14 @@
     """Outages as bands; ends of lives and restarts as lines."""
     began: dict[str, int] = {}
     for event in record.events:
-        if isinstance(event, rec.Life):
+        if isinstance(event, rec.HostStateChange):
             if event.state == "out":
                 began.setdefault(event.host, event.at)
             elif event.host in began and event.state == "back":
                 axes.axvspan(began.pop(event.host) / 1e6, event.at / 1e6, color="#c60", alpha=0.06, lw=0)
-        elif isinstance(event, rec.Process) and event.what in ("kill", "term"):
+        elif isinstance(event, rec.ProcessEvent) and event.what in ("kill", "term"):
             axes.axvline(event.at / 1e6, color="#a00", lw=1, ls="--")
-        elif isinstance(event, rec.Process) and event.what == "ready":
+        elif isinstance(event, rec.ProcessEvent) and event.what == "ready":
             axes.axvline(event.at / 1e6, color="#063", lw=1, ls=":")
 
 
@@ -166,7 +166,7 @@
     happened = [
         (f"{event.at / 1e6:.2f} s", f"{event.what} {event.detail}")
         for event in record.events
-        if isinstance(event, rec.Mark)
+        if isinstance(event, rec.Annotation)
     ]
     return f"""<!doctype html><html lang="en"><meta charset="utf-8"><title>{html.escape(head.name)}</title>
 <style>{STYLE}</style><h1>{html.escape(head.name)}, seed {head.seed}</h1>
--- a/mallowlug/rig/run/play.py
+++ b/mallowlug/rig/run/play.py
@@ -61,7 +61,7 @@
         """CPU time of the rig so far; 0 where it is no figure of the run."""
 
     def relay(
-        self, name: str, folder: Path, writer: rec.Writer, config: Callable[[], dict[str, Any]]
+        self, name: str, folder: Path, writer: rec.RecordWriter, config: Callable[[], dict[str, Any]]
     ) -> RelayOver:
         """A relay that can be started."""
 
@@ -85,7 +85,7 @@
         return time.process_time() - self._cpu_s
 
     def relay(
-        self, name: str, folder: Path, writer: rec.Writer, config: Callable[[], dict[str, Any]]
+        self, name: str, folder: Path, writer: rec.RecordWriter, config: Callable[[], dict[str, Any]]
     ) -> RelayProcess:
         """A relay in a process of its own."""
         told = self._options
@@ -104,7 +104,7 @@
         folder.mkdir(parents=True, exist_ok=True)
         self.path = folder / "record.jsonl"
         head = msgspec.structs.replace(draw.head_of(scenario), dials=ground.dialled is not None)
-        self.writer = rec.Writer(self.path, lambda _at: head, ground.now_us)
+        self.writer = rec.RecordWriter(self.path, lambda _at: head, ground.now_us)
         if ground.dialled is not None:
             ground.dialled = self._dialled
         self.rng = random.Random(f"world {scenario.seed}")
@@ -118,9 +118,9 @@
         self.clients = Clients(self.writer, scenario.clients, self.rng)
         self.platform.ended = self.clients.ended
         self.clients.asked = self.book.asked.__setitem__
-        self.writer.told.append(self._saw)
+        self.writer.listeners.append(self._saw)
         if options.watch is not None:
-            self.writer.told.append(options.watch)
+            self.writer.listeners.append(options.watch)
         self.hosts: dict[str, Host] = {}
         self.memories: dict[int, KeyMemory] = {}  # by destination
         self.relays: list[RelayOver] = []
@@ -147,12 +147,12 @@
         told = "{}:{}".format(*address)
         for host in self.hosts:
             if relay and self._dial(relay, host) == told:
-                self.writer.add(rec.Dial(self.writer.now, relay, host))
+                self.writer.add(rec.ConnectStarted(self.writer.now, relay, host))
 
     def _saw(self, event: rec.AnyEvent) -> None:
-        if isinstance(event, rec.Ask):
+        if isinstance(event, rec.MessageSubmitted):
             self._asked_s = asyncio.get_running_loop().time()
-        if isinstance(event, rec.Answer):
+        if isinstance(event, rec.CallAnswered):
             for ref, end in event.ends.items():
                 if end == "delivered":
                     self.clients.delivered(ref)
@@ -189,7 +189,7 @@
             self._proxy_of[plan.name] = await self._proxy("hosts", lambda: host.address)
         fields = {"block": plan.dest, "site": plan.zone, "class": plan.kind.name}
         self.writer.add(
-            rec.Host(self.writer.now, plan.name, plan.dest, plan.zone, plan.kind.name, plan.per_s)
+            rec.HostAdded(self.writer.now, plan.name, plan.dest, plan.zone, plan.kind.name, plan.per_s)
         )
         self.platform.put(plan.name, "ready", late, **fields)
 
@@ -282,7 +282,7 @@
             await asyncio.gather(*tasks)
 
     async def _happen(self, event: EventTable) -> None:
-        self.writer.add(rec.Mark(self.writer.now, event.what, described(event)))
+        self.writer.add(rec.Annotation(self.writer.now, event.what, described(event)))
         if event.what in HOSTS:
             await self._strike(event)
         elif event.what in FAULTS:
@@ -328,10 +328,10 @@
         names = self.rng.sample(able, min(event.count, len(able)))
         names = [name for name in names if await relay.by_hand(name, True)]
         for name in names:
-            self.writer.add(rec.Hand(self.writer.now, relay.name, name, True))
+            self.writer.add(rec.HostDisabled(self.writer.now, relay.name, name, True))
         await asyncio.sleep(event.len_s)
         for name in names:
-            self.writer.add(rec.Hand(self.writer.now, relay.name, name, False))
+            self.writer.add(rec.HostDisabled(self.writer.now, relay.name, name, False))
             last_s = asyncio.get_running_loop().time() + BACK_S
             while not await relay.by_hand(name, False) and asyncio.get_running_loop().time() < last_s:
                 await asyncio.sleep(LOOK_S)
@@ -412,22 +412,22 @@
             proxy.set(fault)
         late_us = {"silence": -1, "delay": round(event.size * 1000), "drip": DRIPPED_US}.get(event.what, 0)
         if event.between != "directory" or event.what == "delay":  # else nothing is told: ``Reach`` says so
-            self.writer.add(rec.Link(self.writer.now, event.between, late_us))
+            self.writer.add(rec.LinkDelay(self.writer.now, event.between, late_us))
         shut = event.between == "directory" and event.what in ("silence", "cut")
         # A directory that has moved tells on at its old address for a while, over links that are as silent.
         muted = [*self.platform.faces.values(), *self.platform.formers] if shut else []
         for face in muted:
             face.mute(True)
         for relay in self.platform.faces if shut else ():
-            self.writer.add(rec.Reach(self.writer.now, relay, False))
+            self.writer.add(rec.ReachabilityChange(self.writer.now, relay, False))
         await asyncio.sleep(event.len_s)
         for proxy in self.proxies[event.between]:
             proxy.set(CLEAR)
-        self.writer.add(rec.Link(self.writer.now, event.between, 0))
+        self.writer.add(rec.LinkDelay(self.writer.now, event.between, 0))
         for face in muted:
             face.mute(False)
         for relay in self.platform.faces if shut else ():
-            self.writer.add(rec.Reach(self.writer.now, relay, True))
+            self.writer.add(rec.ReachabilityChange(self.writer.now, relay, True))
 
     async def stop(self) -> None:
         """End everything and write the record's last line."""
@@ -447,9 +447,9 @@
     """What other processes have noted beside the record, timed by the same clock, in the run's time."""
     marks = list[rec.AnyEvent]()
     for path in sorted(folder.glob("*.marks")):
-        for _, event in rec.lines(path):
-            if isinstance(event, rec.Mark):
-                marks.append(rec.Mark(event.at - start_us, event.what, event.detail))
+        for _, event in rec.read_lines(path):
+            if isinstance(event, rec.Annotation):
+                marks.append(rec.Annotation(event.at - start_us, event.what, event.detail))
     return marks
 
 
--- a/mallowlug/rig/run/relays.py
+++ b/mallowlug/rig/run/relays.py
@@ -71,7 +71,11 @@
     """One relay over all its lives: its process now, and what starts, signals and ends it."""
 
     def __init__(
-        self, name: str, address: tuple[str, int], writer: rec.Writer, config: Callable[[], dict[str, Any]]
+        self,
+        name: str,
+        address: tuple[str, int],
+        writer: rec.RecordWriter,
+        config: Callable[[], dict[str, Any]],
     ) -> None:
         self.name, self.address, self._writer, self._config = name, address, writer, config
         self.lives = 0
@@ -80,7 +84,7 @@
 
     def note(self, what: Any, detail: str = "") -> None:
         """Write down what happens to it."""
-        self._writer.add(rec.Process(self._writer.now, self.name, what, detail))
+        self._writer.add(rec.ProcessEvent(self._writer.now, self.name, what, detail))
 
     def told(self) -> bytes:
         """The deployment's file, as it is now."""
@@ -192,7 +196,7 @@
         self,
         name: str,
         folder: Path,
-        writer: rec.Writer,
+        writer: rec.RecordWriter,
         config: Callable[[], dict[str, Any]],
         *,
         command: Sequence[str] = PLAIN,
--- a/mallowlug/rig/sim/ground.py
+++ b/mallowlug/rig/sim/ground.py
@@ -41,7 +41,7 @@
         self.place = Place(self.net.address, itertools.count(1))
         self.relays: list[SimRelay] = []
         self.seeds: list[str] = []  # of their fleet
-        self.writer: rec.Writer | None = None
+        self.writer: rec.RecordWriter | None = None
         self.net.most_sockets = lambda _life: scenario.relays.sockets
         self.kernel.told = self._struck
 
@@ -61,7 +61,7 @@
     def _struck(self, struck: Struck) -> None:
         assert self.writer is not None
         detail = f"{struck.relay} life {struck.life} {struck.point}"
-        self.writer.add(rec.Mark(self.writer.now, "strike", detail))
+        self.writer.add(rec.Annotation(self.writer.now, "strike", detail))
 
     def now_us(self) -> int:
         """The simulated monotonic clock."""
@@ -72,7 +72,7 @@
         return 0.0
 
     def relay(
-        self, name: str, folder: Path, writer: rec.Writer, config: Callable[[], dict[str, Any]]
+        self, name: str, folder: Path, writer: rec.RecordWriter, config: Callable[[], dict[str, Any]]
     ) -> SimRelay:
         """A relay on a machine of its own."""
         disk = SimDisk(random.Random(f"disk {name} {self.scenario.seed}"))
--- a/mallowlug/rig/sim/process.py
+++ b/mallowlug/rig/sim/process.py
@@ -283,7 +283,7 @@
         name: str,
         kernel: Kernel,
         machine: Machine,
-        writer: rec.Writer,
+        writer: rec.RecordWriter,
         config: Callable[[], dict[str, Any]],
     ) -> None:
         super().__init__(name, kernel.net.address(), writer, config)
--- a/mallowlug/rig/sim/shrink.py
+++ b/mallowlug/rig/sim/shrink.py
@@ -136,30 +136,30 @@
 def told(event: rec.AnyEvent, breach: Breach, calls: dict[int, rec.Call], hosts: set[str]) -> str:
     """One event in a reader's words; empty where it has nothing to do with the breach."""
     match event:
-        case rec.Ask() if event.id in breach.ids:
+        case rec.MessageSubmitted() if event.id in breach.ids:
             order = f", order {event.order}" if event.order else ""
             left = f"{event.left_us / 1e6:.2f} s left"
             return f"{event.relay} is handed {event.id} ({event.cls}{order}, {left})"
-        case rec.Said() if event.id in breach.ids:
+        case rec.ClientOutcome() if event.id in breach.ids:
             return f"the client hears of {event.id}: {event.what}"
         case rec.Call() if event.call in calls:
             return f"call {event.call} to {event.host} with {', '.join(event.ids)}"
-        case rec.Ran() if event.id in breach.ids:
+        case rec.MessageProcessed() if event.id in breach.ids:
             return f"call {event.call}: {event.id} runs{'' if event.effect else ' again, with no effect'}"
-        case rec.Answer() if event.call in calls:
+        case rec.CallAnswered() if event.call in calls:
             wait = f", told to wait {event.wait_us / 1e6:.2f} s" if event.wait_us else ""
             ends = ", ".join(sorted({str(end) for end in event.ends.values()}))
             return f"call {event.call} is answered: {ends}{' (spoilt)' if event.spoilt else ''}{wait}"
-        case rec.Gone() if event.call in calls:
+        case rec.CallBroken() if event.call in calls:
             return f"call {event.call}: the connection ends, by the {event.by}"
         case rec.Notice() if event.id in breach.ids:
             return f"{event.relay} tells the end of {event.id}: {event.result}"
-        case rec.Process() if event.relay == breach.relay:
+        case rec.ProcessEvent() if event.relay == breach.relay:
             return f"{event.relay}: {event.what} {event.detail}".rstrip()
-        case rec.Life() if event.host in hosts | set(breach.ids):
+        case rec.HostStateChange() if event.host in hosts | set(breach.ids):
             return f"{event.host}: {event.state}"
-        case rec.Told() if event.relay == breach.relay and event.host in hosts:
+        case rec.StateAnnounced() if event.relay == breach.relay and event.host in hosts:
             return f"{event.relay} is told that {event.host} is {event.state}"
-        case rec.Mark():
+        case rec.Annotation():
             return f"{event.what} {event.detail}".rstrip()
     return ""
--- a/mallowlug/rig/sim/sweep.py
+++ b/mallowlug/rig/sim/sweep.py
@@ -64,7 +64,7 @@
             *(f"model: {line}" for line in walk(record)),
         ),
         points=tuple((struck.relay, struck.life, struck.point) for struck in done.struck),
-        messages=sum(isinstance(event, rec.Ask) for event in record.events),
+        messages=sum(isinstance(event, rec.MessageSubmitted) for event in record.events),
         length_s=done.length_s,
         calls=done.calls,
     )
--- a/mallowlug/rig/world/clients.py
+++ b/mallowlug/rig/world/clients.py
@@ -72,7 +72,7 @@
 class Clients:
     """All clients of a run."""
 
-    def __init__(self, writer: rec.Writer, habits: ClientsTable, rng: random.Random) -> None:
+    def __init__(self, writer: rec.RecordWriter, habits: ClientsTable, rng: random.Random) -> None:
         self._writer, self._habits, self._rng = writer, habits, rng
         self._ends: dict[str, asyncio.Future[rec.Notice | None]] = {}  # by id: what was taken on and is open
         self.asked: Callable[[str, str], None] = lambda _ref, _cls: None
@@ -93,7 +93,7 @@
         """Messages that are taken on and have no end yet."""
         return len(self._ends)
 
-    async def message(self, relay: Relay, arrival: Arrival, cls: rec.ClassFacts) -> None:
+    async def message(self, relay: Relay, arrival: Arrival, cls: rec.ClassSpec) -> None:
         """One message from its first try to its end."""
         start_us, first, key = self._writer.now, "", ""
         if cls.effect == "keyed":
@@ -106,7 +106,7 @@
             ref = f"{self._rng.getrandbits(64):016x}"
             marks = ",r=1" if turn and self._habits.marks and not again else ""
             marks += ",again=1" if again else ""
-            ask = rec.Ask(
+            ask = rec.MessageSubmitted(
                 0, ref, relay.name, arrival.dest, arrival.cls, arrival.member, left_us, key, arrival.order,
                 first, arrival.size,
             )  # fmt: skip
@@ -136,7 +136,7 @@
         end = self._ends.get(ref)
         return None if end is None else await end
 
-    async def _hand_in(self, relay: Relay, ask: rec.Ask, marks: str) -> Heard | None:
+    async def _hand_in(self, relay: Relay, ask: rec.MessageSubmitted, marks: str) -> Heard | None:
         """One try; None where the relay takes no connection."""
         names = f"c={ask.cls},t={ask.member},d={ask.left_us // 1000},dest={ask.dest}{marks}"
         names += f",k={ask.key}" if ask.key else ""
@@ -151,7 +151,7 @@
             relay.idle.clear()
             heard = await self._answer(relay, request, ask) or heard
         if heard is not None:
-            self._writer.add(rec.Said(self._writer.now, ref, heard.what, heard.wait_us, heard.fresh))
+            self._writer.add(rec.ClientOutcome(self._writer.now, ref, heard.what, heard.wait_us, heard.fresh))
         if heard is None or heard.what != "taken":
             self._ends.pop(ref, None)
         return heard
@@ -166,7 +166,7 @@
             link.close()
         return Link(*await asyncio.open_connection(*relay.address))
 
-    async def _answer(self, relay: Relay, request: bytes, ask: rec.Ask) -> Heard | None:
+    async def _answer(self, relay: Relay, request: bytes, ask: rec.MessageSubmitted) -> Heard | None:
         """Write one request and read its answer; the connection is kept only after a whole one."""
         try:
             link = await self._link(relay)
@@ -218,7 +218,7 @@
         except OSError:
             end = "close"
         writer.close()
-        self._writer.add(rec.Rude(self._writer.now, relay.name, what, end))
+        self._writer.add(rec.MalformedClient(self._writer.now, relay.name, what, end))
 
 
 RUDE = ("noise", "endless line", "negative", "huge", "half", "unknown class", "no id", "deadline", "silent")
--- a/mallowlug/rig/world/draw.py
+++ b/mallowlug/rig/world/draw.py
@@ -151,18 +151,18 @@
     return [plan.name for plan in hosts if plan.dest in chosen]
 
 
-def head_of(scenario: Scenario) -> rec.Head:
+def head_of(scenario: Scenario) -> rec.RecordHead:
     """The facts by which a record of the run is judged."""
     rate, total = scenario.load.rate_per_s, sum(member.share for member in scenario.members)
     rules = scenario.rules
-    return rec.Head(
+    return rec.RecordHead(
         at=0,
         name=scenario.name,
         seed=scenario.seed,
         classes=[facts_of(cls) for cls in scenario.classes],
-        kinds=[rec.KindFacts(kind.name, kind.apart, kind.batch) for kind in scenario.kinds],
-        members=[rec.MemberFacts(m.name, rate * m.share / total) for m in scenario.members],
-        figures=rec.Figures(
+        kinds=[rec.KindSpec(kind.name, kind.apart, kind.batch) for kind in scenario.kinds],
+        members=[rec.TenantQuota(m.name, rate * m.share / total) for m in scenario.members],
+        figures=rec.RuleLimits(
             drain_grace_us=round(rules.drain_grace_s * 1e6),
             ask_within_us=round(rules.ask_within_s * 1e6),
             fall_multiple=rules.fall_multiple,
@@ -174,9 +174,9 @@
     )
 
 
-def facts_of(cls: ClassTable) -> rec.ClassFacts:
+def facts_of(cls: ClassTable) -> rec.ClassSpec:
     """A class in the record's words."""
-    return rec.ClassFacts(
+    return rec.ClassSpec(
         name=cls.name,
         effect=cls.effect,
         aim_us=round(cls.aim_s * 1e6),
--- a/mallowlug/rig/world/hosts.py
+++ b/mallowlug/rig/world/hosts.py
@@ -78,7 +78,9 @@
 class Book:
     """What all endpoints share: the record, the messages that were asked for, numbers, spoilt answers."""
 
-    def __init__(self, writer: rec.Writer, classes: dict[str, ClassWork], place: Place | None = None) -> None:
+    def __init__(
+        self, writer: rec.RecordWriter, classes: dict[str, ClassWork], place: Place | None = None
+    ) -> None:
         self.writer, self.place = writer, place or Place()
         self.classes = classes  # by name
         self.asked: dict[str, str] = {}  # by id: its class
@@ -90,7 +92,7 @@
     def bad_call(self, detail: str) -> None:
         """Note a call that the protocol does not know."""
         self.bad_calls += 1
-        self.writer.add(rec.Mark(self.writer.now, "bad call", detail))
+        self.writer.add(rec.Annotation(self.writer.now, "bad call", detail))
 
     def next(self) -> int:
         """A number for a call."""
@@ -124,10 +126,10 @@
         if timer := self._idle.pop(connection, None):
             timer.cancel()
         if told := self.told.pop(connection, None):
-            self.book.writer.add(rec.Left(self.book.writer.now, told))
+            self.book.writer.add(rec.ConnectionClosed(self.book.writer.now, told))
         if out := self.out.pop(connection, None):
             by: Any = "host" if self.model.state in ("refuse", "fallen") else "relay"
-            self.book.writer.add(rec.Gone(self.book.writer.now, out.number, by))
+            self.book.writer.add(rec.CallBroken(self.book.writer.now, out.number, by))
 
     def unreadable(self, connection: Connection) -> None:
         self.book.bad_call(f"{self.plan.name}: no request")
@@ -157,7 +159,7 @@
         book.writer.add(rec.Call(came_us, number, self.plan.name, ids, began_us, connection.number))
         self.out[connection] = out
         if self.model.falls(len(items), now_s):
-            book.writer.add(rec.Life(book.writer.now, self.plan.name, "fell"))
+            book.writer.add(rec.HostStateChange(book.writer.now, self.plan.name, "fell"))
             self._life += 1
             self.refuse()
             return
@@ -218,7 +220,7 @@
         writer = self.book.writer
         keys = [self._remembered(item) for item in out.items]
         for item, effect in zip(out.items, effects(self.memory, keys, out.began_s), strict=True):
-            writer.add(rec.Ran(writer.now, out.number, self.plan.name, item.id, effect))
+            writer.add(rec.MessageProcessed(writer.now, out.number, self.plan.name, item.id, effect))
 
     def _remembered(self, item: Item) -> tuple[str, float]:
         """The key of a message as its destination remembers it (empty: none), and for how long."""
@@ -235,7 +237,7 @@
         if status == 200 and len(out.items) > 1:
             body = b"".join(b"%s %s\r\n" % (item.id.encode(), end.encode()) for item in out.items)
         ends = {item.id: end for item in out.items}
-        self.book.writer.add(rec.Answer(self.book.writer.now, out.number, ends))
+        self.book.writer.add(rec.CallAnswered(self.book.writer.now, out.number, ends))
         out.connection.answer(status, self._headers(), body)
 
     def _refused(self, out: Out, refusal: Refusal) -> None:
@@ -244,7 +246,7 @@
         del self.out[out.connection]
         headers, wait_ms = self._headers(), round(refusal.wait_s * 1000)
         ends: Any = {item.id: "refused" for item in out.items}
-        self.book.writer.add(rec.Answer(self.book.writer.now, out.number, ends, wait_ms * 1000))
+        self.book.writer.add(rec.CallAnswered(self.book.writer.now, out.number, ends, wait_ms * 1000))
         if wait_ms:
             self.told[out.connection] = out.number
             out.connection.answer(429, headers | {"X-Retry-In-Ms": str(wait_ms)})
@@ -257,7 +259,7 @@
         how = self.rng.randrange(4)
         true = how == 0 and len(out.items) == 1
         ends: Any = {item.id: "delivered" if true else "error" for item in out.items}
-        self.book.writer.add(rec.Answer(self.book.writer.now, out.number, ends, spoilt=True))
+        self.book.writer.add(rec.CallAnswered(self.book.writer.now, out.number, ends, spoilt=True))
         out.connection.raw(
             (
                 b"HTTP/1.1 200 OK\r\nContent-Length: 99999\r\n\r\n" + NOISE,
@@ -271,7 +273,7 @@
         """An outage begins: ``refuse``, ``silent``, ``slow`` or ``shut``; not where there is one already."""
         if self.model.state != "up" or self.model.slow != 1.0:
             return False
-        self.book.writer.add(rec.Life(self.book.writer.now, self.plan.name, "out"))
+        self.book.writer.add(rec.HostStateChange(self.book.writer.now, self.plan.name, "out"))
         if what == "slow":
             self.model.slow = size
             return True
@@ -300,6 +302,8 @@
                 connection.reset()
         plan, writer = self.plan, self.book.writer
         self.model.returned(self.now(), emptied)
-        writer.add(rec.Life(writer.now, plan.name, "back", plan.cold_from, round(plan.warm_s * 1e6)))
+        writer.add(
+            rec.HostStateChange(writer.now, plan.name, "back", plan.cold_from, round(plan.warm_s * 1e6))
+        )
         if refused:
             await self.listen()
--- a/mallowlug/rig/world/platform.py
+++ b/mallowlug/rig/world/platform.py
@@ -47,7 +47,7 @@
         self,
         relay: str,
         listing: Listing,
-        writer: rec.Writer,
+        writer: rec.RecordWriter,
         ended: Callable[[rec.Notice], None],
         place: Place,
     ) -> None:
@@ -64,11 +64,11 @@
     def mute(self, muted: bool) -> None:
         """Between it and the relay nothing passes: what is written now is not told."""
         if self._muted != muted and self.watches:
-            self.writer.add(rec.Watch(self.writer.now, self.relay, not muted))
+            self.writer.add(rec.WatchChange(self.writer.now, self.relay, not muted))
         self._muted = muted
         if not muted:  # what was written meanwhile arrives now, if its connection has lasted
             for host, state in self._unsaid:
-                self.writer.add(rec.Told(self.writer.now, self.relay, host, state))
+                self.writer.add(rec.StateAnnounced(self.writer.now, self.relay, host, state))
             self._unsaid.clear()
 
     async def listen(self) -> None:
@@ -92,7 +92,7 @@
             self.watches.pop(connection, None)
             if not self.watches:
                 self._unsaid.clear()
-                self.writer.add(rec.Watch(self.writer.now, self.relay, False))
+                self.writer.add(rec.WatchChange(self.writer.now, self.relay, False))
 
     def asked(self, request: Request) -> None:
         """A watch, or notices; notices are taken also while discovery is down."""
@@ -107,7 +107,7 @@
         else:
             request.connection.stream()
             if not self.watches:
-                self.writer.add(rec.Watch(self.writer.now, self.relay, True))
+                self.writer.add(rec.WatchChange(self.writer.now, self.relay, True))
             self.watches[request.connection] = None
             self._tell(request.connection, self.listing.whole())
 
@@ -121,7 +121,7 @@
                     raise ValueError(told["result"])
                 notices.append(rec.Notice(self.writer.now, self.relay, told["ref"], told["result"], wait_us))
         except (ValueError, KeyError, TypeError) as error:
-            self.writer.add(rec.Mark(self.writer.now, "bad notice", repr(error)))
+            self.writer.add(rec.Annotation(self.writer.now, "bad notice", repr(error)))
             request.connection.answer(400)
             return
         for notice in notices:
@@ -142,7 +142,7 @@
                 self._unsaid.append((entry["host"], state))
             else:  # a link that is cut after some bytes may have let it pass: whoever heard it may send
                 self._unsaid = [said for said in self._unsaid if said[0] != entry["host"]]
-                self.writer.add(rec.Told(self.writer.now, self.relay, entry["host"], state))
+                self.writer.add(rec.StateAnnounced(self.writer.now, self.relay, entry["host"], state))
         connection.chunk(json.dumps(news).encode() + b"\n")
         self.known = self.dialed(self.listing.whole())
 
@@ -163,7 +163,7 @@
 
     def __init__(
         self,
-        writer: rec.Writer,
+        writer: rec.RecordWriter,
         late_s: tuple[float, float],
         rng: random.Random,
         place: Place | None = None,
@@ -191,7 +191,7 @@
 
     def put(self, host: str, state: Any, late: bool = True, **fields: Any) -> None:
         """The truth changes now; the list says so some time later."""
-        self.writer.add(rec.Listed(self.writer.now, host, state))
+        self.writer.add(rec.DirectoryChange(self.writer.now, host, state))
         if late:
             delay_s = self._rng.uniform(*self._late_s)
             asyncio.get_running_loop().call_later(delay_s, self._put, host, state, fields)
--- a/mallowlug/rig/world/replay.py
+++ b/mallowlug/rig/world/replay.py
@@ -11,11 +11,11 @@
 from mallowlug.rig.world.scenario import Scenario
 
 
-def first_tries(record: rec.Record) -> list[rec.Ask]:
+def first_tries(record: rec.Record) -> list[rec.MessageSubmitted]:
     """What clients wanted, each message once; retries are their habits and come by themselves."""
-    found: dict[str, rec.Ask] = {}
+    found: dict[str, rec.MessageSubmitted] = {}
     for event in record.events:
-        if isinstance(event, rec.Ask) and not event.first:
+        if isinstance(event, rec.MessageSubmitted) and not event.first:
             found.setdefault(event.id, event)  # one written once more on a new connection is one message
     return list(found.values())
 
@@ -23,7 +23,7 @@
 def traffic_only(record: rec.Record) -> rec.Record:
     """A record of the first tries alone: small enough to be shipped, and replayed like any other."""
     firsts = first_tries(record)
-    end = rec.End(firsts[-1].at if firsts else 0, len(firsts))
+    end = rec.RecordEnd(firsts[-1].at if firsts else 0, len(firsts))
     return rec.Record(record.head, [*firsts, end], True)
 
 
--- a/tests/members/ground.py
+++ b/tests/members/ground.py
@@ -105,7 +105,7 @@
         if self._looking is None:
             self._looking = asyncio.get_running_loop().create_task(self._look())
         node.ended = self.died
-        self._note(rec.Process(rec.now_us(), node.name, "start", ""))
+        self._note(rec.ProcessEvent(rec.now_us(), node.name, "start", ""))
         told = {"ROUTER_CONFIG": str(node.folder / "config.json"), "ROUTER_STATE": str(node.state)}
         with (node.folder / "log").open("ab") as log:
             node.process = await asyncio.create_subprocess_exec(
@@ -151,11 +151,11 @@
 
     def died(self, node: Node) -> None:
         """A process has ended, or ends now."""
-        self._note(rec.Process(rec.now_us(), node.name, "exit", ""))
+        self._note(rec.ProcessEvent(rec.now_us(), node.name, "exit", ""))
 
     def way(self, one: str, other: str, clear: bool) -> None:
         """A way is disturbed, or as it should be again."""
-        self._note(rec.Way(rec.now_us(), one, other, clear))
+        self._note(rec.DatagramPath(rec.now_us(), one, other, clear))
 
     async def _look(self) -> None:
         """Write down what each relay holds, again and again, for the judge."""
@@ -163,7 +163,7 @@
             for name, node in list(self.nodes.items()):
                 if node.alive and not node.still and (table := await node.table()) and node.alive:
                     rows = {other: (row["life"], row["state"]) for other, row in table["members"].items()}
-                    self._note(rec.Held(rec.now_us(), name, table["digest"], table["group"], rows))
+                    self._note(rec.FleetView(rec.now_us(), name, table["digest"], table["group"], rows))
             await asyncio.sleep(LOOK_S)
 
 
--- a/tests/members/test_processes.py
+++ b/tests/members/test_processes.py
@@ -31,7 +31,7 @@
     yield ground
     await ground.stop()
     assert judged(ground.record) == []
-    assert sum(isinstance(event, rec.Held) for event in ground.record) > 0
+    assert sum(isinstance(event, rec.FleetView) for event in ground.record) > 0
 
 
 async def five(ground: Ground) -> None:
--- a/tests/rig/story.py
+++ b/tests/rig/story.py
@@ -8,22 +8,22 @@
 
 MS, SECOND = 1000, 1_000_000
 CLASSES = [
-    rec.ClassFacts("keyed", "keyed", 4 * SECOND, 12 * SECOND, 1.0, 0.4, 25 * SECOND, by_zone=True),
-    rec.ClassFacts("anywhere", "keyed", 4 * SECOND, 12 * SECOND, 1.0, 0.4, 2 * SECOND),
-    rec.ClassFacts("safe", "safe", 3 * SECOND, 12 * SECOND, 3.0, 0.5),
-    rec.ClassFacts("unsafe", "unsafe", 4 * SECOND, 12 * SECOND),
-    rec.ClassFacts("line", "safe", 4 * SECOND, 12 * SECOND, in_order=True),
+    rec.ClassSpec("keyed", "keyed", 4 * SECOND, 12 * SECOND, 1.0, 0.4, 25 * SECOND, by_zone=True),
+    rec.ClassSpec("anywhere", "keyed", 4 * SECOND, 12 * SECOND, 1.0, 0.4, 2 * SECOND),
+    rec.ClassSpec("safe", "safe", 3 * SECOND, 12 * SECOND, 3.0, 0.5),
+    rec.ClassSpec("unsafe", "unsafe", 4 * SECOND, 12 * SECOND),
+    rec.ClassSpec("line", "safe", 4 * SECOND, 12 * SECOND, in_order=True),
 ]
-KINDS = [rec.KindFacts("apart", True, 10), rec.KindFacts("joint", False, 1)]
+KINDS = [rec.KindSpec("apart", True, 10), rec.KindSpec("joint", False, 1)]
 
 
 class Story:
     """Events are added in any order and sorted by their times."""
 
     def __init__(self, **figures: Any) -> None:
-        told = rec.Figures(order_pause_us=500 * MS, **figures)
-        members = [rec.MemberFacts("m", 1000.0)]
-        self.head = rec.Head(0, "story", 1, CLASSES, KINDS, members, told)
+        told = rec.RuleLimits(order_pause_us=500 * MS, **figures)
+        members = [rec.TenantQuota("m", 1000.0)]
+        self.head = rec.RecordHead(0, "story", 1, CLASSES, KINDS, members, told)
         self.events: list[rec.AnyEvent] = []
         self.calls = 0
         for host, zone, kind, dest in (
@@ -33,8 +33,8 @@
             ("j1", "a", "joint", 2),
             ("j2", "a", "joint", 2),
         ):
-            self.add(rec.Host(0, host, dest, zone, kind, 4.0))
-        self.add(rec.Process(0, "n0", "ready"), rec.Watch(0, "n0", True))
+            self.add(rec.HostAdded(0, host, dest, zone, kind, 4.0))
+        self.add(rec.ProcessEvent(0, "n0", "ready"), rec.WatchChange(0, "n0", True))
 
     def add(self, *events: rec.AnyEvent) -> Story:
         """Any events."""
@@ -44,8 +44,8 @@
     def ask(self, at: int, ref: str, cls: str = "safe", *, said: str = "taken", **fields: Any) -> Story:
         """A request and its answer a millisecond later; left: 12 s."""
         known: dict[str, Any] = {"relay": "n0", "dest": 1, "member": "m", "left_us": 12 * SECOND} | fields
-        self.add(rec.Ask(at * MS, ref, cls=cls, **known))
-        return self.add(rec.Said((at + 1) * MS, ref, said)) if said else self  # type: ignore[arg-type]
+        self.add(rec.MessageSubmitted(at * MS, ref, cls=cls, **known))
+        return self.add(rec.ClientOutcome((at + 1) * MS, ref, said)) if said else self  # type: ignore[arg-type]
 
     def call(
         self, at: int, *refs: str, host: str = "a1", end: str = "delivered", took: int = 50, wait: int = 0
@@ -55,10 +55,10 @@
         number = self.calls
         self.add(rec.Call(at * MS, number, host, list(refs), at * MS))
         if end == "gone":
-            self.add(rec.Gone((at + took) * MS, number, "relay"))
+            self.add(rec.CallBroken((at + took) * MS, number, "relay"))
         elif end != "open":
             ends: Any = dict.fromkeys(refs, end)
-            self.add(rec.Answer((at + took) * MS, number, ends, wait * MS))
+            self.add(rec.CallAnswered((at + took) * MS, number, ends, wait * MS))
         return self
 
     def notice(self, at: int, ref: str, result: Any = "dead") -> Story:
@@ -68,5 +68,5 @@
     def record(self, end: int = 60_000, whole: bool = True) -> rec.Record:
         """The record, which ends then."""
         events = sorted(self.events, key=lambda event: event.at)
-        last = [rec.End(end * MS, len(events))] if whole else []
+        last = [rec.RecordEnd(end * MS, len(events))] if whole else []
         return rec.Record(self.head, [*events, *last], whole)
--- a/tests/rig/test_cli.py
+++ b/tests/rig/test_cli.py
@@ -53,7 +53,7 @@
 def test_a_run_leaves_a_whole_record_and_a_report(played: Path) -> None:
     record = rec.read(played / "out" / "record.jsonl")
     assert record.whole
-    assert {rude.end for rude in record.events if isinstance(rude, rec.Rude)} <= {"error", "close"}
+    assert {rude.end for rude in record.events if isinstance(rude, rec.MalformedClient)} <= {"error", "close"}
     page = (played / "out" / "report.html").read_text(encoding="utf-8")
     assert "<svg" in page
     assert "Rules: <b>kept</b>, 0 breaches" in page
@@ -78,7 +78,11 @@
     record = played / "out" / "record.jsonl"
     kept(played / "replayed", "replay", str(record))
     before, after = (
-        [(e.dest, e.cls, e.member) for e in rec.read(path).events if isinstance(e, rec.Ask) and not e.first]
+        [
+            (e.dest, e.cls, e.member)
+            for e in rec.read(path).events
+            if isinstance(e, rec.MessageSubmitted) and not e.first
+        ]
         for path in (record, played / "replayed" / "record.jsonl")
     )
     # Two that are wanted within a millisecond may swap: each waits for a connection of its own.
--- a/tests/rig/test_members.py
+++ b/tests/rig/test_members.py
@@ -9,14 +9,14 @@
 from mallowlug.rig.judge import record as rec
 from mallowlug.rig.judge.members import SETTLE_US, judged
 
-STARTS = [rec.Process(0, name, "start", "") for name in ("a", "b", "c")]
+STARTS = [rec.ProcessEvent(0, name, "start", "") for name in ("a", "b", "c")]
 HERE = {"a": (1, "alive"), "b": (1, "alive"), "c": (1, "alive")}
 LATE = SETTLE_US + 10
 
 
-def held(at: int, relay: str = "a", digest: str = "x", group: int = 3, **members: Any) -> rec.Held:
+def held(at: int, relay: str = "a", digest: str = "x", group: int = 3, **members: Any) -> rec.FleetView:
     """What a relay holds: all three alive, but for what is said."""
-    return rec.Held(at, relay, digest, group, HERE | members)
+    return rec.FleetView(at, relay, digest, group, HERE | members)
 
 
 def all_hold(at: int, **more: Any) -> list[rec.AnyEvent]:
@@ -30,7 +30,7 @@
         ("lives", [held(1, b=(2, "alive")), held(2, b=(1, "alive"))]),
         ("parts", [held(1, "a", group=1), held(2, "b", group=1), held(3, "c", group=1)]),
         ("evicted", [held(LATE, b=(1, "dead"))]),
-        ("evicted", [rec.Held(LATE, "a", "x", 3, {"a": (1, "alive"), "b": (1, "alive")})]),
+        ("evicted", [rec.FleetView(LATE, "a", "x", 3, {"a": (1, "alive"), "b": (1, "alive")})]),
         ("unequal", [*all_hold(LATE), held(LATE + 5, "c", "y")]),
     ],
 )
@@ -43,12 +43,13 @@
     [
         all_hold(LATE),
         [held(1, b=(1, "dead")), held(2, "b", "y")],  # nobody has had the time yet
-        [rec.Way(5, "a", "b", False), held(LATE, b=(1, "dead"))],  # it is not heard
-        [rec.Way(5, "a", "b", False), rec.Way(9 + LATE, "a", "b", True), held(2 * LATE - 12, b=(1, "dead"))],
-        [rec.Process(5, "b", "kill", ""), held(2 * LATE, b=(1, "dead"))],
-        [held(1, b=(2, "alive")), rec.Process(2, "a", "kill", ""), rec.Process(3, "a", "start", ""),
+        [rec.DatagramPath(5, "a", "b", False), held(LATE, b=(1, "dead"))],  # it is not heard
+        [rec.DatagramPath(5, "a", "b", False), rec.DatagramPath(9 + LATE, "a", "b", True),
+         held(2 * LATE - 12, b=(1, "dead"))],
+        [rec.ProcessEvent(5, "b", "kill", ""), held(2 * LATE, b=(1, "dead"))],
+        [held(1, b=(2, "alive")), rec.ProcessEvent(2, "a", "kill", ""), rec.ProcessEvent(3, "a", "start", ""),
          held(4, b=(1, "alive"))],
-        [held(1, "a", group=1), held(2, "b", group=1), rec.Process(3, "a", "kill", ""),
+        [held(1, "a", group=1), held(2, "b", group=1), rec.ProcessEvent(3, "a", "kill", ""),
          held(4, "c", group=1)],
     ],
 )  # fmt: skip
--- a/tests/rig/test_models.py
+++ b/tests/rig/test_models.py
@@ -212,7 +212,9 @@
 
 def test_replayed_traffic_is_the_first_tries_and_nothing_else() -> None:
     story = Story().ask(100, "a", said="refused").ask(600, "b", first="a").ask(900, "c", "keyed", dest=2)
-    story.add(rec.Ask(901_000, "c", "n0", 2, "keyed", "m", SECOND))  # once more on a new connection
+    story.add(
+        rec.MessageSubmitted(901_000, "c", "n0", 2, "keyed", "m", SECOND)
+    )  # once more on a new connection
     traffic = replay.traffic_of(story.record())
     assert [(a.at_s, a.dest, a.cls) for a in traffic] == [(0.0, 1, "safe"), (pytest.approx(0.8), 2, "keyed")]
 
@@ -223,7 +225,7 @@
     kept = rec.read(tmp_path / "traffic")
     assert kept.whole
     assert replay.traffic_of(kept) == replay.traffic_of(story.record())
-    assert {type(event) for event in kept.events} == {rec.Ask, rec.End}
+    assert {type(event) for event in kept.events} == {rec.MessageSubmitted, rec.RecordEnd}
 
 
 def test_the_shipped_rush_hour_can_be_replayed() -> None:
--- a/tests/rig/test_record.py
+++ b/tests/rig/test_record.py
@@ -20,7 +20,7 @@
 
 def written(path: Path, story: Story, end: bool = True) -> Path:
     """A story as a file."""
-    writer = rec.Writer(path, lambda _at: story.head)
+    writer = rec.RecordWriter(path, lambda _at: story.head)
     for event in story.record(whole=False).events:
         writer.add(event)
     if end:
@@ -138,12 +138,16 @@
     child = int(subprocess.run(command, cwd=ROOT, capture_output=True, text=True, check=True).stdout)
     after = rec.now_us()
     assert before < child < after
-    parent = [rec.Mark(before, "before"), rec.Mark(after, "after")]
-    assert [e.at for e in rec.merged(parent, [rec.Mark(child, "child")])] == [before, child, after]
+    parent = [rec.Annotation(before, "before"), rec.Annotation(after, "after")]
+    assert [e.at for e in rec.merge_events(parent, [rec.Annotation(child, "child")])] == [
+        before,
+        child,
+        after,
+    ]
 
 
 def test_events_at_one_time_keep_the_order_of_their_lines(tmp_path: Path) -> None:
-    story = Story().add(*(rec.Mark(7 * MS, f"{number}") for number in range(20)))
+    story = Story().add(*(rec.Annotation(7 * MS, f"{number}") for number in range(20)))
     events = rec.read(written(tmp_path / "r", story)).events
-    marks = [event.what for event in events if isinstance(event, rec.Mark)]
+    marks = [event.what for event in events if isinstance(event, rec.Annotation)]
     assert marks == [f"{number}" for number in range(20)]
--- a/tests/rig/test_rules.py
+++ b/tests/rig/test_rules.py
@@ -18,7 +18,10 @@
 
 def out(at: int, back: int, host: str = "a1", cold: float = 0.25, warm: int = 10_000) -> list[rec.AnyEvent]:
     """An outage and a cold return."""
-    return [rec.Life(at * MS, host, "out"), rec.Life(back * MS, host, "back", cold, warm * MS)]
+    return [
+        rec.HostStateChange(at * MS, host, "out"),
+        rec.HostStateChange(back * MS, host, "back", cold, warm * MS),
+    ]
 
 
 def fails(story: Story, at: int, refs: range, relay: str = "n0") -> Story:
@@ -40,7 +43,7 @@
 def dialled(story: Story, at: int) -> Story:
     """A record that tells of every connect: one to a1 then."""
     story.head = msgspec.structs.replace(story.head, dials=True)
-    return story.add(rec.Dial(at * MS, "n0", "a1"))
+    return story.add(rec.ConnectStarted(at * MS, "n0", "a1"))
 
 
 def keyed(at: int, first: str, host: str = "a1") -> Story:
@@ -51,8 +54,8 @@
 
 def restarted(tried: int, given: int, at: int = 1510, ready: int = 1500) -> Story:
     """A restart that finds so many messages untried: some are delivered then, the others given up untried."""
-    story = Story().add(rec.Process(500 * MS, "n0", "kill"), rec.Process(501 * MS, "n0", "exit"))
-    story.add(rec.Process(ready * MS, "n0", "ready"))
+    story = Story().add(rec.ProcessEvent(500 * MS, "n0", "kill"), rec.ProcessEvent(501 * MS, "n0", "exit"))
+    story.add(rec.ProcessEvent(ready * MS, "n0", "ready"))
     for number in range(tried):
         story.ask(number, f"t{number}").call(ready + 50 * number + 5, f"t{number}")
     for number in range(given):
@@ -69,10 +72,10 @@
         "refused by its endpoint and forgotten": lambda: Story().ask(0, "m").call(5, "m", end="refused"),
         "cut on a kept connection": lambda: Story()
         .ask(0, "m", said="")
-        .add(rec.Said(5 * MS, "m", "cut", fresh=False)),
+        .add(rec.ClientOutcome(5 * MS, "m", "cut", fresh=False)),
         "lost long after a restart": lambda: Story()
         .ask(0, "m")
-        .add(rec.Process(SECOND, "n0", "kill"), rec.Process(2 * SECOND, "n0", "ready")),
+        .add(rec.ProcessEvent(SECOND, "n0", "kill"), rec.ProcessEvent(2 * SECOND, "n0", "ready")),
     },
     "twice": {
         "unsafe after a reset": lambda: Story()
@@ -93,7 +96,8 @@
         .ask(0, "m", "keyed").call(5, "m", took=500).call(100, "m", took=10),
         "two effects": lambda: Story()
         .ask(0, "m", "anywhere").call(5, "m")
-        .add(rec.Ran(9 * MS, 1, "a1", "m", True), rec.Ran(10 * MS, 1, "a1", "m", True)),
+        .add(rec.MessageProcessed(9 * MS, 1, "a1", "m", True),
+             rec.MessageProcessed(10 * MS, 1, "a1", "m", True)),
         "sent before its refusal was written": lambda: Story()
         .ask(0, "m", "unsafe").call(5, "m", end="refused", took=100).call(50, "m", took=10),
     },
@@ -101,28 +105,28 @@
         "most of what a restart found given up at once": lambda: restarted(11, 13),
         "given up only as their time was up": lambda: restarted(10, 12, at=12_050),
         "given up untried by a second life": lambda: restarted(8, 14, at=4000).add(
-            rec.Process(2000 * MS, "n0", "kill"), rec.Process(2001 * MS, "n0", "exit"),
-            rec.Process(3000 * MS, "n0", "ready"),
+            rec.ProcessEvent(2000 * MS, "n0", "kill"), rec.ProcessEvent(2001 * MS, "n0", "exit"),
+            rec.ProcessEvent(3000 * MS, "n0", "ready"),
         ).ask(3500, "o").call(3505, "o"),
     },
     "drains": {
         "after a drain was told": lambda: Story()
-        .add(rec.Told(0, "n0", "a1", "draining")).ask(0, "m").call(600, "m"),
+        .add(rec.StateAnnounced(0, "n0", "a1", "draining")).ask(0, "m").call(600, "m"),
         "after it was told gone": lambda: Story()
-        .add(rec.Told(0, "n0", "a1", "gone")).ask(0, "m").call(600, "m"),
+        .add(rec.StateAnnounced(0, "n0", "a1", "gone")).ask(0, "m").call(600, "m"),
         "blind for too long": lambda: Story()
-        .add(rec.Watch(0, "n0", False), rec.Listed(SECOND, "a1", "draining"))
+        .add(rec.WatchChange(0, "n0", False), rec.DirectoryChange(SECOND, "a1", "draining"))
         .ask(0, "m").call(7700, "m"),
         "deaf when it was told, and not cut off behind that": lambda: Story()
-        .add(rec.Told(100 * MS, "n0", "a1", "draining"), rec.Process(50 * MS, "n0", "deaf"))
-        .add(rec.Reach(200 * MS, "n0", False), rec.Reach(700 * MS, "n0", True))
-        .add(rec.Process(800 * MS, "n0", "hears")).ask(0, "m").call(1500, "m"),
+        .add(rec.StateAnnounced(100 * MS, "n0", "a1", "draining"), rec.ProcessEvent(50 * MS, "n0", "deaf"))
+        .add(rec.ReachabilityChange(200 * MS, "n0", False), rec.ReachabilityChange(700 * MS, "n0", True))
+        .add(rec.ProcessEvent(800 * MS, "n0", "hears")).ask(0, "m").call(1500, "m"),
         "told while deaf, and heard before its watch ended": lambda: Story()
-        .add(rec.Told(100 * MS, "n0", "a1", "draining"), rec.Process(50 * MS, "n0", "deaf"))
-        .add(rec.Process(400 * MS, "n0", "hears"), rec.Watch(500 * MS, "n0", False))
+        .add(rec.StateAnnounced(100 * MS, "n0", "a1", "draining"), rec.ProcessEvent(50 * MS, "n0", "deaf"))
+        .add(rec.ProcessEvent(400 * MS, "n0", "hears"), rec.WatchChange(500 * MS, "n0", False))
         .ask(0, "m").call(1500, "m"),
         "told, then gone": lambda: Story()
-        .add(rec.Told(0, "n0", "a1", "draining"), rec.Told(400 * MS, "n0", "a1", "gone"))
+        .add(rec.StateAnnounced(0, "n0", "a1", "draining"), rec.StateAnnounced(400 * MS, "n0", "a1", "gone"))
         .ask(0, "m").call(700, "m"),
     },
     "returns": {
@@ -143,7 +147,7 @@
         ),
         "it fell over, just within its budget": lambda: flood(
             fails(Story().add(*out(0, 3000)), 100, range(2)), 3000, 6, gap=20
-        ).add(rec.Life(3150 * MS, "a1", "fell")),
+        ).add(rec.HostStateChange(3150 * MS, "a1", "fell")),
         "later in the warm-up": lambda: flood(
             fails(Story().add(*out(0, 3000)), 100, range(2)), 6000, 30, gap=50
         ),
@@ -176,7 +180,8 @@
         .ask(0, "m").ask(0, "o").call(5, "m", "o", end="refused", took=900, wait=1000).call(7, "m", took=20)
         .call(1200, "o"),
         "a wait on a connection that was closed behind its answer": lambda: Story()
-        .ask(0, "m").call(5, "m", end="refused", wait=1000).add(rec.Left(56 * MS, 1)).call(500, "m"),
+        .ask(0, "m").call(5, "m", end="refused", wait=1000)
+        .add(rec.ConnectionClosed(56 * MS, 1)).call(500, "m"),
         "a wait on an answer that delivers": lambda: Story()
         .ask(0, "m").ask(0, "o").call(5, "m", wait=1000).call(500, "o"),
     },
@@ -186,46 +191,48 @@
     .ask(0, "m").ask(0, "o").call(5, "m", end="refused", took=900, wait=1000).call(7, "m", took=20)
     .call(1200, "o"),
     "a wait told on a connection that was closed before": lambda: Story()
-    .add(rec.Link(0, "hosts", 80 * MS)).ask(0, "m").ask(0, "o").call(160, "m", end="refused", wait=1000)
-    .add(rec.Left(240 * MS, 1)).call(600, "o").notice(700, "m"),
+    .add(rec.LinkDelay(0, "hosts", 80 * MS)).ask(0, "m").ask(0, "o").call(160, "m", end="refused", wait=1000)
+    .add(rec.ConnectionClosed(240 * MS, 1)).call(600, "o").notice(700, "m"),
     "a second end by a life that could not know the first, told late": lambda: Story()
-    .ask(0, "m").add(rec.Reach(500 * MS, "n0", False), rec.Process(600 * MS, "n0", "full"))
-    .add(rec.Process(800 * MS, "n0", "kill"), rec.Process(801 * MS, "n0", "exit"))
-    .add(rec.Process(900 * MS, "n0", "room"), rec.Process(1000 * MS, "n0", "ready"))
-    .add(rec.Reach(2000 * MS, "n0", True)).notice(2010, "m", "bounced").notice(2020, "m"),
+    .ask(0, "m").add(rec.ReachabilityChange(500 * MS, "n0", False), rec.ProcessEvent(600 * MS, "n0", "full"))
+    .add(rec.ProcessEvent(800 * MS, "n0", "kill"), rec.ProcessEvent(801 * MS, "n0", "exit"))
+    .add(rec.ProcessEvent(900 * MS, "n0", "room"), rec.ProcessEvent(1000 * MS, "n0", "ready"))
+    .add(rec.ReachabilityChange(2000 * MS, "n0", True)).notice(2010, "m", "bounced").notice(2020, "m"),
     "two ends by a life whose disk had room while it stood still": lambda: Story()
-    .ask(0, "m").add(rec.Process(60 * MS, "n0", "full")).notice(100, "m", "bounced")
-    .add(rec.Process(200 * MS, "n0", "deaf", "stands still"), rec.Process(300 * MS, "n0", "room"))
-    .add(rec.Process(900 * MS, "n0", "kill"), rec.Process(901 * MS, "n0", "exit"))
-    .add(rec.Process(902 * MS, "n0", "hears"), rec.Process(1000 * MS, "n0", "ready")).notice(1100, "m"),
+    .ask(0, "m").add(rec.ProcessEvent(60 * MS, "n0", "full")).notice(100, "m", "bounced")
+    .add(rec.ProcessEvent(200 * MS, "n0", "deaf", "stands still"), rec.ProcessEvent(300 * MS, "n0", "room"))
+    .add(rec.ProcessEvent(900 * MS, "n0", "kill"), rec.ProcessEvent(901 * MS, "n0", "exit"))
+    .add(rec.ProcessEvent(902 * MS, "n0", "hears"), rec.ProcessEvent(1000 * MS, "n0", "ready"))
+    .notice(1100, "m"),
     "told a drain while deaf, then cut off": lambda: Story()
-    .add(rec.Told(100 * MS, "n0", "a1", "draining"), rec.Process(50 * MS, "n0", "deaf"))
-    .add(rec.Reach(200 * MS, "n0", False), rec.Process(800 * MS, "n0", "hears"))
-    .add(rec.Reach(1200 * MS, "n0", True)).ask(0, "m").call(1500, "m"),
+    .add(rec.StateAnnounced(100 * MS, "n0", "a1", "draining"), rec.ProcessEvent(50 * MS, "n0", "deaf"))
+    .add(rec.ReachabilityChange(200 * MS, "n0", False), rec.ProcessEvent(800 * MS, "n0", "hears"))
+    .add(rec.ReachabilityChange(1200 * MS, "n0", True)).ask(0, "m").call(1500, "m"),
     "told while deaf, on a watch that ended before it could be read": lambda: Story()
-    .add(rec.Told(100 * MS, "n0", "a1", "draining"), rec.Process(50 * MS, "n0", "deaf"))
-    .add(rec.Watch(300 * MS, "n0", False), rec.Process(400 * MS, "n0", "hears")).ask(0, "m").call(1500, "m"),
+    .add(rec.StateAnnounced(100 * MS, "n0", "a1", "draining"), rec.ProcessEvent(50 * MS, "n0", "deaf"))
+    .add(rec.WatchChange(300 * MS, "n0", False), rec.ProcessEvent(400 * MS, "n0", "hears"))
+    .ask(0, "m").call(1500, "m"),
     "sent as the time of the one before was up, whose notice came behind that": lambda: Story()
     .ask(0, "m1", "line", order="k").ask(5, "m2", "line", order="k").call(11_996, "m2").notice(12_131, "m1"),
     "a wait told behind a restart": lambda: Story()
-    .add(rec.Link(0, "hosts", 80 * MS)).ask(0, "m").ask(0, "o").call(160, "m", end="refused", wait=1000)
-    .add(rec.Process(90 * MS, "n0", "kill"), rec.Process(91 * MS, "n0", "exit"))
-    .add(rec.Process(300 * MS, "n0", "ready")).call(600, "o").notice(700, "m"),
+    .add(rec.LinkDelay(0, "hosts", 80 * MS)).ask(0, "m").ask(0, "o").call(160, "m", end="refused", wait=1000)
+    .add(rec.ProcessEvent(90 * MS, "n0", "kill"), rec.ProcessEvent(91 * MS, "n0", "exit"))
+    .add(rec.ProcessEvent(300 * MS, "n0", "ready")).call(600, "o").notice(700, "m"),
     "a notice just in time": lambda: Story().ask(0, "m").notice(12_340, "m"),
     "a repeated notice": lambda: Story().ask(0, "m").notice(100, "m").notice(300, "m"),
     "not taken on": lambda: Story().ask(0, "m", said="refused").ask(5, "o", said="silent"),
     "late while the relay was away": lambda: Story()
     .ask(0, "m").notice(14_400, "m")
-    .add(rec.Process(12 * SECOND, "n0", "kill"), rec.Process(13 * SECOND, "n0", "ready")),
+    .add(rec.ProcessEvent(12 * SECOND, "n0", "kill"), rec.ProcessEvent(13 * SECOND, "n0", "ready")),
     "late while the platform was out of reach": lambda: Story()
     .ask(0, "m").notice(14_400, "m")
-    .add(rec.Reach(11 * SECOND, "n0", False), rec.Reach(13 * SECOND, "n0", True)),
+    .add(rec.ReachabilityChange(11 * SECOND, "n0", False), rec.ReachabilityChange(13 * SECOND, "n0", True)),
     "lost with its folder": lambda: Story()
-    .ask(0, "m").add(rec.Process(SECOND, "n0", "kill"), rec.Process(SECOND, "n0", "wiped")),
+    .ask(0, "m").add(rec.ProcessEvent(SECOND, "n0", "kill"), rec.ProcessEvent(SECOND, "n0", "wiped")),
     "cut on a new connection": lambda: Story()
-    .ask(0, "m", said="").add(rec.Said(5 * MS, "m", "cut", fresh=True)),
+    .ask(0, "m", said="").add(rec.ClientOutcome(5 * MS, "m", "cut", fresh=True)),
     "cut by a kill": lambda: Story()
-    .ask(0, "m", said="").add(rec.Process(4 * MS, "n0", "kill"), rec.Said(5 * MS, "m", "cut")),
+    .ask(0, "m", said="").add(rec.ProcessEvent(4 * MS, "n0", "kill"), rec.ClientOutcome(5 * MS, "m", "cut")),
     "unsafe after a refusal": lambda: Story()
     .ask(0, "m", "unsafe").call(5, "m", end="refused", took=10).call(100, "m"),
     "keyed in its window and zone": lambda: keyed(24_900, "gone", "a2"),
@@ -248,19 +255,19 @@
         *out(2000, 9000)
     ),
     "given up while no try could be written down": lambda: restarted(11, 13).add(
-        rec.Process(1200 * MS, "n0", "full"), rec.Process(1600 * MS, "n0", "room")
+        rec.ProcessEvent(1200 * MS, "n0", "full"), rec.ProcessEvent(1600 * MS, "n0", "room")
     ),
     "given up while nothing reached the relay": lambda: restarted(11, 13, at=12_050).add(
-        rec.Process(3000 * MS, "n0", "deaf"), rec.Process(3500 * MS, "n0", "hears")
+        rec.ProcessEvent(3000 * MS, "n0", "deaf"), rec.ProcessEvent(3500 * MS, "n0", "hears")
     ),
     "given up where nobody delivered anything since": lambda: restarted(0, 24),
     "within the grace of a drain": lambda: Story()
-    .add(rec.Told(0, "n0", "a1", "draining")).ask(0, "m").call(500, "m"),
+    .add(rec.StateAnnounced(0, "n0", "a1", "draining")).ask(0, "m").call(500, "m"),
     "ready again": lambda: Story()
-    .add(rec.Told(0, "n0", "a1", "draining"), rec.Told(SECOND, "n0", "a1", "ready"))
+    .add(rec.StateAnnounced(0, "n0", "a1", "draining"), rec.StateAnnounced(SECOND, "n0", "a1", "ready"))
     .ask(0, "m").call(1500, "m"),
     "another relay was told": lambda: Story()
-    .add(rec.Told(0, "n1", "a1", "draining")).ask(0, "m").call(1500, "m"),
+    .add(rec.StateAnnounced(0, "n1", "a1", "draining")).ask(0, "m").call(1500, "m"),
     "a return within its budget": lambda: flood(
         fails(Story().add(*out(0, 3000)), 100, range(2)), 3000, 4, gap=700
     ),
@@ -286,12 +293,12 @@
     .ask(0, "m").call(5, "m", end="refused", wait=1000).call(500, "m", host="a2"),
     "a crash that is seen late ends a wait": lambda: Story()
     .ask(0, "m").call(5, "m", end="refused", wait=2000).call(1500, "m")
-    .add(rec.Process(100 * MS, "n0", "exit"), rec.Process(1400 * MS, "n0", "ready")),
+    .add(rec.ProcessEvent(100 * MS, "n0", "exit"), rec.ProcessEvent(1400 * MS, "n0", "ready")),
     "cut by a crash that is seen late": lambda: Story()
-    .ask(0, "m", said="").add(rec.Said(5 * MS, "m", "cut"), rec.Process(90 * MS, "n0", "exit")),
+    .ask(0, "m", said="").add(rec.ClientOutcome(5 * MS, "m", "cut"), rec.ProcessEvent(90 * MS, "n0", "exit")),
     "a restart ends a wait": lambda: Story()
     .ask(0, "m").call(5, "m", end="refused", wait=2000).call(1500, "m")
-    .add(rec.Process(SECOND, "n0", "kill"), rec.Process(1400 * MS, "n0", "ready")),
+    .add(rec.ProcessEvent(SECOND, "n0", "kill"), rec.ProcessEvent(1400 * MS, "n0", "ready")),
 }  # fmt: skip
 
 
@@ -331,7 +338,7 @@
     story = Story().ask(0, "m").notice(12_400, "m")
     for late_ms, state in ((100, "broken"), (200, "unknown")):
         record = story.record()
-        end = rec.End(60 * SECOND, len(record.events) - 1, 0.0, late_ms * MS)
+        end = rec.RecordEnd(60 * SECOND, len(record.events) - 1, 0.0, late_ms * MS)
         verdict = judge(rec.Record(record.head, [*record.events[:-1], end], True))
         assert verdict.state == state
     assert verdict.reasons == ("the rig ran late, by 200 ms at worst",)
@@ -358,7 +365,7 @@
         if draw(st.integers(0, 9)) == 0 and len(gone) < 2:
             host = draw(st.sampled_from([h for h in ("a1", "a2", "b1") if h not in gone]))
             gone.add(host)
-            story.add(rec.Told(now * MS, "n0", host, draw(st.sampled_from(["draining", "gone"]))))
+            story.add(rec.StateAnnounced(now * MS, "n0", host, draw(st.sampled_from(["draining", "gone"]))))
         zone, over = "", False
         for _ in range(draw(st.integers(0, 3))):
             able = [h for h in ("a1", "a2", "b1") if h not in gone and (not zone or h[0] == zone)]
--- a/tests/rig/test_service.py
+++ b/tests/rig/test_service.py
@@ -47,8 +47,8 @@
 def test_beyond_its_share_a_message_is_worth_a_tenth() -> None:
     """A share of 1/s: the bucket holds ten and starts with five, so of seven at once two are beyond it."""
     story = Story()
-    story.head = rec.Head(
-        0, "s", 1, story.head.classes, story.head.kinds, [rec.MemberFacts("m", 1.0)], story.head.figures
+    story.head = rec.RecordHead(
+        0, "s", 1, story.head.classes, story.head.kinds, [rec.TenantQuota("m", 1.0)], story.head.figures
     )
     for number in range(7):
         story.ask(0, f"m{number}")
--- a/tests/rig/test_standins.py
+++ b/tests/rig/test_standins.py
@@ -31,9 +31,9 @@
     """A record, what it holds so far, and one endpoint of a kind of its own."""
 
     def __init__(self, folder: Path) -> None:
-        self.writer = rec.Writer(folder / "record", lambda _at: draw.head_of(SCENARIO))
+        self.writer = rec.RecordWriter(folder / "record", lambda _at: draw.head_of(SCENARIO))
         self.events: list[rec.AnyEvent] = []
-        self.writer.told.append(self.events.append)
+        self.writer.listeners.append(self.events.append)
         classes = {"c": ClassWork(0.001, 25.0), "zoned": ClassWork(0.001, 25.0, by_zone=True)}
         self.book = Book(self.writer, classes)
         self.memory = KeyMemory()
@@ -89,7 +89,7 @@
     host = await world.host()
     world.ask("m1")
     assert (await call(host, "m1"))[0] == 200
-    [came], [ran], [answer] = world.of(rec.Call), world.of(rec.Ran), world.of(rec.Answer)
+    [came], [ran], [answer] = world.of(rec.Call), world.of(rec.MessageProcessed), world.of(rec.CallAnswered)
     assert (came.ids, came.host, ran.effect, answer.ends) == (["m1"], "h", True, {"m1": "delivered"})
     assert came.began <= came.at <= ran.at <= answer.at
     host.refuse()
@@ -120,7 +120,7 @@
     await call(first, "m1", key="k1")
     await call(second, "m2", key="k1")
     await call(second, "m3", key="k2")
-    assert [ran.effect for ran in world.of(rec.Ran)] == [True, False, True]
+    assert [ran.effect for ran in world.of(rec.MessageProcessed)] == [True, False, True]
     first.refuse()
     second.refuse()
 
@@ -133,7 +133,7 @@
     world.ask("m0", "m1", cls=cls)
     for host, ref in zip(hosts, ("m0", "m1"), strict=True):
         await call(host, ref)
-    assert [event.effect for event in world.of(rec.Ran)] == effects
+    assert [event.effect for event in world.of(rec.MessageProcessed)] == effects
 
 
 async def test_over_its_limit_it_refuses_with_a_wait_after_which_there_is_room(world: Set) -> None:
@@ -147,7 +147,7 @@
     assert told[-1][0] == 429
     wait_ms = int(told[-1][1]["x-retry-in-ms"])
     assert wait_ms >= 100
-    assert world.of(rec.Answer)[-1].wait_us == wait_ms * 1000
+    assert world.of(rec.CallAnswered)[-1].wait_us == wait_ms * 1000
     assert told[-1][1]["x-pressure"].startswith("x0=0.")
     host.refuse()
 
@@ -171,7 +171,10 @@
     await host.recover()
     world.ask("m1")
     assert (await call(host, "m1"))[0] == 200
-    assert [(life.state, life.cold_from) for life in world.of(rec.Life)] == [("out", 1.0), ("back", 0.25)]
+    assert [(life.state, life.cold_from) for life in world.of(rec.HostStateChange)] == [
+        ("out", 1.0),
+        ("back", 0.25),
+    ]
     host.refuse()
 
 
@@ -180,13 +183,13 @@
     world.ask("m1")
     host.strike("silent", 1.0, 1.0)
     pending = asyncio.create_task(call(host, "m1"))
-    while not world.of(rec.Ran):
+    while not world.of(rec.MessageProcessed):
         await asyncio.sleep(0.01)
     await host.recover()
     with pytest.raises(ConnectionError):
         await pending
-    assert world.of(rec.Answer) == []
-    assert [gone.call for gone in world.of(rec.Gone)] == [1]
+    assert world.of(rec.CallAnswered) == []
+    assert [gone.call for gone in world.of(rec.CallBroken)] == [1]
 
 
 async def test_sent_too_much_while_cold_it_falls_over(world: Set) -> None:
@@ -197,7 +200,7 @@
     with pytest.raises((ConnectionError, http.client.HTTPException)):
         for number in range(40):
             await call(host, f"m{number}")
-    assert world.of(rec.Life)[-1].state == "fell"
+    assert world.of(rec.HostStateChange)[-1].state == "fell"
     with pytest.raises(OSError):
         await call(host, "m39")
 
@@ -254,7 +257,7 @@
     platform.put("h1", "draining", late=False)
     status, [news] = await get(face, "/discovery/hosts?watch=1&from=1")
     assert [(e["host"], e["block"], e["health"]) for e in news["hosts"]] == [("h1", 3, "DRAINING")]
-    assert world.of(rec.Told)[-1].state == "draining"
+    assert world.of(rec.StateAnnounced)[-1].state == "draining"
     platform.lose()
     assert (await get(face, "/discovery/hosts?watch=1&from=1"))[0] == 503
     platform.stop()
@@ -352,35 +355,35 @@
 
 async def test_a_refused_message_comes_again_under_a_new_id_after_its_wait(world: Set) -> None:
     script = Scripted(b"-BUSY 120\r\n", b"-BUSY\r\n")
-    await handed_in(world, script, lambda: len(world.of(rec.Said)) == 3, marks=True)
-    first, second, third = world.of(rec.Ask)
+    await handed_in(world, script, lambda: len(world.of(rec.ClientOutcome)) == 3, marks=True)
+    first, second, third = world.of(rec.MessageSubmitted)
     assert len({first.id, second.id, third.id}) == 3
     assert (first.first, second.first, third.first) == ("", first.id, first.id)
     assert first.key == second.key == third.key != ""
     assert second.at - first.at >= 120_000
     assert [b"r=1" in words[3] for words in script.seen] == [False, True, True]
-    assert [said.what for said in world.of(rec.Said)] == ["refused", "refused", "taken"]
+    assert [said.what for said in world.of(rec.ClientOutcome)] == ["refused", "refused", "taken"]
     assert second.left_us < first.left_us
 
 
 async def test_a_kept_connection_that_closes_is_no_lost_request(world: Set) -> None:
     script = Scripted(b"-BUSY\r\n", None)
-    await handed_in(world, script, lambda: len(world.of(rec.Said)) == 2)
-    assert [said.what for said in world.of(rec.Said)] == ["refused", "taken"]
+    await handed_in(world, script, lambda: len(world.of(rec.ClientOutcome)) == 2)
+    assert [said.what for said in world.of(rec.ClientOutcome)] == ["refused", "taken"]
     assert [words[2] for words in script.seen[1:]] == [script.seen[1][2]] * 2  # the same id once more
     assert script.connections == 2
 
 
 async def test_a_silent_relay_is_left_and_asked_again(world: Set) -> None:
     script = Scripted(b"")
-    await handed_in(world, script, lambda: len(world.of(rec.Said)) == 2, answer_s=0.1)
-    assert [said.what for said in world.of(rec.Said)] == ["silent", "taken"]
+    await handed_in(world, script, lambda: len(world.of(rec.ClientOutcome)) == 2, answer_s=0.1)
+    assert [said.what for said in world.of(rec.ClientOutcome)] == ["silent", "taken"]
     assert b"again=1" in script.seen[1][3]
 
 
 async def test_a_bounced_message_comes_again_and_a_dead_one_does_not(world: Set) -> None:
     script = Scripted()
-    clients = await handed_in(world, script, lambda: len(world.of(rec.Said)) == 1)
+    clients = await handed_in(world, script, lambda: len(world.of(rec.ClientOutcome)) == 1)
     assert clients.open == 1
-    clients.ended(rec.Notice(0, "n0", world.of(rec.Ask)[0].id, "dead"))
+    clients.ended(rec.Notice(0, "n0", world.of(rec.MessageSubmitted)[0].id, "dead"))
     assert clients.open == 0
--- a/tests/sim/test_cases.py
+++ b/tests/sim/test_cases.py
@@ -45,7 +45,9 @@
 def test_kills_around_a_batch_a_replay_and_a_compaction(strikes: list[Any], tmp_path: Path) -> None:
     rows = [{"call": call, "at": at, "when": when, "life": life} for call, at, when, life in strikes]
     record = kept(exhaust.small(world(strike=rows).strikes), tmp_path)
-    assert len([e for e in record.events if isinstance(e, rec.Mark) and e.what == "strike"]) == len(strikes)
+    assert len([e for e in record.events if isinstance(e, rec.Annotation) and e.what == "strike"]) == len(
+        strikes
+    )
 
 
 def test_a_clock_that_jumps_back_over_a_deadline_while_the_relay_is_down(tmp_path: Path) -> None:
@@ -65,11 +67,11 @@
 def test_a_process_that_stands_still_with_calls_out_and_answers_waiting(tmp_path: Path) -> None:
     record = kept(world(length_s=9.0, event=[{"at_s": 2.0, "what": "stall", "len_s": 5.0}]), tmp_path)
     deaf, hears = (
-        next(e.at for e in record.events if isinstance(e, rec.Process) and e.what == what)
+        next(e.at for e in record.events if isinstance(e, rec.ProcessEvent) and e.what == what)
         for what in ("deaf", "hears")
     )
     assert hears - deaf > 4_900_000
-    assert any(deaf < e.at < hears for e in record.events if isinstance(e, rec.Answer))
+    assert any(deaf < e.at < hears for e in record.events if isinstance(e, rec.CallAnswered))
 
 
 def test_a_disk_that_is_full_from_the_middle_of_a_drain_on(tmp_path: Path) -> None:
@@ -86,8 +88,8 @@
     rows = [{"call": "write", "at": at, "what": what} for at, what in errors]
     events = [{"at_s": 1.5, "what": "kill"}, {"at_s": 3.0, "what": "stall", "len_s": 1.0}]
     record = kept(world(strike=rows, event=events), tmp_path)
-    asked = {e.id for e in record.events if isinstance(e, rec.Ask) and e.relay == "n1"}
-    ends = [item for e in record.events if isinstance(e, rec.Answer) for item in e.ends.items()]
+    asked = {e.id for e in record.events if isinstance(e, rec.MessageSubmitted) and e.relay == "n1"}
+    ends = [item for e in record.events if isinstance(e, rec.CallAnswered) for item in e.ends.items()]
     done = {ref for ref, end in ends if end == "delivered"}
     assert len(asked) > 50
     assert asked <= done
--- a/tests/sim/test_upgrades.py
+++ b/tests/sim/test_upgrades.py
@@ -67,7 +67,7 @@
 def test_an_upgrade_passes_the_messages_on(tmp_path: Path) -> None:
     done, record, verdict = judged(roomy(), tmp_path)
     assert (verdict.state, done.complaints) == ("kept", [])
-    ends = [ref for e in record.events if isinstance(e, rec.Answer) for ref, end in e.ends.items()
+    ends = [ref for e in record.events if isinstance(e, rec.CallAnswered) for ref, end in e.ends.items()
             if end == "delivered"]  # fmt: skip
     assert len(ends) == len(set(ends)) == 24
     assert any("handed over" in line for line in done.logs["n0"])
@@ -224,7 +224,7 @@
 def test_hosts_out_by_hand_are_left_alone_through_kills_and_upgrades(seed: int, tmp_path: Path) -> None:
     _, record, verdict = judged(swarm(STAFF, seed), tmp_path)
     assert (verdict.state, verdict.breaches) == ("kept", ())
-    assert sum(isinstance(event, rec.Hand) for event in record.events) > 0
+    assert sum(isinstance(event, rec.HostDisabled) for event in record.events) > 0
 
 
 def folder(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> tuple[int, int, bool]:
--- a/tests/slow_start/test_processes.py
+++ b/tests/slow_start/test_processes.py
@@ -31,6 +31,8 @@
 def test_no_returned_endpoint_collapses(run: tuple[Done, rec.Record]) -> None:
     """Stricter than the rule: calls of relays that had not observed the outage count, too."""
     collapsed = {
-        event.host for event in run[1].events if isinstance(event, rec.Life) and event.state == "fell"
+        event.host
+        for event in run[1].events
+        if isinstance(event, rec.HostStateChange) and event.state == "fell"
     }
     assert collapsed == set()
--- a/tests/test_cost.py
+++ b/tests/test_cost.py
@@ -50,7 +50,7 @@
         done = simulate(world, folder)
     finally:
         sys.setprofile(None)
-    messages = sum(isinstance(event, rec.Ask) for event in rec.read(done.path).events)
+    messages = sum(isinstance(event, rec.MessageSubmitted) for event in rec.read(done.path).events)
     return found, messages
 
 
@@ -91,7 +91,7 @@
     monkeypatch.setattr(Journal, "_track_record", kept)
     world = scenario.load(ROOT / "scenarios" / "calm.toml").model_copy(update={"length_s": 3.0})
     done = simulate(world, tmp_path)
-    messages = sum(isinstance(event, rec.Ask) for event in rec.read(done.path).events)
+    messages = sum(isinstance(event, rec.MessageSubmitted) for event in rec.read(done.path).events)
     assert kinds["in"] == messages
     # The simulation ends while the last ones are in progress.
     assert messages - 2 <= kinds["over"] <= messages
