--- a/mallowlug/rig/judge/life.py
+++ b/mallowlug/rig/judge/life.py
@@ -18,7 +18,7 @@
 from typing import Literal
 
 from mallowlug.rig.judge import record as rec
-from mallowlug.rig.judge.ledger import Books
+from mallowlug.rig.judge.ledger import Ledger
 
 Effect = Literal["safe", "keyed", "unsafe"]
 Step = Literal["taken", "try", "refused", "failed", "delivered", "dead", "bounced", "dies"]
@@ -130,16 +130,18 @@
         else:
             problems.append(f"{at_us / 1e6:.6f} s  {ref}: {found}")
 
-    books = Books(record.head)
+    ledger = Ledger(record.head)
     for event in record.events:
-        books.take(event)
+        ledger.apply(event)
         match event:
             case rec.MessageSubmitted() if event.cls in effects:
                 lives.setdefault(event.id, Life(effects[event.cls]))
                 relays[event.id] = event.relay
             case rec.ClientOutcome() if event.what == "taken":
                 take(event.at, event.id, "taken")
-            case rec.Call() if books.sent(event) == event.began:  # else held up on its way: no step of now
+            case rec.Call() if (
+                ledger.earliest_send_us(event) == event.began
+            ):  # else held up on its way: no step of now
                 calls[event.call] = list(event.ids)
                 for ref in event.ids:
                     take(event.at, ref, "try")
@@ -154,7 +156,7 @@
             case rec.ProcessEvent() if event.what in ("exit", "wiped"):
                 for ref in [ref for ref, relay in relays.items() if relay == event.relay]:
                     take(event.at, ref, "dies")
-                    if event.what == "wiped" or books.owing(event.relay, event.at):
+                    if event.what == "wiped" or ledger.may_lack_records(event.relay, event.at):
                         wiped[ref] = None
                 for call in [call for call, refs in calls.items() if relays.get(refs[0]) == event.relay]:
                     del calls[call]
--- a/mallowlug/rig/judge/returns.py
+++ b/mallowlug/rig/judge/returns.py
@@ -6,92 +6,98 @@
 
 from mallowlug.rig.judge import cold
 from mallowlug.rig.judge import record as rec
-from mallowlug.rig.judge.ledger import Books
+from mallowlug.rig.judge.ledger import Ledger
 from mallowlug.rig.judge.rule import Rule
 
 
-class Returns(Rule):
-    """A destination that returns cold is not pushed over (``mallowlug/rig/judge/cold.py`` has the budget).
+class ColdReturnRule(Rule):
+    """A destination that returns cold is not overloaded (``mallowlug/rig/judge/cold.py`` has the budget).
 
-    One that falls over while it is cold was pushed over, whatever the window says. A breach only if two
-    thirds of the window's messages came from relays that saw a call fail or be refused there during the
-    outage. A refused connection leaves no trace at a listener that is closed: where the record does not
-    tell of every connect, a relay that had a message open for the destination in the outage counts as having
+    A destination that collapses while it is cold was overloaded, whatever the budget says. It is a breach
+    only if two thirds of the window's messages came from relays that saw a call fail or be refused there
+    during the outage. A refused connection leaves no trace at a closed listener: if the record does not have
+    every connect, a relay that had an unfinished message for the destination in the outage counts as having
     seen one.
     """
 
     name = "returns"
 
-    def __init__(self, books: Books) -> None:
-        super().__init__(books)
-        self._out: dict[str, int] = {}
-        self._fell: dict[str, list[int]] = defaultdict(list)
-        self._outages: list[tuple[str, int, cold.Return]] = []  # route, when it began, how it came back
+    def __init__(self, ledger: Ledger) -> None:
+        super().__init__(ledger)
+        self._outage_began: dict[str, int] = {}
+        self._collapses: dict[str, list[int]] = defaultdict(list)
+        self._outages: list[tuple[str, int, cold.ColdReturn]] = []  # route, start (us), return
         self._arrivals: dict[str, list[tuple[int, float, str]]] = defaultdict(list)
-        self._dials: dict[str, list[tuple[int, str]]] = defaultdict(list)  # by route: when, and by whom
+        self._connects: dict[str, list[tuple[int, str]]] = defaultdict(list)  # by route: time (us) and relay
 
-    def see(self, event: rec.AnyEvent) -> None:
-        if isinstance(event, rec.HostStateChange) and event.host in self.books.hosts:
-            route = self.books.route(event.host)
+    def observe(self, event: rec.AnyEvent) -> None:
+        if isinstance(event, rec.HostStateChange) and event.host in self.ledger.hosts:
+            route = self.ledger.route_of(event.host)
             if event.state == "fell":
-                self._fell[route].append(event.at)
+                self._collapses[route].append(event.at)
             if event.state != "back":
-                self._out.setdefault(route, event.at)
-            elif route in self._out:
-                per_s = sum(h.per_s for h in self.books.hosts.values() if self.books.route(h.host) == route)
-                back = cold.Return(event.at, per_s, event.cold_from, event.warm_us)
-                self._outages.append((route, self._out.pop(route), back))
-        elif isinstance(event, rec.ConnectStarted) and event.host in self.books.hosts:
-            self._dials[self.books.route(event.host)].append((event.at, event.relay))
-        elif isinstance(event, rec.Call) and event.host in self.books.hosts:
-            kind = self.books.kinds.get(self.books.hosts[event.host].kind)
-            work = cold.work_of(len(event.ids), kind.item_cost if kind else 1.0)
-            arrival = (event.at, work, self.books.relay_of(event))
-            self._arrivals[self.books.route(event.host)].append(arrival)
+                self._outage_began.setdefault(route, event.at)
+            elif route in self._outage_began:
+                per_s = sum(
+                    h.per_s for h in self.ledger.hosts.values() if self.ledger.route_of(h.host) == route
+                )
+                back = cold.ColdReturn(event.at, per_s, event.cold_from, event.warm_us)
+                self._outages.append((route, self._outage_began.pop(route), back))
+        elif isinstance(event, rec.ConnectStarted) and event.host in self.ledger.hosts:
+            self._connects[self.ledger.route_of(event.host)].append((event.at, event.relay))
+        elif isinstance(event, rec.Call) and event.host in self.ledger.hosts:
+            kind = self.ledger.kinds.get(self.ledger.hosts[event.host].kind)
+            weight = cold.call_weight(len(event.ids), kind.item_cost if kind else 1.0)
+            arrival = (event.at, weight, self.ledger.relay_of(event))
+            self._arrivals[self.ledger.route_of(event.host)].append(arrival)
 
-    def close(self) -> None:
+    def finish(self) -> None:
         for route, out_us, back in self._outages:
             self.checked += 1
-            self._judge(route, out_us, back)
+            self._check_return(route, out_us, back)
 
-    def _judge(self, route: str, out_us: int, back: cold.Return) -> None:
-        figures, arrivals = self.books.figures, self._arrivals[route]
-        plain = [(at, number) for at, number, _ in arrivals]
-        found = cold.overrun(back, plain, figures.fall_multiple, figures.fall_us + figures.slack_us)
-        span_us = figures.fall_us + figures.slack_us
-        fell = min((at for at in self._fell[route] if at >= back.at_us), default=-1)
-        if 0 <= fell <= back.at_us + back.warm_us and (found is None or fell < found[0] + span_us):
-            start = max(back.at_us, fell - span_us)
-            came = sum(work for _, work in cold.within(plain, start, fell + 1))
-            found = start, came, back.budget(start, figures.fall_multiple, figures.fall_us)
+    def _check_return(self, route: str, out_us: int, back: cold.ColdReturn) -> None:
+        figures, arrivals = self.ledger.figures, self._arrivals[route]
+        weights = [(at, weight) for at, weight, _ in arrivals]
+        found = cold.first_overload(back, weights, figures.fall_multiple, figures.fall_us + figures.slack_us)
+        window_us = figures.fall_us + figures.slack_us
+        collapsed_us = min((at for at in self._collapses[route] if at >= back.at_us), default=-1)
+        if 0 <= collapsed_us <= back.at_us + back.warm_us and (
+            found is None or collapsed_us < found[0] + window_us
+        ):
+            start = max(back.at_us, collapsed_us - window_us)
+            arrived = sum(weight for _, weight in cold.in_window(weights, start, collapsed_us + 1))
+            found = start, arrived, back.budget(start, figures.fall_multiple, figures.fall_us)
         if found is None:
             return
-        start, came, budget = found
-        end = start + span_us
-        seen = self._seen(route, out_us, back.at_us)
-        by = {relay: 0.0 for _, _, relay in arrivals}
-        for at, number, relay in arrivals:
-            by[relay] += number * (start <= at < end)
-        guilty = sum(number for relay, number in by.items() if relay in seen)
-        if 3 * guilty >= 2 * came:
-            worst = max(by, key=lambda relay: by[relay])
-            detail = f"{route} got {came:.1f} in a window for {budget:.1f}, {guilty:.1f} from who knew"
-            self.broken(start, worst, [route], detail)
+        start, arrived, budget = found
+        end = start + window_us
+        informed_relays = self._informed_relays(route, out_us, back.at_us)
+        by_relay = {relay: 0.0 for _, _, relay in arrivals}
+        for at, weight, relay in arrivals:
+            by_relay[relay] += weight * (start <= at < end)
+        informed = sum(weight for relay, weight in by_relay.items() if relay in informed_relays)
+        if 3 * informed >= 2 * arrived:
+            top_relay = max(by_relay, key=lambda relay: by_relay[relay])
+            detail = (
+                f"{route} got {arrived:.1f} in a window for {budget:.1f}, {informed:.1f} from informed relays"
+            )
+            self.report(start, top_relay, [route], detail)
 
-    def _seen(self, route: str, out_us: int, back_us: int) -> set[str]:
-        """Relays that saw a call fail or be refused there during the outage, or must have."""
-        seen = {relay for at, relay in self._dials[route] if out_us <= at < back_us}
-        dests = {h.dest for h in self.books.hosts.values() if self.books.route(h.host) == route}
-        for message in self.books.messages.values():
-            here = [a for a in message.attempts if self.books.route(a.host) == route]
+    def _informed_relays(self, route: str, out_us: int, back_us: int) -> set[str]:
+        """Return the relays that saw, or must have seen, a call fail or be refused there in the outage."""
+        informed_relays = {relay for at, relay in self._connects[route] if out_us <= at < back_us}
+        destinations = {h.dest for h in self.ledger.hosts.values() if self.ledger.route_of(h.host) == route}
+        for message in self.ledger.messages.values():
+            attempts = [a for a in message.attempts if self.ledger.route_of(a.host) == route]
             failed = any(
-                a.came_us < back_us and out_us <= (a.ended_us if a.ended_us >= 0 else back_us)
-                and a.end != "delivered"
-                for a in here
+                a.arrived_us < back_us and out_us <= (a.ended_us if a.ended_us >= 0 else back_us)
+                and a.result != "delivered"
+                for a in attempts
             )  # fmt: skip
-            end_us = message.end_us if message.end_us >= 0 else self.books.end_us
-            waited = message.taken_us >= 0 and message.ask.at < back_us and end_us > out_us
-            waited = waited and not self.books.head.dials
-            if failed or (waited and message.ask.dest in dests and not here):
-                seen.add(message.ask.relay)
-        return seen
+            end_us = message.end_us if message.end_us >= 0 else self.ledger.end_us
+            waited = message.accepted_us >= 0 and message.submitted.at < back_us and end_us > out_us
+            waited = waited and not self.ledger.head.dials
+            if failed or (waited and message.submitted.dest in destinations and not attempts):
+                informed_relays.add(message.submitted.relay)
+        return informed_relays
--- a/mallowlug/rig/judge/rule.py
+++ b/mallowlug/rig/judge/rule.py
@@ -1,4 +1,4 @@
-"""What the judge's rules have in common: a breach, and a class that sees events and speaks at the end."""
+"""Base of the judge's rules: ``Breach`` and ``Rule``."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 from dataclasses import dataclass
 
 from mallowlug.rig.judge import record as rec
-from mallowlug.rig.judge.ledger import Books
+from mallowlug.rig.judge.ledger import Ledger
 
 
 @dataclass(frozen=True, slots=True)
 class Breach:
-    """One broken rule: when (us of the run), by which relay, which messages, and the figures that show it."""
+    """One breach of a rule: its time (us of the run), the relay, the message ids and the evidence."""
 
     rule: str
     at_us: int
@@ -25,21 +25,25 @@
 
 
 class Rule:
-    """One rule: sees each event after the books have it, and speaks at the end."""
+    """One rule: observes each event after the ledger has applied it, and reports breaches.
+
+    ``checked`` counts the cases in which the rule could have been broken; ``undecided`` has reasons why the
+    record does not show whether it was kept.
+    """
 
     name = ""
 
-    def __init__(self, books: Books) -> None:
-        self.books, self.checked = books, 0
+    def __init__(self, ledger: Ledger) -> None:
+        self.ledger, self.checked = ledger, 0
         self.breaches: list[Breach] = []
         self.undecided: list[str] = []
 
-    def see(self, event: rec.AnyEvent) -> None:
-        """Take an event in."""
+    def observe(self, event: rec.AnyEvent) -> None:
+        """Process an event."""
 
-    def close(self) -> None:
-        """The record has ended."""
+    def finish(self) -> None:
+        """Check what only the end of the record shows."""
 
-    def broken(self, at_us: int, relay: str, ids: Iterable[str], detail: str) -> None:
-        """Note a breach."""
+    def report(self, at_us: int, relay: str, ids: Iterable[str], detail: str) -> None:
+        """Record a breach of this rule."""
         self.breaches.append(Breach(self.name, at_us, relay, tuple(ids), detail))
--- a/mallowlug/rig/world/host_model.py
+++ b/mallowlug/rig/world/host_model.py
@@ -66,7 +66,7 @@
     queue: deque[Job] = field(default_factory=deque)
     tokens: float = 1.0
     tokens_s: float = 0.0
-    back: cold.Return | None = None
+    back: cold.ColdReturn | None = None
     recent: deque[tuple[int, float]] = field(default_factory=deque)
 
     def share(self, now_s: float) -> float:
@@ -81,7 +81,7 @@
         if emptied:
             self.running = 0
             self.queue.clear()
-        self.back = cold.Return(round(now_s * 1e6), plan.per_s, plan.cold_from, round(plan.warm_s * 1e6))
+        self.back = cold.ColdReturn(round(now_s * 1e6), plan.per_s, plan.cold_from, round(plan.warm_s * 1e6))
 
     def falls(self, size: int, now_s: float) -> bool:
         """Take an arrival into account; whether it pushes a cold endpoint over."""
@@ -90,8 +90,10 @@
         if now_s * 1e6 > self.back.at_us + self.back.warm_us:
             self.back = None
             return False
-        self.recent.append((round(now_s * 1e6), cold.work_of(size, ITEM_COST)))
-        found = cold.overrun(self.back, list(self.recent), self.fall_multiple, round(self.fall_s * 1e6))
+        self.recent.append((round(now_s * 1e6), cold.call_weight(size, ITEM_COST)))
+        found = cold.first_overload(
+            self.back, list(self.recent), self.fall_multiple, round(self.fall_s * 1e6)
+        )
         if found is None:
             return False
         self.state = "fallen"
--- a/tests/rig/test_models.py
+++ b/tests/rig/test_models.py
@@ -23,7 +23,7 @@
 from tests.rig.story import SECOND, Story
 from tests.world import ROOT
 
-RETURN = cold.Return(10 * SECOND, 4.0, 0.25, 10 * SECOND)
+RETURN = cold.ColdReturn(10 * SECOND, 4.0, 0.25, 10 * SECOND)
 KIND = KindTable(name="lots", share=1.0)
 
 
@@ -57,22 +57,22 @@
         if level >= 1:
             arrivals.append((at, 1.0))
             level -= 1
-    assert cold.overrun(RETURN, arrivals, 1.5, 3 * SECOND) is None
+    assert cold.first_overload(RETURN, arrivals, 1.5, 3 * SECOND) is None
 
 
 def test_a_burst_is_over_and_the_same_later_is_not() -> None:
     most = int(RETURN.budget(RETURN.at_us, 1.5, 3 * SECOND))
     burst = [(RETURN.at_us + n * 1000, 1.0) for n in range(most + 1)]
-    assert cold.overrun(RETURN, burst[:most], 1.5, 3 * SECOND) is None
-    found = cold.overrun(RETURN, burst, 1.5, 3 * SECOND)
+    assert cold.first_overload(RETURN, burst[:most], 1.5, 3 * SECOND) is None
+    found = cold.first_overload(RETURN, burst, 1.5, 3 * SECOND)
     assert found is not None
     assert found[0] == RETURN.at_us
-    assert cold.overrun(RETURN, [(at + 10 * SECOND, n) for at, n in burst], 1.5, 3 * SECOND) is None
+    assert cold.first_overload(RETURN, [(at + 10 * SECOND, n) for at, n in burst], 1.5, 3 * SECOND) is None
 
 
 def test_chance_has_the_room_that_the_standing_test_gives_it() -> None:
-    assert cold.most_in_window(16) == 16 + 3 * 4 + 3
-    assert cold.most_in_window(36) == 36 + 2 * 6 + 2
+    assert cold.max_in_window(16) == 16 + 3 * 4 + 3
+    assert cold.max_in_window(36) == 36 + 2 * 6 + 2
 
 
 def test_an_endpoint_serves_queues_and_refuses() -> None:
--- a/tests/rig/test_rules.py
+++ b/tests/rig/test_rules.py
@@ -331,7 +331,7 @@
 def test_a_message_whose_time_was_not_up_leaves_it_unknown() -> None:
     verdict = judge(Story().ask(0, "m").record(end=5000))
     assert verdict.state == "unknown"
-    assert "m has no end" in verdict.reasons[0]
+    assert "m has no final result" in verdict.reasons[0]
 
 
 def test_a_rig_that_ran_late_is_not_believed_about_times() -> None:
--- a/tests/slow_start/outages.py
+++ b/tests/slow_start/outages.py
@@ -177,10 +177,10 @@
         """Return the end of the present outage, or 0."""
         return next((end for start, end in self.outages if start <= now_us < end), 0)
 
-    def last_return(self, now_us: int) -> cold.Return | None:
+    def last_return(self, now_us: int) -> cold.ColdReturn | None:
         """Return the last return from an outage, if there was one."""
         ended = [end for _, end in self.outages if end <= now_us]
-        return cold.Return(max(ended), self.rate, COLD_CAPACITY_SHARE, WARM_UP_US) if ended else None
+        return cold.ColdReturn(max(ended), self.rate, COLD_CAPACITY_SHARE, WARM_UP_US) if ended else None
 
     def _capacity_share(self, now_us: int) -> float:
         last_return = self.last_return(now_us)
@@ -341,7 +341,7 @@
         batch = next(kind.batch_size for kind in KINDS if kind.name == host.kind)
         for start in range(0, len(sends), batch):
             carried = sends[start : start + batch]
-            weight = cold.work_of(len(carried), ITEM_WEIGHT)
+            weight = cold.call_weight(len(carried), ITEM_WEIGHT)
             verdict, elapsed_us, retry_after_us = host.serve(at_us, weight, self.rng)
             elapsed_us = min(elapsed_us or NEVER_US, carried[0].timeout_us)
             if verdict is api.Verdict.TIMEOUT and at_us + elapsed_us > (return_us := host.down_until(at_us)):
@@ -381,11 +381,11 @@
 
 def max_window_weight(budget: float) -> float:
     """Return the allowed weight of a window: its budget and an allowance for chance (operators' rule)."""
-    return cold.most_in_window(budget)
+    return cold.max_in_window(budget)
 
 
 def worst_window_ratio(
-    calls: Sequence[Call], notified: set[int], endpoint_return: cold.Return, end_us: int
+    calls: Sequence[Call], notified: set[int], endpoint_return: cold.ColdReturn, end_us: int
 ) -> float:
     """Return the worst ratio of a window's weight to the allowed one, after a return.
 
@@ -424,7 +424,7 @@
         outages = draw.outages(number)
         for at, (_, end_us) in enumerate(outages):
             until_us = outages[at + 1][0] if at + 1 < len(outages) else NEVER_US
-            endpoint_return = cold.Return(end_us, draw.capacity_per_s, COLD_CAPACITY_SHARE, WARM_UP_US)
+            endpoint_return = cold.ColdReturn(end_us, draw.capacity_per_s, COLD_CAPACITY_SHARE, WARM_UP_US)
             worst_ratio = max(
                 worst_ratio,
                 worst_window_ratio(
@@ -453,7 +453,7 @@
 
 def _chance_worst_ratio_at(draw: OutageDraw, endpoint: int, rng: random.Random) -> float:
     outages = draw.outages(endpoint)
-    endpoint_return = cold.Return(outages[0][1], draw.capacity_per_s, COLD_CAPACITY_SHARE, WARM_UP_US)
+    endpoint_return = cold.ColdReturn(outages[0][1], draw.capacity_per_s, COLD_CAPACITY_SHARE, WARM_UP_US)
     until_us = min(
         outages[1][0] if len(outages) > 1 else NEVER_US,
         endpoint_return.at_us + WARM_UP_US + COLLAPSE_WINDOW_US,
--- a/tests/test_returns.py
+++ b/tests/test_returns.py
@@ -51,7 +51,7 @@
         assert isinstance(host, RecoveringHost)
         if OUTAGE_START_US <= at_us < host.until_us:
             self.notified.add(relay)
-        self.calls.append((at_us, cold.work_of(len(sends), EXTRA_MESSAGE_WEIGHT), relay))
+        self.calls.append((at_us, cold.call_weight(len(sends), EXTRA_MESSAGE_WEIGHT), relay))
         super()._call(at_us, relay, host, sends)
 
 
@@ -63,7 +63,7 @@
     load: float,
     seed: int,
     make: type[DecisionEngine] = DecisionEngine,
-) -> tuple[RecoveryGroup, cold.Return]:
+) -> tuple[RecoveryGroup, cold.ColdReturn]:
     """Run a group through an outage of its only destination; return the group and the recovery.
 
     ``load``: messages a second over all relays, as a share of a capacity of 6 calls a second.
@@ -73,10 +73,10 @@
     group = RecoveryGroup([host], {1: 6.0 * load}, relays=relays, seed=seed, make=make)
     group.calls, group.notified = [], set()
     group.play(until_us / 1e6 + 12)
-    return group, cold.Return(until_us, host.rate, COLD_FROM, WARM_UP_US)
+    return group, cold.ColdReturn(until_us, host.rate, COLD_FROM, WARM_UP_US)
 
 
-def budget_excess(group: RecoveryGroup, recovery: cold.Return) -> float:
+def budget_excess(group: RecoveryGroup, recovery: cold.ColdReturn) -> float:
     """Return the largest excess over the budget in a window.
 
     Only windows count in which relays that met the outage sent at least two thirds of the work.
@@ -109,7 +109,7 @@
     st.integers(0, 10**6),
 )  # fmt: skip
 # Relays without shared state cannot coordinate the times of their calls.
-ONE_CALL = cold.work_of(10, EXTRA_MESSAGE_WEIGHT)
+ONE_CALL = cold.call_weight(10, EXTRA_MESSAGE_WEIGHT)
 
 
 @settings(max_examples=150, deadline=None, derandomize=True, database=None)
@@ -120,7 +120,7 @@
     assert budget_excess(*run_outage(*draw)) == 0
 
 
-def own_share_excess(group: RecoveryGroup, recovery: cold.Return) -> float:
+def own_share_excess(group: RecoveryGroup, recovery: cold.ColdReturn) -> float:
     """Return a notified relay's largest excess over twice its equal share of a window's budget."""
     max_excess, share = 0.0, min(1.0, 2 / len(group.relays))
     calls_by_relay = defaultdict[int, list[tuple[int, float]]](list)
@@ -129,7 +129,9 @@
             calls_by_relay[relay].append((at_us, work))
     for calls in calls_by_relay.values():
         for start_us, _ in calls:
-            total_work = sum(work for _, work in cold.within(calls, start_us, start_us + COLLAPSE_WINDOW_US))
+            total_work = sum(
+                work for _, work in cold.in_window(calls, start_us, start_us + COLLAPSE_WINDOW_US)
+            )
             max_excess = max(
                 max_excess,
                 total_work
