--- a/bench/tails.py
+++ b/bench/tails.py
@@ -11,7 +11,7 @@
 from mallowlug.rig.judge import record as rec
 from mallowlug.rig.judge.rules import judge
 from mallowlug.rig.judge.service import service_of
-from mallowlug.rig.judge.tail import Tail, tail_of
+from mallowlug.rig.judge.tail import Latency, latency_of
 from mallowlug.rig.sim.ground import simulate
 from mallowlug.rig.world.scenario import EventTable, Scenario
 
@@ -23,7 +23,7 @@
 class Played:
     """One run's figures, and whether all six rules were kept."""
 
-    tail: Tail
+    tail: Latency
     service: float
     kept: bool
 
@@ -56,7 +56,7 @@
     """Play it in simulated time and judge it."""
     with tempfile.TemporaryDirectory(prefix="tails-") as folder:
         record = rec.read(simulate(world, Path(folder)).path)
-    return Played(tail_of(record), service_of(record).total, judge(record).state == "kept")
+    return Played(latency_of(record), service_of(record).total, judge(record).state == "kept")
 
 
 def all_played(
--- a/mallowlug/rig/cli.py
+++ b/mallowlug/rig/cli.py
@@ -206,7 +206,7 @@
 def tail(records: tuple[Path, ...]) -> int:
     """How long messages waited in each record: p50, p99 and p99.9 of accept and delivery, in ms."""
     for path in records:
-        found = tails.tail_of(rec.read(path))
+        found = tails.latency_of(rec.read(path))
         shown = [" ".join(f"{value:.0f}" for value in row) for row in (found.accept_ms, found.deliver_ms)]
         sums = f"{found.delivered} of {found.messages} delivered, {found.carried} in {found.calls} calls"
         print(f"{path}: accept {shown[0]}; delivery {shown[1]}; {sums}, {found.connections} connections")
--- a/mallowlug/rig/judge/__init__.py
+++ b/mallowlug/rig/judge/__init__.py
@@ -1,1 +1,1 @@
-"""What a run leaves, and what can be said of it: the record, the six rules, the service."""
+"""The record of a run and its evaluation: the six rules and the service measures."""
--- a/mallowlug/rig/judge/life.py
+++ b/mallowlug/rig/judge/life.py
@@ -1,13 +1,14 @@
-"""A message's life as a small written model: which step may follow which, for each effect of a repeat.
+"""State model of a message: which step may follow which, for each effect of a repeated delivery.
 
-    handed in -> taken -> (tried -> refused | failed)* -> tried -> delivered
-                       \\-> ended by a notice
+    submitted -> taken -> (try -> refused | failed)* -> try -> delivered
+                       \\-> final result by a notice
 
-A step is one of ``STEPS``. ``dies`` is the end of the relay's process: what it held goes on in the next life,
-and a try that was out may have run. A delivery that the process did not live to read may be followed by
-another try, where a repeat does no harm. The model says nothing of times and places; the six rules do. Its
-use is that it can be explored whole (``explore``), and that every record can be walked along it (``walk``):
-a record whose steps the model does not allow shows a fault in relay, rig or model, whatever the rules say.
+A step is one of ``STEPS``. ``dies`` is the end of the relay's process: its messages are recovered by the next
+process, and an open attempt is in doubt. A delivery whose answer the process did not read before it ended
+may be followed by another attempt if a repeat is harmless. The model covers neither times nor zones; the six
+rules do. It can be explored completely (``explore``), and the steps of every record can be checked against it
+(``find_violations``): a record with a step that the model does not allow shows a fault in relay, rig or
+model, whatever the rules report.
 """
 
 from __future__ import annotations
@@ -26,136 +27,143 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Life:
-    """Where a message stands."""
+class MessageState:
+    """The state of one message."""
 
     effect: Effect
     taken: bool = False
-    out: int = 0  # tries whose end is open
-    doubt: bool = False  # a try that is over may have run
+    open_attempts: int = 0
+    in_doubt: bool = False  # an ended attempt may have run
     delivered: bool = False
-    end: str = ""  # the notice that was told
+    notice: str = ""  # the result in the notice; empty without one
 
 
-def after(life: Life, step: Step) -> Life | str:
-    """The life behind a step, or why that step can't be taken."""
+def next_state(state: MessageState, step: Step) -> MessageState | str:
+    """Return the state after a step, or the reason why the step is not allowed."""
     if step == "dies":
-        return replace(life, out=0, doubt=life.doubt or life.out > 0)
+        return replace(state, open_attempts=0, in_doubt=state.in_doubt or state.open_attempts > 0)
     if step == "taken":
-        return replace(life, taken=True)  # once more for a request that was repeated
+        return replace(state, taken=True)  # again for a repeated request
     if step == "try":
-        return tried(life)
+        return after_attempt(state)
     if step in ("dead", "bounced"):
-        return ended(life, step)
-    if life.out == 0:
-        return f"{step}, and no try is out"
+        return after_notice(state, step)
+    if state.open_attempts == 0:
+        return f"{step} without an open attempt"
     if step == "delivered":
-        return replace(life, out=life.out - 1, delivered=True)
-    return replace(life, out=life.out - 1, doubt=life.doubt or step == "failed")
-
-
-def tried(life: Life) -> Life | str:
-    """A try: never behind an end, which is journaled before it is told; never where it could do harm."""
-    if life.end:
-        return "tried behind its end"
-    if life.delivered and life.effect == "unsafe":
-        return "tried behind its delivery"
-    if life.effect == "unsafe" and (life.doubt or life.out):
-        return "tried though an earlier try may have run"
-    return replace(life, out=life.out + 1)
-
-
-def ended(life: Life, end: str) -> Life | str:
-    """A notice: one end only; a refusal only where nothing may have run that a retry would repeat."""
-    if life.end and life.end != end:
-        return f"{end} behind {life.end}"
-    if end == "bounced" and life.effect == "unsafe" and (life.doubt or life.out or life.delivered):
-        return "refused though a try may have run"
-    return replace(life, end=end)
+        return replace(state, open_attempts=state.open_attempts - 1, delivered=True)
+    return replace(state, open_attempts=state.open_attempts - 1, in_doubt=state.in_doubt or step == "failed")
+
+
+def after_attempt(state: MessageState) -> MessageState | str:
+    """Apply an attempt: not after a notice, whose result is journaled first, nor if a repeat is harmful."""
+    if state.notice:
+        return "attempted after its final result"
+    if state.delivered and state.effect == "unsafe":
+        return "attempted after its delivery"
+    if state.effect == "unsafe" and (state.in_doubt or state.open_attempts):
+        return "attempted though an earlier attempt may have run"
+    return replace(state, open_attempts=state.open_attempts + 1)
+
+
+def after_notice(state: MessageState, end: str) -> MessageState | str:
+    """Apply a notice: one result only, and a refusal only if a client's retry cannot repeat an effect."""
+    if state.notice and state.notice != end:
+        return f"{end} after {state.notice}"
+    if (
+        end == "bounced"
+        and state.effect == "unsafe"
+        and (state.in_doubt or state.open_attempts or state.delivered)
+    ):
+        return "refused though an attempt may have run"
+    return replace(state, notice=end)
 
 
 @dataclass(frozen=True, slots=True)
-class World:
-    """Some messages of one relay, and how often it may still die and try."""
+class ModelState:
+    """State of several messages of one relay, and the remaining budget of attempts and process ends."""
 
-    lives: tuple[Life, ...]
-    tries: tuple[int, ...]  # by message: tries that are left
-    kills: int
+    messages: tuple[MessageState, ...]
+    attempts_left: tuple[int, ...]  # by message
+    kills_left: int
 
 
-def steps(world: World) -> Iterator[World]:
-    """Every world that one step leads to: of one message, or of the process for all of them."""
-    if world.kills:
-        dead = [after(life, "dies") for life in world.lives]
-        lives = tuple(life for life in dead if isinstance(life, Life))
-        yield replace(world, lives=lives, kills=world.kills - 1)
-    for at, life in enumerate(world.lives):
+def successors(model: ModelState) -> Iterator[ModelState]:
+    """Yield every state that one step leads to: a step of one message, or the process end for all."""
+    if model.kills_left:
+        ended = [next_state(state, "dies") for state in model.messages]
+        messages = tuple(state for state in ended if isinstance(state, MessageState))
+        yield replace(model, messages=messages, kills_left=model.kills_left - 1)
+    for index, state in enumerate(model.messages):
         for step in STEPS[:-1]:
-            if (step != "taken" and not life.taken) or (step == "try" and not world.tries[at]):
+            if (step != "taken" and not state.taken) or (step == "try" and not model.attempts_left[index]):
                 continue
-            found = after(life, step)
-            if isinstance(found, Life) and found != life:
-                lives = (*world.lives[:at], found, *world.lives[at + 1 :])
-                left = world.tries[at] - (step == "try")
-                yield World(lives, (*world.tries[:at], left, *world.tries[at + 1 :]), world.kills)
-
-
-def explore(effects: tuple[Effect, ...], tries: int, kills: int) -> set[World]:
-    """Every world that can be reached from messages that were just handed in."""
-    first = World(tuple(Life(effect) for effect in effects), (tries,) * len(effects), kills)
-    seen, front = {first}, [first]
-    while front:
-        for world in steps(front.pop()):
-            if world not in seen:
-                seen.add(world)
-                front.append(world)
+            after = next_state(state, step)
+            if isinstance(after, MessageState) and after != state:
+                messages = (*model.messages[:index], after, *model.messages[index + 1 :])
+                left = model.attempts_left[index] - (step == "try")
+                yield ModelState(
+                    messages,
+                    (*model.attempts_left[:index], left, *model.attempts_left[index + 1 :]),
+                    model.kills_left,
+                )
+
+
+def explore(effects: tuple[Effect, ...], tries: int, kills: int) -> set[ModelState]:
+    """Return every state that is reachable from newly submitted messages."""
+    first = ModelState(tuple(MessageState(effect) for effect in effects), (tries,) * len(effects), kills)
+    seen, pending = {first}, [first]
+    while pending:
+        for model in successors(pending.pop()):
+            if model not in seen:
+                seen.add(model)
+                pending.append(model)
     return seen
 
 
-def walk(record: rec.Record) -> list[str]:
-    """Every step of a record that the model does not allow, with its time and message."""
+def find_violations(record: rec.Record) -> list[str]:
+    """Return the steps of a record that the model does not allow, each with its time and message."""
     effects = {cls.name: cls.effect for cls in record.head.classes}
-    lives: dict[str, Life] = {}
+    states: dict[str, MessageState] = {}
     relays: dict[str, str] = {}
     calls: dict[int, list[str]] = {}
     wiped: dict[str, None] = {}
     problems = list[str]()
 
-    def take(at_us: int, ref: str, step: Step) -> None:
-        if ref not in lives or ref in wiped:
+    def apply(at_us: int, ref: str, step: Step) -> None:
+        if ref not in states or ref in wiped:
             return
-        found = after(lives[ref], step)
-        if isinstance(found, Life):
-            lives[ref] = found
+        after = next_state(states[ref], step)
+        if isinstance(after, MessageState):
+            states[ref] = after
         else:
-            problems.append(f"{at_us / 1e6:.6f} s  {ref}: {found}")
+            problems.append(f"{at_us / 1e6:.6f} s  {ref}: {after}")
 
     ledger = Ledger(record.head)
     for event in record.events:
         ledger.apply(event)
         match event:
             case rec.MessageSubmitted() if event.cls in effects:
-                lives.setdefault(event.id, Life(effects[event.cls]))
+                states.setdefault(event.id, MessageState(effects[event.cls]))
                 relays[event.id] = event.relay
             case rec.ClientOutcome() if event.what == "taken":
-                take(event.at, event.id, "taken")
-            case rec.Call() if (
-                ledger.earliest_send_us(event) == event.began
-            ):  # else held up on its way: no step of now
+                apply(event.at, event.id, "taken")
+            # A call that a link delayed was sent earlier, so it is no step at this time.
+            case rec.Call() if ledger.earliest_send_us(event) == event.began:
                 calls[event.call] = list(event.ids)
                 for ref in event.ids:
-                    take(event.at, ref, "try")
+                    apply(event.at, ref, "try")
             case rec.CallAnswered() if calls.pop(event.call, None) is not None:
                 for ref, end in event.ends.items():
-                    take(event.at, ref, STEP_OF[end])
+                    apply(event.at, ref, STEP_OF[end])
             case rec.CallBroken():
                 for ref in calls.pop(event.call, []):
-                    take(event.at, ref, "failed")
+                    apply(event.at, ref, "failed")
             case rec.Notice():
-                take(event.at, event.id, event.result)
+                apply(event.at, event.id, event.result)
             case rec.ProcessEvent() if event.what in ("exit", "wiped"):
                 for ref in [ref for ref, relay in relays.items() if relay == event.relay]:
-                    take(event.at, ref, "dies")
+                    apply(event.at, ref, "dies")
                     if event.what == "wiped" or ledger.may_lack_records(event.relay, event.at):
                         wiped[ref] = None
                 for call in [call for call, refs in calls.items() if relays.get(refs[0]) == event.relay]:
--- a/mallowlug/rig/judge/record.py
+++ b/mallowlug/rig/judge/record.py
@@ -1,10 +1,10 @@
-"""The record of a run: everything that crossed a socket, one event a line, in the order of one clock.
+"""The record of a run: everything that crossed a socket, one event per line, ordered by a single clock.
 
 Format (version 1): JSON Lines, UTF-8. Each line is one event with its kind in ``e``; the fields are the
-classes below. ``at`` is microseconds of CLOCK_MONOTONIC since the run began; on one machine that clock is the
-same in every process, so the lines of several processes are put in order by it. The first line is ``head``,
-the last one ``end`` with the number of events between them: a record without it is truncated, and nobody can
-say of it that a rule was kept.
+classes below. ``at`` is microseconds of CLOCK_MONOTONIC since the run began; all processes of a machine share
+that clock, so events of several processes can be ordered by it. The first line is ``head``, the last one
+``end`` with the number of events between them. A record without ``end`` is truncated, and the judge cannot
+conclude from it that a rule was kept.
 """
 
 from __future__ import annotations
@@ -21,11 +21,15 @@
 
 
 class RecordError(ValueError):
-    """A record that cannot be read; the message names file, line and reason."""
+    """Raised for a record that cannot be read; the message has the file, line and reason."""
 
 
 class ClassSpec(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A class of message: what it is worth (times in microseconds) and what a repeat of it does."""
+    """A message class: its worth over time, and the effect of sending a message again.
+
+    ``aim_us`` is the target time, ``window_us`` the time for which endpoints remember a key, and ``by_zone``
+    says that a key is known only in its zone.
+    """
 
     name: str
     effect: Literal["safe", "keyed", "unsafe"]
@@ -39,23 +43,27 @@
 
 
 class KindSpec(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A kind of endpoint: whether each is a route of its own, and how many messages a call may carry."""
+    """A kind of endpoint.
+
+    ``apart``: each endpoint is a route of its own, instead of one route for the destination. ``batch`` is the
+    max number of messages in a call.
+    """
 
     name: str
     apart: bool = True
     batch: int = 1
-    item_cost: float = 0.15  # work of a further message in a call, as a share of the first one's
+    item_cost: float = 0.15  # work of each further message in a call, relative to the first one
 
 
 class TenantQuota(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A member and the rate of its share, in messages a second over all relays."""
+    """A tenant (a member of the client population) and its quota in messages per second over all relays."""
 
     name: str
     quota_per_s: float
 
 
 class RuleLimits(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The figures of the rules. Times in microseconds; ``slack_us`` is added to each limit on sockets."""
+    """Limits and tolerances of the rules. ``slack_us`` is added to each limit that is measured on sockets."""
 
     drain_grace_us: int = 500_000
     ask_within_us: int = 6_000_000
@@ -71,13 +79,13 @@
 
 
 class Event(msgspec.Struct, frozen=True, forbid_unknown_fields=True, tag_field="e"):
-    """What every line has."""
+    """Base of all events; ``at`` is the time in microseconds of the run."""
 
     at: int
 
 
 class RecordHead(Event, frozen=True, tag="head"):
-    """The first line: what the run was, and the facts that the rules go by."""
+    """The first line: the run's identity and the parameters that the rules use."""
 
     name: str
     seed: int
@@ -85,13 +93,13 @@
     kinds: list[KindSpec]
     members: list[TenantQuota]
     figures: RuleLimits
-    scenario: dict[str, Any] = {}  # as it was played, so that the record can be played again
-    dials: bool = False  # whether every connect to an endpoint is told, also one that is refused
+    scenario: dict[str, Any] = {}  # as it was run, so that the run can be replayed
+    dials: bool = False  # whether the record has every connect to an endpoint, also refused ones
     version: int = VERSION
 
 
 class HostAdded(Event, frozen=True, tag="host"):
-    """An endpoint exists from now on; ``per_s`` is the rate of messages at which it is at its limit."""
+    """An endpoint exists from now on; ``per_s`` is its full capacity in messages per second."""
 
     host: str
     dest: int
@@ -101,7 +109,10 @@
 
 
 class HostStateChange(Event, frozen=True, tag="life"):
-    """An endpoint's outage begins (``out``) or ends (``back``): then it is cold for ``warm_us``."""
+    """An endpoint's outage begins (``out``) or ends (``back``), or the endpoint collapses (``fell``).
+
+    After ``back`` its capacity rises from the share ``cold_from`` to all of it within ``warm_us``.
+    """
 
     host: str
     state: Literal["out", "back", "fell"]
@@ -110,8 +121,10 @@
 
 
 class ProcessEvent(Event, frozen=True, tag="relay"):
-    """What happened to a relay's process; ``wiped``: its folder is lost as well, ``deaf``: it stands
-    still or nothing reaches it, until ``hears``; ``full``: its disk takes nothing, until ``room``.
+    """What happened to a relay's process.
+
+    ``wiped``: its folder is lost as well. ``deaf``: it is paused or nothing reaches it, until ``hears``.
+    ``full``: its disk accepts no writes, until ``room``.
     """
 
     relay: str
@@ -120,7 +133,7 @@
 
 
 class HostDisabled(Event, frozen=True, tag="hand"):
-    """Staff took a host out at a relay, from its yes on, or are about to take it back."""
+    """The relay confirmed that operators disabled a host (``out``), or they are about to enable it."""
 
     relay: str
     host: str
@@ -128,7 +141,11 @@
 
 
 class MessageSubmitted(Event, frozen=True, tag="ask"):
-    """A client's request is written, up to its last byte; ``first`` is the id of the message's first try."""
+    """A client has written the last byte of a request that submits a message.
+
+    ``first`` is the id of the first submission if this one is a client's retry. ``left_us`` is the time until
+    the deadline.
+    """
 
     id: str
     relay: str
@@ -143,8 +160,11 @@
 
 
 class ClientOutcome(Event, frozen=True, tag="said"):
-    """What a client heard of its request. ``silent``: nothing in time; ``cut``: the connection ended instead;
-    ``fresh``: it was the first request on its connection."""
+    """The outcome of a request for its client.
+
+    ``taken``: accepted. ``silent``: no answer in time. ``cut``: the connection ended instead of an answer.
+    ``fresh``: it was the first request on its connection.
+    """
 
     id: str
     what: Literal["taken", "refused", "failed", "silent", "cut"]
@@ -153,14 +173,14 @@
 
 
 class ConnectStarted(Event, frozen=True, tag="dial"):
-    """A relay begins to connect to an endpoint. Only a simulated network tells: a closed port cannot."""
+    """A relay begins to connect to an endpoint. Only simulated networks record it: a closed port cannot."""
 
     relay: str
     host: str
 
 
 class Call(Event, frozen=True, tag="call"):
-    """A call's last byte has come; its first one came at ``began``."""
+    """The last byte of a call has arrived at an endpoint; the first one arrived at ``began``."""
 
     call: int
     host: str
@@ -170,7 +190,7 @@
 
 
 class MessageProcessed(Event, frozen=True, tag="ran"):
-    """A message was processed; ``effect`` is false where its key was still remembered."""
+    """An endpoint processed a message; ``effect`` is false if it still remembered the message's key."""
 
     call: int
     host: str
@@ -179,7 +199,7 @@
 
 
 class CallAnswered(Event, frozen=True, tag="answer"):
-    """A call's answer is written. ``spoilt``: so that only a first line with 200 can be believed of it."""
+    """A call's answer is written. ``spoilt``: it is corrupt, and only a status line with 200 is valid."""
 
     call: int
     ends: dict[str, Literal["delivered", "error", "refused", "over", "unsent"]]
@@ -188,20 +208,20 @@
 
 
 class CallBroken(Event, frozen=True, tag="gone"):
-    """A call's connection ended before its answer."""
+    """A call's connection ended before its answer; ``by`` is the side that ended it."""
 
     call: int
     by: Literal["relay", "host"]
 
 
 class ConnectionClosed(Event, frozen=True, tag="left"):
-    """The relay closed the connection on which this call, the last one there, was told to wait."""
+    """The relay closed the connection whose last call, this one, was answered with a Retry-After wait."""
 
     call: int
 
 
 class Notice(Event, frozen=True, tag="notice"):
-    """The platform has heard of a message's end."""
+    """The platform has received a notice of a message's final result."""
 
     relay: str
     id: str
@@ -210,14 +230,14 @@
 
 
 class DirectoryChange(Event, frozen=True, tag="listed"):
-    """The truth about an endpoint has changed in the directory."""
+    """The state of an endpoint has changed in the directory."""
 
     host: str
     state: Literal["ready", "draining", "gone"]
 
 
 class StateAnnounced(Event, frozen=True, tag="told"):
-    """A state of an endpoint was written to a relay."""
+    """The directory wrote the state of an endpoint to a relay."""
 
     relay: str
     host: str
@@ -232,15 +252,16 @@
 
 
 class ReachabilityChange(Event, frozen=True, tag="reach"):
-    """Whether anything passes between a relay and the platform; a cut network is silent."""
+    """Data passes between a relay and the platform from now on, or not; a cut network gives no error."""
 
     relay: str
     open: bool
 
 
 class LinkDelay(Event, frozen=True, tag="link"):
-    """How much later (us) than written bytes arrive from now on between relays and others; -1: not at all,
-    until the next such event.
+    """The delay (us) with which bytes arrive from now on between relays and others.
+
+    -1: nothing arrives until the next such event.
     """
 
     between: Literal["hosts", "clients", "directory"]
@@ -248,7 +269,7 @@
 
 
 class DatagramPath(Event, frozen=True, tag="way"):
-    """Whether datagrams from one relay to another pass as they should."""
+    """Datagrams from relay ``one`` to relay ``other`` pass without faults from now on, or not."""
 
     one: str
     other: str
@@ -256,7 +277,7 @@
 
 
 class FleetView(Event, frozen=True, tag="held"):
-    """The view that a relay was seen to hold: by member its life and state, and the group of its parts."""
+    """A relay's observed view of the fleet: digest, group size, and each member's lifetime and state."""
 
     relay: str
     digest: str
@@ -265,7 +286,7 @@
 
 
 class MalformedClient(Event, frozen=True, tag="rude"):
-    """How a client that sends nonsense fared: an error, a close, or neither in time."""
+    """The outcome for a client that sends malformed data; ``none``: neither answer nor close in time."""
 
     relay: str
     what: str
@@ -273,16 +294,14 @@
 
 
 class Annotation(Event, frozen=True, tag="mark"):
-    """Something for the reader: an outage, a fault, a fail point."""
+    """A note for the reader of the record: an outage, a fault, a fail point."""
 
     what: str
     detail: str = ""
 
 
 class RecordEnd(Event, frozen=True, tag="end"):
-    """The last line: how many events came before it, the rig's own CPU time in seconds, and by how much (us)
-    its event loop was late at worst.
-    """
+    """The last line: the number of events, the rig's CPU time (s) and its event loop's max delay (us)."""
 
     events: int
     rig_cpu_s: float = 0.0
@@ -300,7 +319,7 @@
 
 
 class Record(msgspec.Struct, frozen=True):
-    """A record as it was read: its head, its events in order, and whether it is whole."""
+    """A record: its head, its events in order of time, and whether it is whole (not truncated)."""
 
     head: RecordHead
     events: list[AnyEvent]
@@ -308,12 +327,12 @@
 
 
 def now_us(start_us: int = 0) -> int:
-    """Microseconds of the machine's monotonic clock, which all its processes share."""
+    """Return microseconds of the machine's monotonic clock, which all its processes share."""
     return time.monotonic_ns() // 1000 - start_us
 
 
 class RecordWriter:
-    """Appends events; what it has written outlasts the process."""
+    """Writes events to a record file and passes each one to the listeners."""
 
     def __init__(
         self, path: Path, head: Callable[[int], RecordHead], clock: Callable[[], int] = now_us
@@ -321,7 +340,7 @@
         self._clock, self.start_us = clock, clock()
         self._file: IO[bytes] = path.open("wb")
         self.count = 0
-        self.listeners: list[Callable[[AnyEvent], None]] = []  # who else wants to see each event
+        self.listeners: list[Callable[[AnyEvent], None]] = []  # called with each event after it is written
         self._put(head(0))
 
     @property
@@ -335,14 +354,14 @@
             listener(event)
 
     def add(self, event: AnyEvent) -> None:
-        """Take an event in; what connections still do once the record is closed is no part of the run."""
+        """Append an event; events of connections after the record is closed are not part of the run."""
         if self._file.closed:
             return
         self.count += 1
         self._put(event)
 
     def close(self, cpu_s: float = 0.0, late_us: int = 0, others: Iterable[AnyEvent] = ()) -> None:
-        """Write the last line, behind what other processes have seen."""
+        """Append the events of other processes and the last line, and close the file."""
         for event in others:
             self.add(event)
         self._put(RecordEnd(self.now, self.count, cpu_s, late_us))
@@ -350,12 +369,15 @@
 
 
 def save(record: Record, path: Path) -> None:
-    """Write a record that is held; the times stay as they are."""
+    """Write a record to a file with its times unchanged."""
     path.write_bytes(b"".join(ENCODER.encode(event) + b"\n" for event in (record.head, *record.events)))
 
 
 def read_lines(path: Path) -> Iterator[tuple[int, AnyEvent | None]]:
-    """Each line's number and event; None for a last line without its end, which a killed writer leaves."""
+    """Yield each line's number and event; None for an incomplete last line, which a killed writer leaves.
+
+    Raises ``RecordError`` if the file cannot be read or a line is invalid.
+    """
     try:
         data = path.read_bytes()
     except OSError as error:
@@ -371,9 +393,9 @@
 
 
 def read(path: Path) -> Record:
-    """A record in order of time; ``RecordError`` where a line is none or the first is no head.
+    """Read a record; raises ``RecordError`` for an invalid line or a first line that is not a head.
 
-    Events are put in order by their times; of those at the same time, in order of lines.
+    Events are sorted by time; events of the same time keep the order of their lines.
     """
     head, events, end, torn = None, list[AnyEvent](), None, False
     for number, event in read_lines(path):
@@ -381,12 +403,12 @@
             torn = True
         elif head is None:
             if not isinstance(event, RecordHead):
-                raise RecordError(f"{path}:{number}: the first line is no head")
+                raise RecordError(f"{path}:{number}: the first line is not a head")
             if event.version != VERSION:
                 raise RecordError(f"{path}:{number}: version {event.version}, not {VERSION}")
             head = event
         elif isinstance(event, RecordHead) or end is not None:
-            raise RecordError(f"{path}:{number}: a second head, or something behind the end")
+            raise RecordError(f"{path}:{number}: a second head, or data after the end")
         elif isinstance(event, RecordEnd):
             end = event
             if end.events != len(events):
@@ -400,5 +422,5 @@
 
 
 def merge_events(*parts: Iterable[AnyEvent]) -> list[AnyEvent]:
-    """Events of several processes in the order of the one clock; each part has to be in order itself."""
+    """Merge events of several processes by time; each part must be sorted by time."""
     return list(heapq.merge(*parts, key=lambda event: event.at))
--- a/mallowlug/rig/report/page.py
+++ b/mallowlug/rig/report/page.py
@@ -15,7 +15,7 @@
 
 from mallowlug.rig.judge import record as rec
 from mallowlug.rig.judge.rules import Verdict, judge
-from mallowlug.rig.judge.service import Service, service_of, share, wishes_of
+from mallowlug.rig.judge.service import Service, requests_of, service_of, share
 
 STEP_US = 500_000
 SPAN_US = 2_000_000  # of asking time that one point of the service's curve counts
@@ -116,14 +116,14 @@
 
 def drawn(record: rec.Record) -> str:
     """The plots as one SVG."""
-    curves, wishes = curves_of(record), wishes_of(record)
+    curves, requests = curves_of(record), requests_of(record)
     figure = Figure(figsize=(11, 11), layout="constrained")
     service, held, out, refused = figure.subplots(4, 1, sharex=True)
-    starts = range(0, max((w.ask.at for w in wishes), default=0) + 1, STEP_US)
+    starts = range(0, max((request.submitted.at for request in requests), default=0) + 1, STEP_US)
     points = [
         (at / 1e6, share(inside))
         for at in starts
-        if (inside := [w for w in wishes if at - SPAN_US < w.ask.at <= at])
+        if (inside := [request for request in requests if at - SPAN_US < request.submitted.at <= at])
     ]
     service.plot([at for at, _ in points], [value for _, value in points], color="#036")
     service.set(title="Service of what was asked for in the last 2 s", ylim=(0, 1.05))
--- a/mallowlug/rig/sim/sweep.py
+++ b/mallowlug/rig/sim/sweep.py
@@ -12,7 +12,7 @@
 from pathlib import Path
 
 from mallowlug.rig.judge import record as rec
-from mallowlug.rig.judge.life import walk
+from mallowlug.rig.judge.life import find_violations
 from mallowlug.rig.judge.rules import judge
 from mallowlug.rig.sim.faults import swarm
 from mallowlug.rig.sim.ground import Simulated, simulate
@@ -61,7 +61,7 @@
         complaints=(
             *done.complaints,
             *(verdict.reasons if verdict.state == "unknown" else ()),
-            *(f"model: {line}" for line in walk(record)),
+            *(f"model: {line}" for line in find_violations(record)),
         ),
         points=tuple((struck.relay, struck.life, struck.point) for struck in done.struck),
         messages=sum(isinstance(event, rec.MessageSubmitted) for event in record.events),
--- a/tests/members/test_processes.py
+++ b/tests/members/test_processes.py
@@ -16,7 +16,7 @@
 import pytest_asyncio
 
 from mallowlug.rig.judge import record as rec
-from mallowlug.rig.judge.members import judged
+from mallowlug.rig.judge.members import judge_views
 from mallowlug.rig.world.fronts import Way
 from tests.members.ground import Ground, agreed, alive
 from tests.world import ROOT, http_request, soon
@@ -30,7 +30,7 @@
     ground = Ground(tmp_path)
     yield ground
     await ground.stop()
-    assert judged(ground.record) == []
+    assert judge_views(ground.record) == []
     assert sum(isinstance(event, rec.FleetView) for event in ground.record) > 0
 
 
--- a/tests/rig/test_life.py
+++ b/tests/rig/test_life.py
@@ -1,4 +1,4 @@
-"""The written model of a message's life: explored whole, and every record walks along it."""
+"""The message state model: explored completely, and records checked against it."""
 
 from __future__ import annotations
 
@@ -17,16 +17,16 @@
 SWARM = scenario.load(ROOT / "scenarios" / "swarm.toml")
 
 
-def test_no_world_that_the_model_can_reach_repeats_what_may_not_be_repeated() -> None:
-    worlds = life.explore(("keyed", "unsafe"), tries=2, kills=2)
-    assert len(worlds) > 1000
-    for world in worlds:
-        for one in world.lives:
-            assert one.out <= 2
-            if one.effect == "unsafe":
-                assert one.out + one.delivered + one.doubt <= 2
-                assert not (one.end == "bounced" and one.out)
-    assert any(one.delivered and one.end for world in worlds for one in world.lives)
+def test_no_reachable_state_repeats_an_unsafe_message() -> None:
+    states = life.explore(("keyed", "unsafe"), tries=2, kills=2)
+    assert len(states) > 1000
+    for state in states:
+        for message in state.messages:
+            assert message.open_attempts <= 2
+            if message.effect == "unsafe":
+                assert message.open_attempts + message.delivered + message.in_doubt <= 2
+                assert not (message.notice == "bounced" and message.open_attempts)
+    assert any(message.delivered and message.notice for state in states for message in state.messages)
 
 
 @pytest.mark.parametrize(
@@ -36,31 +36,31 @@
         ("safe", ["taken", "try", "failed", "try", "delivered"], ""),
         ("unsafe", ["taken", "try", "refused", "try", "failed", "dead"], ""),
         ("unsafe", ["taken", "try", "dies", "dead"], ""),
-        ("unsafe", ["taken", "try", "dies", "try"], "tried though an earlier try may have run"),
-        ("unsafe", ["taken", "try", "failed", "bounced"], "refused though a try may have run"),
-        ("unsafe", ["taken", "try", "delivered", "dies", "try"], "tried behind its delivery"),
-        ("keyed", ["taken", "bounced", "try"], "tried behind its end"),
-        ("keyed", ["taken", "bounced", "dies", "try"], "tried behind its end"),
+        ("unsafe", ["taken", "try", "dies", "try"], "attempted though an earlier attempt may have run"),
+        ("unsafe", ["taken", "try", "failed", "bounced"], "refused though an attempt may have run"),
+        ("unsafe", ["taken", "try", "delivered", "dies", "try"], "attempted after its delivery"),
+        ("keyed", ["taken", "bounced", "try"], "attempted after its final result"),
+        ("keyed", ["taken", "bounced", "dies", "try"], "attempted after its final result"),
         ("keyed", ["taken", "try", "delivered", "dies", "try"], ""),
-        ("safe", ["taken", "bounced", "dead"], "dead behind bounced"),
-        ("safe", ["taken", "delivered"], "delivered, and no try is out"),
+        ("safe", ["taken", "bounced", "dead"], "dead after bounced"),
+        ("safe", ["taken", "delivered"], "delivered without an open attempt"),
     ],
 )
 def test_which_step_may_follow_which(effect: life.Effect, steps: list[life.Step], why: str) -> None:
-    found: life.Life | str = life.Life(effect)
+    state: life.MessageState | str = life.MessageState(effect)
     for step in steps:
-        assert isinstance(found, life.Life)
-        found = life.after(found, step)
-    assert found == why if why else isinstance(found, life.Life)
+        assert isinstance(state, life.MessageState)
+        state = life.next_state(state, step)
+    assert state == why if why else isinstance(state, life.MessageState)
 
 
-def walked(seed: int, folder: Path) -> list[str]:
-    """What the model does not allow in a seed's record."""
-    return life.walk(rec.read(simulate(swarm(SWARM, seed), folder).path))
+def violations_of(seed: int, folder: Path) -> list[str]:
+    """Return the violations of the model in a seed's record."""
+    return life.find_violations(rec.read(simulate(swarm(SWARM, seed), folder).path))
 
 
-def test_records_walk_along_the_model_and_a_planted_fault_does_not(tmp_path: Path) -> None:
-    assert [walked(seed, tmp_path / str(seed)) for seed in (1, 2, 4)] == [[], [], []]
+def test_records_follow_the_model_and_a_seeded_fault_does_not(tmp_path: Path) -> None:
+    assert [violations_of(seed, tmp_path / str(seed)) for seed in (1, 2, 4)] == [[], [], []]
     with planted(PLANTS["all_never_ran"]):
-        found = [line for seed in range(1, 5) for line in walked(seed, tmp_path / f"planted-{seed}")]
-    assert any("may have run" in line for line in found)
+        lines = [line for seed in range(1, 5) for line in violations_of(seed, tmp_path / f"planted-{seed}")]
+    assert any("may have run" in line for line in lines)
--- a/tests/rig/test_members.py
+++ b/tests/rig/test_members.py
@@ -1,4 +1,4 @@
-"""The judge of views: each rule broken in a doctored record, and near misses that are none."""
+"""The judge of fleet views: records that break each rule, and near misses that are no breach."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 import pytest
 
 from mallowlug.rig.judge import record as rec
-from mallowlug.rig.judge.members import SETTLE_US, judged
+from mallowlug.rig.judge.members import SETTLE_US, judge_views
 
 STARTS = [rec.ProcessEvent(0, name, "start", "") for name in ("a", "b", "c")]
 HERE = {"a": (1, "alive"), "b": (1, "alive"), "c": (1, "alive")}
@@ -15,12 +15,12 @@
 
 
 def held(at: int, relay: str = "a", digest: str = "x", group: int = 3, **members: Any) -> rec.FleetView:
-    """What a relay holds: all three alive, but for what is said."""
+    """A relay's view: all three members alive, with the given changes."""
     return rec.FleetView(at, relay, digest, group, HERE | members)
 
 
 def all_hold(at: int, **more: Any) -> list[rec.AnyEvent]:
-    """All three hold the same."""
+    """Equal views of all three relays."""
     return [held(at + number, name, **more) for number, name in enumerate("abc")]
 
 
@@ -34,16 +34,16 @@
         ("unequal", [*all_hold(LATE), held(LATE + 5, "c", "y")]),
     ],
 )
-def test_a_doctored_record_is_caught(rule: str, events: list[rec.AnyEvent]) -> None:
-    assert {lapse.rule for lapse in judged([*STARTS, *events])} == {rule}
+def test_a_breach_is_reported(rule: str, events: list[rec.AnyEvent]) -> None:
+    assert {breach.rule for breach in judge_views([*STARTS, *events])} == {rule}
 
 
 @pytest.mark.parametrize(
     "events",
     [
         all_hold(LATE),
-        [held(1, b=(1, "dead")), held(2, "b", "y")],  # nobody has had the time yet
-        [rec.DatagramPath(5, "a", "b", False), held(LATE, b=(1, "dead"))],  # it is not heard
+        [held(1, b=(1, "dead")), held(2, "b", "y")],  # the views have not had time to settle
+        [rec.DatagramPath(5, "a", "b", False), held(LATE, b=(1, "dead"))],  # its datagrams do not arrive
         [rec.DatagramPath(5, "a", "b", False), rec.DatagramPath(9 + LATE, "a", "b", True),
          held(2 * LATE - 12, b=(1, "dead"))],
         [rec.ProcessEvent(5, "b", "kill", ""), held(2 * LATE, b=(1, "dead"))],
@@ -53,5 +53,5 @@
          held(4, "c", group=1)],
     ],
 )  # fmt: skip
-def test_near_misses_are_none(events: list[rec.AnyEvent]) -> None:
-    assert judged([*STARTS, *events]) == []
+def test_near_misses_are_no_breach(events: list[rec.AnyEvent]) -> None:
+    assert judge_views([*STARTS, *events]) == []
--- a/tests/rig/test_record.py
+++ b/tests/rig/test_record.py
@@ -1,6 +1,4 @@
-"""Records as files: what cannot be read is named, what is truncated is known to be, one clock orders it
-all.
-"""
+"""Record files: errors name file and line, truncation is detected, and events are ordered by one clock."""
 
 from __future__ import annotations
 
@@ -19,7 +17,7 @@
 
 
 def written(path: Path, story: Story, end: bool = True) -> Path:
-    """A story as a file."""
+    """Write a story to a file."""
     writer = rec.RecordWriter(path, lambda _at: story.head)
     for event in story.record(whole=False).events:
         writer.add(event)
@@ -45,7 +43,7 @@
 
 
 @pytest.mark.parametrize("cut", [1, 3, 40])
-def test_a_record_that_was_cut_is_unknown(tmp_path: Path, story: Story, cut: int) -> None:
+def test_a_truncated_record_is_unknown(tmp_path: Path, story: Story, cut: int) -> None:
     path = written(tmp_path / "r", story)
     path.write_bytes(path.read_bytes()[:-cut])
     record = rec.read(path)
@@ -59,7 +57,7 @@
 
 
 @given(st.integers(0, 10_000))
-def test_a_record_cut_anywhere_is_never_kept(tmp_path_factory: pytest.TempPathFactory, at: int) -> None:
+def test_a_record_truncated_anywhere_is_never_kept(tmp_path_factory: pytest.TempPathFactory, at: int) -> None:
     path = tmp_path_factory.getbasetemp() / "cut"
     data = written(path, Story().ask(0, "m1").call(5, "m1")).read_bytes()
     path.write_bytes(data[: at % (len(data) - 1)])
@@ -79,10 +77,10 @@
         (3, b'{"e":"told","at":1,"relay":"n0","host":"a1","state":"asleep"}', "Invalid enum value 'asleep'"),
         (3, b'{"e":"mark","at":1,"what":"x","colour":1}', "unknown field `colour`"),
         (3, b"\xff\xfe", "malformed"),
-        (1, b'{"e":"mark","at":1,"what":"x"}', "the first line is no head"),
+        (1, b'{"e":"mark","at":1,"what":"x"}', "the first line is not a head"),
     ],
 )
-def test_a_line_that_is_none_is_named(
+def test_an_invalid_line_is_reported_with_its_number(
     tmp_path: Path, story: Story, number: int, line: bytes, reason: str
 ) -> None:
     path = written(tmp_path / "r", story)
@@ -95,7 +93,7 @@
     assert reason.lower() in str(caught.value).lower()
 
 
-def test_a_line_that_is_missing_is_noticed(tmp_path: Path, story: Story) -> None:
+def test_a_missing_line_is_detected(tmp_path: Path, story: Story) -> None:
     path = written(tmp_path / "r", story)
     lines = path.read_bytes().split(b"\n")
     path.write_bytes(b"\n".join(lines[:4] + lines[5:]))
@@ -103,11 +101,11 @@
         rec.read(path)
 
 
-def test_what_comes_behind_the_end_and_other_versions_are_no_record(tmp_path: Path, story: Story) -> None:
+def test_data_after_the_end_and_other_versions_are_rejected(tmp_path: Path, story: Story) -> None:
     path = written(tmp_path / "r", story)
     data = path.read_bytes()
     path.write_bytes(data + b'{"e":"mark","at":1,"what":"x"}\n')
-    with pytest.raises(rec.RecordError, match="behind the end"):
+    with pytest.raises(rec.RecordError, match="data after the end"):
         rec.read(path)
     path.write_bytes(data.replace(b'"version":1', b'"version":9', 1))
     with pytest.raises(rec.RecordError, match="version 9"):
@@ -119,7 +117,7 @@
         rec.read(tmp_path / "nothing")
 
 
-def test_check_ends_with_2_and_one_message(tmp_path: Path) -> None:
+def test_check_exits_with_2_and_one_message(tmp_path: Path) -> None:
     path = tmp_path / "r"
     path.write_bytes(b"nonsense\n")
     command = [sys.executable, "-m", "mallowlug", "rig", "check", str(path)]
@@ -129,10 +127,8 @@
     assert len(done.stderr.splitlines()) == 1
 
 
-def test_several_processes_are_put_in_order_by_the_one_clock() -> None:
-    """Each takes its times itself; the clock is the machine's, so a parent's and a child's can be
-    compared.
-    """
+def test_events_of_several_processes_are_ordered_by_one_clock() -> None:
+    """Each process reads the machine's clock, so times of a parent and a child can be compared."""
     before = rec.now_us()
     command = [sys.executable, "-c", "from mallowlug.rig.judge.record import now_us; print(now_us())"]
     child = int(subprocess.run(command, cwd=ROOT, capture_output=True, text=True, check=True).stdout)
--- a/tests/rig/test_tail.py
+++ b/tests/rig/test_tail.py
@@ -12,7 +12,7 @@
 from bench import tails
 from mallowlug.cli.main import main
 from mallowlug.rig.judge import record as rec
-from mallowlug.rig.judge.tail import quantile, tail_of
+from mallowlug.rig.judge.tail import latency_of, quantile
 from mallowlug.rig.world import scenario
 from mallowlug.rig.world.draw import hosts_of
 from tests.rig.story import Story
@@ -22,7 +22,7 @@
 def test_delivery_counts_from_the_first_try_and_what_never_came_is_the_tail() -> None:
     story = Story().ask(0, "a").call(10, "a", took=40).ask(0, "b").notice(900, "b")
     story.ask(100, "c", said="refused").ask(600, "d", first="c").call(700, "d", took=100)
-    found = tail_of(story.record())
+    found = latency_of(story.record())
     assert found.deliver_ms == (700.0, math.inf, math.inf)
     assert (found.messages, found.delivered, found.calls, found.carried) == (3, 2, 2, 2)
     assert found.accept_ms == (1.0, 1.0, 1.0)
@@ -30,12 +30,12 @@
 
 def test_a_batch_is_one_call_and_connections_are_counted_once() -> None:
     story = Story().ask(0, "a").ask(0, "b").ask(0, "c").call(10, "a", "b").call(200, "c")
-    found = tail_of(story.record())
+    found = latency_of(story.record())
     assert (found.calls, found.carried, found.connections) == (2, 3, 1)
 
 
 def test_a_record_without_traffic_has_no_quantiles() -> None:
-    found = tail_of(Story().record())
+    found = latency_of(Story().record())
     assert (found.accept_ms, found.deliver_ms, found.messages) == ((), (), 0)
 
 
