--- a/tests/rig/story.py
+++ b/tests/rig/story.py
@@ -1,4 +1,4 @@
-"""A short way to write a record: one relay, two zones, times in milliseconds."""
+"""Builder for short records: one relay, two zones, times in milliseconds."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
 
 
 class Story:
-    """Events are added in any order and sorted by their times."""
+    """A record under construction; events are added in any order and sorted by time."""
 
     def __init__(self, **figures: Any) -> None:
-        told = rec.RuleLimits(order_pause_us=500 * MS, **figures)
+        limits = rec.RuleLimits(order_pause_us=500 * MS, **figures)
         members = [rec.TenantQuota("m", 1000.0)]
-        self.head = rec.RecordHead(0, "story", 1, CLASSES, KINDS, members, told)
+        self.head = rec.RecordHead(0, "story", 1, CLASSES, KINDS, members, limits)
         self.events: list[rec.AnyEvent] = []
         self.calls = 0
         for host, zone, kind, dest in (
@@ -37,12 +37,12 @@
         self.add(rec.ProcessEvent(0, "n0", "ready"), rec.WatchChange(0, "n0", True))
 
     def add(self, *events: rec.AnyEvent) -> Story:
-        """Any events."""
+        """Add events."""
         self.events += events
         return self
 
     def ask(self, at: int, ref: str, cls: str = "safe", *, said: str = "taken", **fields: Any) -> Story:
-        """A request and its answer a millisecond later; left: 12 s."""
+        """Add a request with a deadline 12 s later, and its answer after a millisecond."""
         known: dict[str, Any] = {"relay": "n0", "dest": 1, "member": "m", "left_us": 12 * SECOND} | fields
         self.add(rec.MessageSubmitted(at * MS, ref, cls=cls, **known))
         return self.add(rec.ClientOutcome((at + 1) * MS, ref, said)) if said else self  # type: ignore[arg-type]
@@ -50,7 +50,7 @@
     def call(
         self, at: int, *refs: str, host: str = "a1", end: str = "delivered", took: int = 50, wait: int = 0
     ) -> Story:
-        """A call, and its answer after ``took``: an end, ``gone`` or ``open``."""
+        """Add a call and its answer after ``took`` ms; ``end`` is a result, ``gone`` (broken) or ``open``."""
         self.calls += 1
         number = self.calls
         self.add(rec.Call(at * MS, number, host, list(refs), at * MS))
@@ -62,11 +62,11 @@
         return self
 
     def notice(self, at: int, ref: str, result: Any = "dead") -> Story:
-        """The end of a message that was not delivered."""
+        """Add a notice of a message's final result."""
         return self.add(rec.Notice(at * MS, "n0", ref, result))
 
     def record(self, end: int = 60_000, whole: bool = True) -> rec.Record:
-        """The record, which ends then."""
+        """Return the record; it ends at ``end`` ms, or is truncated unless ``whole``."""
         events = sorted(self.events, key=lambda event: event.at)
         last = [rec.RecordEnd(end * MS, len(events))] if whole else []
         return rec.Record(self.head, [*events, *last], whole)
--- a/tests/rig/test_rules.py
+++ b/tests/rig/test_rules.py
@@ -1,6 +1,4 @@
-"""The judge: for each rule doctored records that it must catch, near misses that it must pass, and clean
-ones.
-"""
+"""The judge: for each rule records that break it, near misses that keep it, and generated clean records."""
 
 from __future__ import annotations
 
@@ -16,7 +14,9 @@
 from tests.rig.story import MS, SECOND, Story
 
 
-def out(at: int, back: int, host: str = "a1", cold: float = 0.25, warm: int = 10_000) -> list[rec.AnyEvent]:
+def outage(
+    at: int, back: int, host: str = "a1", cold: float = 0.25, warm: int = 10_000
+) -> list[rec.AnyEvent]:
     """An outage and a cold return."""
     return [
         rec.HostStateChange(at * MS, host, "out"),
@@ -24,36 +24,38 @@
     ]
 
 
-def fails(story: Story, at: int, refs: range, relay: str = "n0") -> Story:
-    """Calls that fail at a1, so that the relay knows of the outage."""
+def failed_calls(story: Story, at: int, refs: range, relay: str = "n0") -> Story:
+    """Add calls that fail at a1, so that the relay knows of the outage."""
     for number in refs:
         story.ask(at, f"f{number}", relay=relay).call(at + 10, f"f{number}", end="gone")
         story.notice(at + 2000, f"f{number}", "bounced")
     return story
 
 
-def flood(story: Story, at: int, count: int, gap: int = 100, relay: str = "n0", host: str = "a1") -> Story:
-    """Messages one after the other, each delivered there."""
+def delivered_calls(
+    story: Story, at: int, count: int, gap: int = 100, relay: str = "n0", host: str = "a1"
+) -> Story:
+    """Add ``count`` messages, ``gap`` ms apart, each delivered at ``host``."""
     for number in range(count):
         ref = f"{relay}-{at}-{number}"
         story.ask(at + gap * number, ref, relay=relay).call(at + gap * number + 5, ref, host=host)
     return story
 
 
-def dialled(story: Story, at: int) -> Story:
-    """A record that tells of every connect: one to a1 then."""
+def with_connect(story: Story, at: int) -> Story:
+    """Add a connect to a1 to a record that has every connect."""
     story.head = msgspec.structs.replace(story.head, dials=True)
     return story.add(rec.ConnectStarted(at * MS, "n0", "a1"))
 
 
-def keyed(at: int, first: str, host: str = "a1") -> Story:
-    """A keyed message whose first try may have run, and a second try."""
+def keyed_retry(at: int, first: str, host: str = "a1") -> Story:
+    """A keyed message with an in-doubt first attempt, and a second attempt."""
     story = Story().ask(0, "m", "keyed", left_us=60 * SECOND).call(10, "m", end=first)
     return story.call(at, "m", host=host)
 
 
-def restarted(tried: int, given: int, at: int = 1510, ready: int = 1500) -> Story:
-    """A restart that finds so many messages untried: some are delivered then, the others given up untried."""
+def restart_story(tried: int, given: int, at: int = 1510, ready: int = 1500) -> Story:
+    """A restart that recovers messages without an attempt: ``tried`` delivered, ``given`` given up."""
     story = Story().add(rec.ProcessEvent(500 * MS, "n0", "kill"), rec.ProcessEvent(501 * MS, "n0", "exit"))
     story.add(rec.ProcessEvent(ready * MS, "n0", "ready"))
     for number in range(tried):
@@ -65,12 +67,12 @@
 
 BROKEN: dict[str, dict[str, Callable[[], Story]]] = {
     "lost": {
-        "no end at all": lambda: Story().ask(0, "m"),
+        "no final result at all": lambda: Story().ask(0, "m"),
         "a notice too late": lambda: Story().ask(0, "m").notice(12_400, "m"),
         "a delivery too late": lambda: Story().ask(0, "m").call(12_380, "m"),
-        "two ends": lambda: Story().ask(0, "m").notice(100, "m", "bounced").notice(200, "m", "dead"),
+        "two final results": lambda: Story().ask(0, "m").notice(100, "m", "bounced").notice(200, "m", "dead"),
         "refused by its endpoint and forgotten": lambda: Story().ask(0, "m").call(5, "m", end="refused"),
-        "cut on a kept connection": lambda: Story()
+        "cut on a reused connection": lambda: Story()
         .ask(0, "m", said="")
         .add(rec.ClientOutcome(5 * MS, "m", "cut", fresh=False)),
         "lost long after a restart": lambda: Story()
@@ -80,15 +82,15 @@
     "twice": {
         "unsafe after a reset": lambda: Story()
         .ask(0, "m", "unsafe").call(5, "m", end="gone").call(100, "m"),
-        "unsafe while one is out": lambda: Story()
+        "unsafe while an attempt is in flight": lambda: Story()
         .ask(0, "m", "unsafe").call(5, "m", took=500).call(100, "m", took=10),
         "unsafe after a delivery": lambda: Story().ask(0, "m", "unsafe").call(5, "m").call(100, "m"),
-        "keyed past its window": lambda: keyed(25_100, "gone"),
-        "keyed in another zone": lambda: keyed(100, "gone", "b1"),
-        "keyed after an error in another zone": lambda: keyed(100, "error", "b1"),
+        "keyed past its window": lambda: keyed_retry(25_100, "gone"),
+        "keyed in another zone": lambda: keyed_retry(100, "gone", "b1"),
+        "keyed after an error in another zone": lambda: keyed_retry(100, "error", "b1"),
         "unsafe refused though it may have run": lambda: Story()
         .ask(0, "m", "unsafe").call(5, "m", end="error").notice(100, "m", "bounced"),
-        "a second copy that is given up only later": lambda: Story(may_duplicate=False)
+        "a second copy that is abandoned only later": lambda: Story(may_duplicate=False)
         .ask(0, "m").call(5, "m", took=500).call(100, "m", end="gone", took=200),
         "a second copy where none is allowed": lambda: Story(may_duplicate=False)
         .ask(0, "m").call(5, "m", took=500).call(100, "m", took=10),
@@ -102,84 +104,87 @@
         .ask(0, "m", "unsafe").call(5, "m", end="refused", took=100).call(50, "m", took=10),
     },
     "untried": {
-        "most of what a restart found given up at once": lambda: restarted(11, 13),
-        "given up only as their time was up": lambda: restarted(10, 12, at=12_050),
-        "given up untried by a second life": lambda: restarted(8, 14, at=4000).add(
+        "most recovered messages given up at once": lambda: restart_story(11, 13),
+        "given up only at their deadline": lambda: restart_story(10, 12, at=12_050),
+        "given up without an attempt after a second restart": lambda: restart_story(8, 14, at=4000).add(
             rec.ProcessEvent(2000 * MS, "n0", "kill"), rec.ProcessEvent(2001 * MS, "n0", "exit"),
             rec.ProcessEvent(3000 * MS, "n0", "ready"),
         ).ask(3500, "o").call(3505, "o"),
     },
     "drains": {
-        "after a drain was told": lambda: Story()
+        "after the notification of a drain": lambda: Story()
         .add(rec.StateAnnounced(0, "n0", "a1", "draining")).ask(0, "m").call(600, "m"),
-        "after it was told gone": lambda: Story()
+        "after the notification that it is gone": lambda: Story()
         .add(rec.StateAnnounced(0, "n0", "a1", "gone")).ask(0, "m").call(600, "m"),
-        "blind for too long": lambda: Story()
+        "without a watch for too long": lambda: Story()
         .add(rec.WatchChange(0, "n0", False), rec.DirectoryChange(SECOND, "a1", "draining"))
         .ask(0, "m").call(7700, "m"),
-        "deaf when it was told, and not cut off behind that": lambda: Story()
+        "unresponsive when notified, and not cut off after that": lambda: Story()
         .add(rec.StateAnnounced(100 * MS, "n0", "a1", "draining"), rec.ProcessEvent(50 * MS, "n0", "deaf"))
         .add(rec.ReachabilityChange(200 * MS, "n0", False), rec.ReachabilityChange(700 * MS, "n0", True))
         .add(rec.ProcessEvent(800 * MS, "n0", "hears")).ask(0, "m").call(1500, "m"),
-        "told while deaf, and heard before its watch ended": lambda: Story()
+        "notified while unresponsive, and readable before its watch ended": lambda: Story()
         .add(rec.StateAnnounced(100 * MS, "n0", "a1", "draining"), rec.ProcessEvent(50 * MS, "n0", "deaf"))
         .add(rec.ProcessEvent(400 * MS, "n0", "hears"), rec.WatchChange(500 * MS, "n0", False))
         .ask(0, "m").call(1500, "m"),
-        "told, then gone": lambda: Story()
+        "notified of a drain, then gone": lambda: Story()
         .add(rec.StateAnnounced(0, "n0", "a1", "draining"), rec.StateAnnounced(400 * MS, "n0", "a1", "gone"))
         .ask(0, "m").call(700, "m"),
     },
     "returns": {
-        "a flood by one that saw it fail": lambda: flood(
-            fails(Story().add(*out(0, 3000)), 100, range(2)), 3000, 24
+        "a flood by a relay that saw it fail": lambda: delivered_calls(
+            failed_calls(Story().add(*outage(0, 3000)), 100, range(2)), 3000, 24
         ),
-        "two thirds by those that knew": lambda: flood(
-            flood(fails(Story().add(*out(0, 3000)), 100, range(2)), 3000, 16), 3050, 8, relay="n1"
+        "two thirds by informed relays": lambda: delivered_calls(
+            delivered_calls(failed_calls(Story().add(*outage(0, 3000)), 100, range(2)), 3000, 16),
+            3050,
+            8,
+            relay="n1",
         ),
-        "a flood by one whose connects were refused": lambda: flood(
-            dialled(Story().add(*out(0, 3000)), 100), 3000, 24
+        "a flood by a relay whose connects were refused": lambda: delivered_calls(
+            with_connect(Story().add(*outage(0, 3000)), 100), 3000, 24
         ),
-        "a flood by one that held a message, where connects are not told": lambda: flood(
-            Story().add(*out(0, 3000)).ask(100, "w").notice(5000, "w"), 3000, 24
+        "a flood by a relay with a waiting message, in a record without connects": lambda: delivered_calls(
+            Story().add(*outage(0, 3000)).ask(100, "w").notice(5000, "w"), 3000, 24
         ),
-        "a burst that spends the budget at once": lambda: flood(
-            fails(Story().add(*out(0, 3000)), 100, range(2)), 3000, 24, gap=5
+        "a burst that spends the budget at once": lambda: delivered_calls(
+            failed_calls(Story().add(*outage(0, 3000)), 100, range(2)), 3000, 24, gap=5
         ),
-        "it fell over, just within its budget": lambda: flood(
-            fails(Story().add(*out(0, 3000)), 100, range(2)), 3000, 6, gap=20
+        "a collapse just within the budget": lambda: delivered_calls(
+            failed_calls(Story().add(*outage(0, 3000)), 100, range(2)), 3000, 6, gap=20
         ).add(rec.HostStateChange(3150 * MS, "a1", "fell")),
-        "later in the warm-up": lambda: flood(
-            fails(Story().add(*out(0, 3000)), 100, range(2)), 6000, 30, gap=50
+        "later in the warm-up": lambda: delivered_calls(
+            failed_calls(Story().add(*outage(0, 3000)), 100, range(2)), 6000, 30, gap=50
         ),
     },
     "order": {
-        "the second while the first is out": lambda: Story()
+        "the second while the first is in flight": lambda: Story()
         .ask(0, "m1", "line", order="k").ask(5, "m2", "line", order="k")
         .call(10, "m1", took=500).call(100, "m2"),
         "the second before the first": lambda: Story()
         .ask(0, "m1", "line", order="k").ask(5, "m2", "line", order="k")
         .call(10, "m2").call(100, "m1"),
-        "no rest after a time-out": lambda: Story()
+        "no pause after a time-out": lambda: Story()
         .ask(0, "m1", "line", order="k").ask(5, "m2", "line", order="k")
         .call(10, "m1", end="gone").notice(100, "m1").call(300, "m2"),
-        "long before the first one's time is up, though its notice comes behind that": lambda: Story()
+        "long before the first one's deadline, though its notice comes after that": lambda: Story()
         .ask(0, "m1", "line", order="k").ask(5, "m2", "line", order="k")
         .call(11_800, "m2").notice(12_130, "m1"),
-        "a try still open though a notice has ended it": lambda: Story()
+        "an attempt still open though a notice reported the result": lambda: Story()
         .ask(0, "m1", "line", order="k").ask(5, "m2", "line", order="k")
         .call(10, "m1", end="open").notice(100, "m1").call(1000, "m2"),
     },
     "waits": {
-        "to the endpoint that told it": lambda: Story()
+        "to the endpoint that requested the wait": lambda: Story()
         .ask(0, "m").call(5, "m", end="refused", wait=1000).call(500, "m"),
         "another message": lambda: Story()
         .ask(0, "m").ask(0, "o").call(5, "m", end="refused", wait=1000).call(900, "o").call(1200, "m"),
         "another endpoint of a joint route": lambda: Story()
         .ask(0, "m", dest=2).call(5, "m", host="j1", end="refused", wait=1000).call(500, "m", host="j2"),
-        "a wait told on a call of which one message was not over": lambda: Story()
+        "a wait on a call with one unfinished message": lambda: Story()
         .ask(0, "m").ask(0, "o").call(5, "m", "o", end="refused", took=900, wait=1000).call(7, "m", took=20)
         .call(1200, "o"),
-        "a wait on a connection that was closed behind its answer": lambda: Story()
+        "a wait on a connection that was closed after its answer": lambda: Story()
         .ask(0, "m").call(5, "m", end="refused", wait=1000)
         .add(rec.ConnectionClosed(56 * MS, 1)).call(500, "m"),
         "a wait on an answer that delivers": lambda: Story()
@@ -187,41 +192,41 @@
     },
 }  # fmt: skip
 KEPT: dict[str, Callable[[], Story]] = {
-    "a wait told on a call that was left before": lambda: Story()
+    "a wait on a call that was abandoned before": lambda: Story()
     .ask(0, "m").ask(0, "o").call(5, "m", end="refused", took=900, wait=1000).call(7, "m", took=20)
     .call(1200, "o"),
-    "a wait told on a connection that was closed before": lambda: Story()
+    "a wait on a connection that was closed before": lambda: Story()
     .add(rec.LinkDelay(0, "hosts", 80 * MS)).ask(0, "m").ask(0, "o").call(160, "m", end="refused", wait=1000)
     .add(rec.ConnectionClosed(240 * MS, 1)).call(600, "o").notice(700, "m"),
-    "a second end by a life that could not know the first, told late": lambda: Story()
+    "a second result, reported late, by a process that could not know the first": lambda: Story()
     .ask(0, "m").add(rec.ReachabilityChange(500 * MS, "n0", False), rec.ProcessEvent(600 * MS, "n0", "full"))
     .add(rec.ProcessEvent(800 * MS, "n0", "kill"), rec.ProcessEvent(801 * MS, "n0", "exit"))
     .add(rec.ProcessEvent(900 * MS, "n0", "room"), rec.ProcessEvent(1000 * MS, "n0", "ready"))
     .add(rec.ReachabilityChange(2000 * MS, "n0", True)).notice(2010, "m", "bounced").notice(2020, "m"),
-    "two ends by a life whose disk had room while it stood still": lambda: Story()
+    "two results of a process whose disk got free space while it was paused": lambda: Story()
     .ask(0, "m").add(rec.ProcessEvent(60 * MS, "n0", "full")).notice(100, "m", "bounced")
     .add(rec.ProcessEvent(200 * MS, "n0", "deaf", "stands still"), rec.ProcessEvent(300 * MS, "n0", "room"))
     .add(rec.ProcessEvent(900 * MS, "n0", "kill"), rec.ProcessEvent(901 * MS, "n0", "exit"))
     .add(rec.ProcessEvent(902 * MS, "n0", "hears"), rec.ProcessEvent(1000 * MS, "n0", "ready"))
     .notice(1100, "m"),
-    "told a drain while deaf, then cut off": lambda: Story()
+    "notified of a drain while unresponsive, then cut off": lambda: Story()
     .add(rec.StateAnnounced(100 * MS, "n0", "a1", "draining"), rec.ProcessEvent(50 * MS, "n0", "deaf"))
     .add(rec.ReachabilityChange(200 * MS, "n0", False), rec.ProcessEvent(800 * MS, "n0", "hears"))
     .add(rec.ReachabilityChange(1200 * MS, "n0", True)).ask(0, "m").call(1500, "m"),
-    "told while deaf, on a watch that ended before it could be read": lambda: Story()
+    "notified while unresponsive, on a watch that ended before it could be read": lambda: Story()
     .add(rec.StateAnnounced(100 * MS, "n0", "a1", "draining"), rec.ProcessEvent(50 * MS, "n0", "deaf"))
     .add(rec.WatchChange(300 * MS, "n0", False), rec.ProcessEvent(400 * MS, "n0", "hears"))
     .ask(0, "m").call(1500, "m"),
-    "sent as the time of the one before was up, whose notice came behind that": lambda: Story()
+    "sent at the deadline of the one before, whose notice came after that": lambda: Story()
     .ask(0, "m1", "line", order="k").ask(5, "m2", "line", order="k").call(11_996, "m2").notice(12_131, "m1"),
-    "a wait told behind a restart": lambda: Story()
+    "a wait answered after a restart": lambda: Story()
     .add(rec.LinkDelay(0, "hosts", 80 * MS)).ask(0, "m").ask(0, "o").call(160, "m", end="refused", wait=1000)
     .add(rec.ProcessEvent(90 * MS, "n0", "kill"), rec.ProcessEvent(91 * MS, "n0", "exit"))
     .add(rec.ProcessEvent(300 * MS, "n0", "ready")).call(600, "o").notice(700, "m"),
     "a notice just in time": lambda: Story().ask(0, "m").notice(12_340, "m"),
     "a repeated notice": lambda: Story().ask(0, "m").notice(100, "m").notice(300, "m"),
-    "not taken on": lambda: Story().ask(0, "m", said="refused").ask(5, "o", said="silent"),
-    "late while the relay was away": lambda: Story()
+    "not accepted": lambda: Story().ask(0, "m", said="refused").ask(5, "o", said="silent"),
+    "late while the relay was unavailable": lambda: Story()
     .ask(0, "m").notice(14_400, "m")
     .add(rec.ProcessEvent(12 * SECOND, "n0", "kill"), rec.ProcessEvent(13 * SECOND, "n0", "ready")),
     "late while the platform was out of reach": lambda: Story()
@@ -235,10 +240,10 @@
     .ask(0, "m", said="").add(rec.ProcessEvent(4 * MS, "n0", "kill"), rec.ClientOutcome(5 * MS, "m", "cut")),
     "unsafe after a refusal": lambda: Story()
     .ask(0, "m", "unsafe").call(5, "m", end="refused", took=10).call(100, "m"),
-    "keyed in its window and zone": lambda: keyed(24_900, "gone", "a2"),
+    "keyed in its window and zone": lambda: keyed_retry(24_900, "gone", "a2"),
     "keyed anywhere refused": lambda: Story()
     .ask(0, "m", "anywhere").call(5, "m", end="error").notice(100, "m", "bounced"),
-    "a call that a link held up behind the next one, its end with it": lambda: Story(may_duplicate=False)
+    "a call and its end that a link delayed until after the next call": lambda: Story(may_duplicate=False)
     .ask(0, "m").call(5, "m", took=500).call(100, "m", end="gone", took=1),
     "a second copy of a safe one": lambda: Story()
     .ask(0, "m").call(5, "m", took=500).call(100, "m", took=10),
@@ -248,53 +253,55 @@
     .ask(0, "m").call(5, "m", end="gone", took=105).call(100, "m"),
     "the next once the one before has ended, where no copies are allowed": lambda: Story(may_duplicate=False)
     .ask(0, "m", "keyed").call(5, "m", end="error", took=90).call(100, "m", took=10),
-    "half of what a restart found given up": lambda: restarted(12, 12),
-    "too few found for a share": lambda: restarted(1, 18),
-    "found with no time left for a call": lambda: restarted(11, 13, at=11_960, ready=11_950),
-    "given up while its destination is in an outage": lambda: restarted(11, 13, at=12_050).add(
-        *out(2000, 9000)
+    "half of the recovered messages given up": lambda: restart_story(12, 12),
+    "too few recovered for a share": lambda: restart_story(1, 18),
+    "recovered with no time left for a call": lambda: restart_story(11, 13, at=11_960, ready=11_950),
+    "given up while its destination is in an outage": lambda: restart_story(11, 13, at=12_050).add(
+        *outage(2000, 9000)
     ),
-    "given up while no try could be written down": lambda: restarted(11, 13).add(
+    "given up while no attempt could be recorded": lambda: restart_story(11, 13).add(
         rec.ProcessEvent(1200 * MS, "n0", "full"), rec.ProcessEvent(1600 * MS, "n0", "room")
     ),
-    "given up while nothing reached the relay": lambda: restarted(11, 13, at=12_050).add(
+    "given up while nothing reached the relay": lambda: restart_story(11, 13, at=12_050).add(
         rec.ProcessEvent(3000 * MS, "n0", "deaf"), rec.ProcessEvent(3500 * MS, "n0", "hears")
     ),
-    "given up where nobody delivered anything since": lambda: restarted(0, 24),
+    "given up where no relay delivered anything since": lambda: restart_story(0, 24),
     "within the grace of a drain": lambda: Story()
     .add(rec.StateAnnounced(0, "n0", "a1", "draining")).ask(0, "m").call(500, "m"),
     "ready again": lambda: Story()
     .add(rec.StateAnnounced(0, "n0", "a1", "draining"), rec.StateAnnounced(SECOND, "n0", "a1", "ready"))
     .ask(0, "m").call(1500, "m"),
-    "another relay was told": lambda: Story()
+    "another relay was notified": lambda: Story()
     .add(rec.StateAnnounced(0, "n1", "a1", "draining")).ask(0, "m").call(1500, "m"),
-    "a return within its budget": lambda: flood(
-        fails(Story().add(*out(0, 3000)), 100, range(2)), 3000, 4, gap=700
+    "a return within its budget": lambda: delivered_calls(
+        failed_calls(Story().add(*outage(0, 3000)), 100, range(2)), 3000, 4, gap=700
     ),
-    "a flood by one that knew nothing": lambda: flood(Story().add(*out(0, 3000)), 3000, 24, relay="n1"),
-    "a flood by one that held a message and never tried": lambda: flood(
-        dialled(Story().add(*out(0, 3000)).ask(100, "w").notice(5000, "w"), 3001), 3000, 24
+    "a flood by an uninformed relay": lambda: delivered_calls(
+        Story().add(*outage(0, 3000)), 3000, 24, relay="n1"
     ),
-    "a flood once it is warm": lambda: flood(
-        fails(Story().add(*out(0, 3000)), 100, range(2)), 13_100, 40, gap=70
+    "a flood by a relay with a waiting message and no attempt": lambda: delivered_calls(
+        with_connect(Story().add(*outage(0, 3000)).ask(100, "w").notice(5000, "w"), 3001), 3000, 24
     ),
-    "a refused call has no rest": lambda: Story()
+    "a flood once it is warm": lambda: delivered_calls(
+        failed_calls(Story().add(*outage(0, 3000)), 100, range(2)), 13_100, 40, gap=70
+    ),
+    "no pause after a refused call": lambda: Story()
     .ask(0, "m1", "line", order="k").ask(5, "m2", "line", order="k")
     .call(10, "m1", end="refused").call(80, "m1").call(140, "m2"),
-    "a rest that was kept": lambda: Story()
+    "a pause that was kept": lambda: Story()
     .ask(0, "m1", "line", order="k").ask(5, "m2", "line", order="k")
     .call(10, "m1", end="gone").notice(100, "m1").call(600, "m2"),
     "other keys": lambda: Story()
     .ask(0, "m1", "line", order="k").ask(5, "m2", "line", order="l")
     .call(10, "m1", took=500).call(100, "m2"),
-    "on its way when the wait was told": lambda: Story()
+    "in flight when the wait was requested": lambda: Story()
     .ask(0, "m").ask(0, "o").call(5, "m", end="refused", wait=1000).call(140, "o").call(1100, "m"),
     "another route": lambda: Story()
     .ask(0, "m").call(5, "m", end="refused", wait=1000).call(500, "m", host="a2"),
-    "a crash that is seen late ends a wait": lambda: Story()
+    "a crash that is noticed late ends a wait": lambda: Story()
     .ask(0, "m").call(5, "m", end="refused", wait=2000).call(1500, "m")
     .add(rec.ProcessEvent(100 * MS, "n0", "exit"), rec.ProcessEvent(1400 * MS, "n0", "ready")),
-    "cut by a crash that is seen late": lambda: Story()
+    "cut by a crash that is noticed late": lambda: Story()
     .ask(0, "m", said="").add(rec.ClientOutcome(5 * MS, "m", "cut"), rec.ProcessEvent(90 * MS, "n0", "exit")),
     "a restart ends a wait": lambda: Story()
     .ask(0, "m").call(5, "m", end="refused", wait=2000).call(1500, "m")
@@ -303,7 +310,7 @@
 
 
 @pytest.mark.parametrize(("rule", "case"), [(rule, case) for rule, cases in BROKEN.items() for case in cases])
-def test_a_doctored_record_is_caught(rule: str, case: str) -> None:
+def test_a_broken_rule_is_reported(rule: str, case: str) -> None:
     verdict = judge(BROKEN[rule][case]().record())
     assert verdict.state == "broken"
     assert {breach.rule for breach in verdict.breaches} == {rule}, verdict.breaches
@@ -328,13 +335,13 @@
     assert (verdict.state, verdict.reasons) == ("unknown", ("the record is truncated",))
 
 
-def test_a_message_whose_time_was_not_up_leaves_it_unknown() -> None:
+def test_an_unfinished_message_before_its_deadline_makes_the_verdict_unknown() -> None:
     verdict = judge(Story().ask(0, "m").record(end=5000))
     assert verdict.state == "unknown"
     assert "m has no final result" in verdict.reasons[0]
 
 
-def test_a_rig_that_ran_late_is_not_believed_about_times() -> None:
+def test_timestamps_of_a_late_rig_are_not_trusted() -> None:
     story = Story().ask(0, "m").notice(12_400, "m")
     for late_ms, state in ((100, "broken"), (200, "unknown")):
         record = story.record()
@@ -350,8 +357,8 @@
 
 
 @st.composite
-def clean(draw: st.DrawFn) -> Story:
-    """A record of a relay that keeps every rule, by the plainest means: one call after the other."""
+def clean_story(draw: st.DrawFn) -> Story:
+    """Generate a record of a relay that keeps every rule: one call after the other."""
     story, now = Story(), 0
     waits: dict[str, int] = {}
     gone: set[str] = set()
@@ -385,18 +392,18 @@
         if not over:
             now += 10
             story.notice(now, ref, "bounced" if cls in ("safe", "line") else "dead")
-        now += 600 if cls == "line" else 0  # the pause after a try whose outcome is open
+        now += 600 if cls == "line" else 0  # the pause after an attempt with an open outcome
     return story
 
 
-@given(clean())
+@given(clean_story())
 def test_clean_records_are_kept(story: Story) -> None:
     verdict = judge(story.record())
     assert (verdict.state, verdict.breaches) == ("kept", ())
 
 
-@given(clean(), st.data())
-def test_a_clean_record_without_one_of_its_ends_is_caught(story: Story, data: st.DataObject) -> None:
+@given(clean_story(), st.data())
+def test_a_clean_record_without_one_of_its_notices_is_broken(story: Story, data: st.DataObject) -> None:
     ends = [event for event in story.events if isinstance(event, rec.Notice)]
     if ends:
         story.events.remove(data.draw(st.sampled_from(ends)))
--- a/tests/rig/test_service.py
+++ b/tests/rig/test_service.py
@@ -1,4 +1,4 @@
-"""Service by the BRIEF's counting, against figures that were worked out by hand."""
+"""Service as the BRIEF defines it, against values that were calculated by hand."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
     assert service_of(Story().ask(0, "m").notice(100, "m").record()).total == 0.0
 
 
-def test_worth_falls_evenly_after_the_aim() -> None:
+def test_worth_falls_linearly_after_the_target_time() -> None:
     """``keyed``: aim 4 s, 0.4 at 12 s; at 8 s it is half way between."""
     service = service_of(Story().ask(0, "m", "keyed").call(7950, "m").record())
     assert service.whole == pytest.approx(0.7)
@@ -33,19 +33,19 @@
     assert service.worst_class == 0.0
 
 
-def test_a_retry_counts_for_its_first_try_at_its_own_time() -> None:
+def test_a_retry_counts_for_its_first_submission_at_its_own_time() -> None:
     story = Story().ask(0, "m", "keyed", said="refused").ask(7000, "m2", "keyed", first="m").call(7950, "m2")
     service = service_of(story.record())
     assert (service.asked, service.delivered) == (1, 1)
     assert service.whole == pytest.approx(0.7)
 
 
-def test_a_delivery_that_its_client_did_not_hear_of_being_taken_counts_nothing() -> None:
+def test_a_delivery_without_an_acceptance_for_the_client_counts_nothing() -> None:
     assert service_of(Story().ask(0, "m", said="silent").call(5, "m").record()).whole == 0.0
 
 
-def test_beyond_its_share_a_message_is_worth_a_tenth() -> None:
-    """A share of 1/s: the bucket holds ten and starts with five, so of seven at once two are beyond it."""
+def test_beyond_its_quota_a_message_is_worth_a_tenth() -> None:
+    """With a quota of 1/s the bucket holds ten and starts with five: of seven at once two are beyond it."""
     story = Story()
     story.head = rec.RecordHead(
         0, "s", 1, story.head.classes, story.head.kinds, [rec.TenantQuota("m", 1.0)], story.head.figures
@@ -70,7 +70,7 @@
     assert service.whole == pytest.approx(2 / 3)
 
 
-def test_a_window_with_almost_nothing_in_it_says_nothing() -> None:
+def test_a_window_with_almost_no_worth_is_ignored() -> None:
     story = Story()
     for number in range(100):
         story.ask(number, f"m{number}").call(number + 200, f"m{number}")
--- a/tests/rig/test_tail.py
+++ b/tests/rig/test_tail.py
@@ -1,4 +1,4 @@
-"""The tail of a record: what is slow, what never came, and what a call carried."""
+"""Latency of a record: slow and missing deliveries, and the messages that calls carried."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 from tests.world import ROOT
 
 
-def test_delivery_counts_from_the_first_try_and_what_never_came_is_the_tail() -> None:
+def test_delivery_counts_from_the_first_submission_and_undelivered_messages_are_the_tail() -> None:
     story = Story().ask(0, "a").call(10, "a", took=40).ask(0, "b").notice(900, "b")
     story.ask(100, "c", said="refused").ask(600, "d", first="c").call(700, "d", took=100)
     found = latency_of(story.record())
@@ -40,19 +40,23 @@
 
 
 @given(st.lists(st.floats(0, 1e6), min_size=1, max_size=60), st.floats(0.001, 1))
-def test_a_quantile_is_the_least_value_that_covers_its_share(values: list[float], share: float) -> None:
+def test_a_quantile_is_the_smallest_value_that_covers_its_share(values: list[float], share: float) -> None:
     found = quantile(values, share)
     assert sum(value <= found for value in values) >= share * len(values)
     assert sum(value < found for value in values) < share * len(values)
 
 
 @pytest.mark.parametrize(("values", "share"), [([], 0.5), ([1.0], 0.0), ([1.0], 1.1)])
-def test_a_quantile_of_nothing_is_refused(values: list[float], share: float) -> None:
+def test_a_quantile_without_values_or_of_an_invalid_share_is_rejected(
+    values: list[float], share: float
+) -> None:
     with pytest.raises(ValueError, match="quantile"):
         quantile(values, share)
 
 
-def test_the_command_tells_each_record(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+def test_the_command_prints_a_line_for_each_record(
+    tmp_path: Path, capsys: pytest.CaptureFixture[str]
+) -> None:
     path = tmp_path / "record.jsonl"
     rec.save(Story().ask(0, "a").call(10, "a", took=40).record(), path)
     assert main(["rig", "tail", str(path), str(path)]) == 0
