--- a/mallowlug/rig/cli.py
+++ b/mallowlug/rig/cli.py
@@ -1,4 +1,4 @@
-"""``mallowlug rig``: play a scenario, replay a record's traffic, check a record, report on it."""
+"""``mallowlug rig``: run a scenario, replay a record's traffic, check a record, report on it."""
 
 from __future__ import annotations
 
@@ -17,18 +17,18 @@
 from mallowlug.rig.judge import tail as tails
 from mallowlug.rig.judge.rules import Verdict, judge
 from mallowlug.rig.judge.service import service_of
-from mallowlug.rig.report.live import Live
+from mallowlug.rig.report.live import LiveState
 from mallowlug.rig.run.play import Done, Options, play
 from mallowlug.rig.world import replay, scenario
 from mallowlug.toml_check import FileMistakesError
 
 P = ParamSpec("P")
-CODES = {"kept": 0, "broken": 1, "unknown": 3}
-SHOWN = 20  # breaches that are printed
+EXIT_CODES = {"kept": 0, "broken": 1, "unknown": 3}
+MAX_SHOWN = 20  # breaches and reasons that are printed
 
 
-def told(verdict: Verdict, record: rec.Record) -> int:
-    """Print a verdict; the exit code."""
+def print_verdict(verdict: Verdict, record: rec.Record) -> int:
+    """Print a verdict and return its exit code."""
     service = service_of(record)
     print(
         f"service {service.total:.3f} (whole {service.whole:.3f}, worst 10 s {service.worst_window:.3f}, "
@@ -37,73 +37,76 @@
         f"{service.refused} refused"
     )
     print("cases:", ", ".join(f"{rule} {count}" for rule, count in verdict.checked.items()))
-    for breach in verdict.breaches[:SHOWN]:
+    for breach in verdict.breaches[:MAX_SHOWN]:
         print(breach)
-    if len(verdict.breaches) > SHOWN:
-        print(f"and {len(verdict.breaches) - SHOWN} more")
-    for reason in verdict.reasons[:SHOWN]:
+    if len(verdict.breaches) > MAX_SHOWN:
+        print(f"and {len(verdict.breaches) - MAX_SHOWN} more")
+    for reason in verdict.reasons[:MAX_SHOWN]:
         print(reason)
     print(f"rules: {verdict.state}, {len(verdict.breaches)} breaches")
-    return CODES[verdict.state]
+    return EXIT_CODES[verdict.state]
 
 
 @contextlib.contextmanager
-def shown(on: bool) -> Iterator[Callable[[rec.AnyEvent], None] | None]:
-    """A live view in the terminal, where it is wanted."""
+def live_view(on: bool) -> Iterator[Callable[[rec.AnyEvent], None] | None]:
+    """Show a live view in the terminal if ``on``; yields its event listener, or None."""
     if not on:
         yield None
         return
     from mallowlug.rig.report.view import view  # noqa: PLC0415
 
-    live = Live()
-    with view(live):
-        yield live.see
+    live_state = LiveState()
+    with view(live_state):
+        yield live_state.apply
 
 
-def fresh(out: Path | None, name: str) -> Path:
-    """A folder without a record in it: the one that is wanted, or a new one under ``rig-out``."""
+def record_folder(out: Path | None, name: str) -> Path:
+    """Return a folder for a new record: ``out``, or a new one under ``rig-out``.
+
+    Raises ``RecordError`` if ``out`` has a record already.
+    """
     if out is None:
         base = Path("rig-out")
         base.mkdir(exist_ok=True)
         return Path(tempfile.mkdtemp(prefix=f"{name}-", dir=base))
     if (out / "record.jsonl").exists():
-        raise rec.RecordError(f"{out}: holds a record already")
+        raise rec.RecordError(f"{out}: contains a record already")
     return out
 
 
-def varied(world: scenario.Scenario, seed: int | None, relays: int | None) -> scenario.Scenario:
-    """The scenario with another seed and another number of relays, where they are named."""
+def with_overrides(world: scenario.Scenario, seed: int | None, relays: int | None) -> scenario.Scenario:
+    """Return the scenario with the given seed and number of relays in place of its own."""
     changed: dict[str, Any] = {} if seed is None else {"seed": seed}
     if relays is not None:
         changed["relays"] = world.relays.model_copy(update={"count": relays})
     return world.model_copy(update=changed)
 
 
-def reported(path: Path, page: Path) -> int:
-    """Judge a record, print what it says and write its page; the exit code."""
+def judge_and_report(path: Path, page: Path) -> int:
+    """Judge a record, print the verdict and write the report; return the exit code."""
     from mallowlug.rig.report import page as report  # noqa: PLC0415
 
     record = rec.read(path)
-    code = told(judge(record), record)
+    code = print_verdict(judge(record), record)
     report.write(record, page)
     return code
 
 
-def usable(command: Callable[P, int]) -> Callable[P, int]:
-    """A command whose files may be unusable: each mistake is told, and its exit code is 2."""
+def reports_file_errors(command: Callable[P, int]) -> Callable[P, int]:
+    """Make a command report invalid files on stderr and return the exit code 2 for them."""
 
     @functools.wraps(command)
-    def careful(*args: P.args, **kwargs: P.kwargs) -> int:
+    def wrapper(*args: P.args, **kwargs: P.kwargs) -> int:
         try:
             return command(*args, **kwargs)
         except (FileMistakesError, rec.RecordError) as error:
             click.echo(str(error), err=True)
             return 2
 
-    return careful
+    return wrapper
 
 
-def played(
+def run_and_judge(
     world: scenario.Scenario,
     options: Options,
     *,
@@ -112,13 +115,13 @@
     seed: int | None,
     relays: int | None,
 ) -> int:
-    """Play, judge and report."""
-    world = varied(world, seed, relays)
-    folder = fresh(out, world.name)
-    with shown(live) as watch:
+    """Run a scenario, judge it and write the report; return the exit code."""
+    world = with_overrides(world, seed, relays)
+    folder = record_folder(out, world.name)
+    with live_view(live) as watch:
         options.watch = watch
         done: Done = asyncio.run(play(world, folder, options))
-    code = reported(done.path, folder / "report.html")
+    code = judge_and_report(done.path, folder / "report.html")
     print(f"record {done.path}\nreport {folder / 'report.html'}")
     for crash in done.crashed:
         print(f"crashed: {crash}")
@@ -136,7 +139,7 @@
 
 @click.group("rig")
 def group() -> None:
-    """A world of stand-ins on loopback around real relays, and a judge of the six rules.
+    """Real relays in a simulated environment on loopback, and a judge of the six rules.
 
     Exit codes: 0 all rules kept, 1 a rule broken (or a relay crashed), 2 a file that cannot be read or used,
     3 unknown: the record is truncated or a message could not be judged.
@@ -149,47 +152,47 @@
 @live_option
 @seed_option
 @relays_option
-@usable
+@reports_file_errors
 def run(file: Path, *, out: Path | None, live: bool, seed: int | None, relays: int | None) -> int:
-    """Play a scenario and judge it."""
-    return played(scenario.load_real(file), Options(), out=out, live=live, seed=seed, relays=relays)
+    """Run a scenario and judge it."""
+    return run_and_judge(scenario.load_real(file), Options(), out=out, live=live, seed=seed, relays=relays)
 
 
 @group.command("replay")
 @click.argument("record", type=FILE)
-@click.option("--scenario", "file", type=FILE, help="The world, where it is not the record's own.")
+@click.option("--scenario", "file", type=FILE, help="The scenario, if it is not the record's own.")
 @out_option
 @live_option
 @seed_option
 @relays_option
-@usable
-def again(
+@reports_file_errors
+def replay_command(
     record: Path, file: Path | None, *, out: Path | None, live: bool, seed: int | None, relays: int | None
 ) -> int:
-    """Play a record's traffic again, in its own world or another."""
+    """Replay a record's traffic in its own scenario or another."""
     found = rec.read(record)
     world = scenario.load_real(file) if file else replay.scenario_of(found)
     options = Options(traffic=replay.traffic_of(found))
-    return played(world, options, out=out, live=live, seed=seed, relays=relays)
+    return run_and_judge(world, options, out=out, live=live, seed=seed, relays=relays)
 
 
 @group.command("check")
 @click.argument("file", type=FILE)
-@usable
+@reports_file_errors
 def check(file: Path) -> int:
-    """Judge a record; of a scenario (.toml), name its mistakes."""
+    """Judge a record, or report the mistakes of a scenario (.toml)."""
     if file.suffix == ".toml":
         found = scenario.load(file)
-        print(f"{file}: in order; {found.length_s} s, {len(found.events)} events")
+        print(f"{file}: valid; {found.length_s} s, {len(found.events)} events")
         return 0
     record = rec.read(file)
-    return told(judge(record), record)
+    return print_verdict(judge(record), record)
 
 
 @group.command("report")
 @click.argument("record", type=FILE)
-@click.option("--out", type=FILE, help="The page; beside the record if none.")
-@usable
+@click.option("--out", type=FILE, help="The HTML file; beside the record if none.")
+@reports_file_errors
 def report(record: Path, out: Path | None) -> int:
     """Write a record's report as one HTML file."""
     from mallowlug.rig.report import page  # noqa: PLC0415
@@ -202,9 +205,9 @@
 
 @group.command("tail")
 @click.argument("records", metavar="RECORD...", type=FILE, nargs=-1, required=True)
-@usable
+@reports_file_errors
 def tail(records: tuple[Path, ...]) -> int:
-    """How long messages waited in each record: p50, p99 and p99.9 of accept and delivery, in ms."""
+    """Print the latency of each record: p50, p99 and p99.9 of accept and delivery, in ms."""
     for path in records:
         found = tails.latency_of(rec.read(path))
         shown = [" ".join(f"{value:.0f}" for value in row) for row in (found.accept_ms, found.deliver_ms)]
@@ -216,16 +219,16 @@
 @group.command("traffic")
 @click.argument("record", type=FILE)
 @click.option("--out", type=FILE, required=True)
-@usable
+@reports_file_errors
 def traffic(record: Path, out: Path) -> int:
-    """Keep of a record what clients wanted, to replay it."""
+    """Extract the client traffic of a record, for replay."""
     rec.save(replay.traffic_only(rec.read(record)), out)
     print(out)
     return 0
 
 
 def seeds_of(text: str) -> range:
-    """``7`` or ``1-50`` as seeds; ``click.BadParameter`` for anything else."""
+    """Parse ``7`` or ``1-50`` as seeds; raises ``click.BadParameter`` for anything else."""
     first, _, last = text.partition("-")
     if not first.isdigit() or not (last or first).isdigit() or int(last or first) < int(first):
         raise click.BadParameter(f"{text!r} is neither a seed nor a range such as 1-50")
@@ -237,23 +240,23 @@
 @click.option("--relays", type=click.IntRange(1, 200), default=40)
 @click.option("--length", type=click.FloatRange(24, 600), default=34.0, help="Seconds of traffic a seed.")
 @click.option("--out", type=FILE, default=Path("rig-out/soak"), help="Where records of failed seeds go.")
-@usable
+@reports_file_errors
 def soak_command(seeds: str, relays: int, length: float, out: Path) -> int:
-    """Play seeded worlds with faults around real relays, and judge each by all rules."""
+    """Run real relays in seeded environments with faults, and judge each run by all rules."""
     from mallowlug.rig.soak import run as soaks  # noqa: PLC0415
 
     failed, rules = 0, Counter[str]()
     try:
         for result in soaks.soak(seeds_of(seeds), relays, length, out):
             print(result, flush=True)
-            for breach in result.breaches[:SHOWN]:
+            for breach in result.breaches[:MAX_SHOWN]:
                 print(f"  {breach}", flush=True)
-            for reason in (*result.crashes, *result.reasons[:SHOWN]):
+            for reason in (*result.crashes, *result.reasons[:MAX_SHOWN]):
                 print(f"  {reason}", flush=True)
             failed += result.failed
             rules.update({breach.rule for breach in result.breaches})
     except soaks.SoakError as error:
         raise click.BadParameter(str(error)) from error
-    told = soaks.counted(rules) or "none"
-    print(f"{failed} of {len(seeds_of(seeds))} seeds failed; seeds by broken rule: {told}")
+    counts = soaks.counted(rules) or "none"
+    print(f"{failed} of {len(seeds_of(seeds))} seeds failed; seeds by broken rule: {counts}")
     return int(failed > 0)
--- a/mallowlug/rig/report/__init__.py
+++ b/mallowlug/rig/report/__init__.py
@@ -1,1 +1,1 @@
-"""What people look at: the page of a record, the live view."""
+"""Reports for people: the HTML page of a record and the live view of a run."""
--- a/mallowlug/rig/report/live.py
+++ b/mallowlug/rig/report/live.py
@@ -1,4 +1,4 @@
-"""What a run looks like while it goes on: counts kept from its events. No I/O."""
+"""State of a running run for the live view: counts of its events. No I/O."""
 
 from __future__ import annotations
 
@@ -7,68 +7,69 @@
 
 from mallowlug.rig.judge import record as rec
 
-LAST = 6  # lines of what happened
+MAX_RECENT = 6  # recent events that are shown
 
 
 @dataclass(slots=True)
-class Live:
+class LiveState:
     """The present state of a run, as far as the sockets show it."""
 
     now_us: int = 0
     relays: dict[str, str] = field(default_factory=dict)
     counts: Counter[str] = field(default_factory=Counter)
-    open: dict[str, int] = field(default_factory=dict)  # by relay: messages taken on that have no end
-    out: Counter[str] = field(default_factory=Counter)  # by endpoint: calls in flight
-    life: dict[str, str] = field(default_factory=dict)
-    happened: deque[tuple[int, str]] = field(default_factory=lambda: deque(maxlen=LAST))
-    _asks: dict[str, rec.MessageSubmitted] = field(default_factory=dict)
-    _taken: set[str] = field(default_factory=set)
+    # By relay: accepted messages without a final result.
+    open_messages: dict[str, int] = field(default_factory=dict)
+    calls_in_flight: Counter[str] = field(default_factory=Counter)  # by endpoint
+    endpoint_states: dict[str, str] = field(default_factory=dict)
+    recent: deque[tuple[int, str]] = field(default_factory=lambda: deque(maxlen=MAX_RECENT))
+    _submitted: dict[str, rec.MessageSubmitted] = field(default_factory=dict)
+    _accepted: set[str] = field(default_factory=set)
     _calls: dict[int, str] = field(default_factory=dict)
 
-    def see(self, event: rec.AnyEvent) -> None:
-        """Take an event in."""
+    def apply(self, event: rec.AnyEvent) -> None:
+        """Update the state with an event."""
         self.now_us = max(self.now_us, event.at)
         match event:
             case rec.ProcessEvent():
                 self.relays[event.relay] = event.what
                 if event.what in ("kill", "term", "hup", "exit"):
-                    self.happened.append((event.at, f"{event.relay}: {event.what} {event.detail}"))
+                    self.recent.append((event.at, f"{event.relay}: {event.what} {event.detail}"))
             case rec.MessageSubmitted():
                 self.counts["asked"] += 1
-                self._asks[event.id] = event
+                self._submitted[event.id] = event
             case rec.ClientOutcome():
                 self.counts[event.what] += 1
-                ask = self._asks.get(event.id)
-                if event.what == "taken" and ask is not None:
-                    self._taken.add(event.id)
-                    self.open[ask.relay] = self.open.get(ask.relay, 0) + 1
+                submitted = self._submitted.get(event.id)
+                if event.what == "taken" and submitted is not None:
+                    self._accepted.add(event.id)
+                    self.open_messages[submitted.relay] = self.open_messages.get(submitted.relay, 0) + 1
             case rec.Call():
                 self.counts["calls"] += 1
                 self._calls[event.call] = event.host
-                self.out[event.host] += 1
+                self.calls_in_flight[event.host] += 1
             case rec.CallAnswered():
-                self._settled(event.call)
+                self._end_call(event.call)
                 for ref, end in event.ends.items():
                     self.counts[f"calls {end}"] += 1
                     if end == "delivered":
-                        self._over(ref)
+                        self._end_message(ref)
             case rec.CallBroken():
-                self._settled(event.call)
+                self._end_call(event.call)
             case rec.Notice():
                 self.counts[event.result] += 1
-                self._over(event.id)
+                self._end_message(event.id)
             case rec.HostStateChange():
-                self.life[event.host] = event.state
-                self.happened.append((event.at, f"{event.host}: {event.state}"))
+                self.endpoint_states[event.host] = event.state
+                self.recent.append((event.at, f"{event.host}: {event.state}"))
             case rec.Annotation():
-                self.happened.append((event.at, f"{event.what} {event.detail}"))
+                self.recent.append((event.at, f"{event.what} {event.detail}"))
 
-    def _settled(self, call: int) -> None:
+    def _end_call(self, call: int) -> None:
         if host := self._calls.pop(call, ""):
-            self.out[host] -= 1
+            self.calls_in_flight[host] -= 1
 
-    def _over(self, ref: str) -> None:
-        ask = self._asks.pop(ref, None)
-        if ask is not None and ref in self._taken:
-            self._taken.discard(ref)
-            self.open[ask.relay] -= 1
+    def _end_message(self, ref: str) -> None:
+        submitted = self._submitted.pop(ref, None)
+        if submitted is not None and ref in self._accepted:
+            self._accepted.discard(ref)
+            self.open_messages[submitted.relay] -= 1
--- a/mallowlug/rig/sim_cli.py
+++ b/mallowlug/rig/sim_cli.py
@@ -38,7 +38,7 @@
 
 def world_of(file: Path, seed: int | None, faults: bool) -> scenario.Scenario:
     """The scenario that is asked for."""
-    world = rig.varied(scenario.load(file), seed, None)
+    world = rig.with_overrides(scenario.load(file), seed, None)
     return swarm(world, world.seed) if faults else world
 
 
@@ -60,15 +60,15 @@
 @rig.seed_option
 @rig.relays_option
 @faults_option
-@rig.usable
+@rig.reports_file_errors
 def run(file: Path, out: Path | None, seed: int | None, relays: int | None, faults: bool) -> int:
     """Play, judge and report, as ``rig run`` does."""
-    world = rig.varied(world_of(file, seed, faults), None, relays)
-    folder = rig.fresh(out, world.name)
+    world = rig.with_overrides(world_of(file, seed, faults), None, relays)
+    folder = rig.record_folder(out, world.name)
     start_s = time.perf_counter()
     done = simulate(world, folder)
     took_s = time.perf_counter() - start_s
-    code = rig.reported(done.path, folder / "report.html")
+    code = rig.judge_and_report(done.path, folder / "report.html")
     for name, lines in done.logs.items():
         (folder / f"{name}.log").write_text("\n".join(lines) + "\n", encoding="utf-8")
     print(f"{done.length_s:.1f} s simulated in {took_s:.1f} s\nrecord {done.path}")
@@ -82,7 +82,7 @@
 @click.option("--seeds", type=Seeds(), required=True, help="A-B, or one.")
 @click.option("--jobs", type=click.IntRange(1), default=os.cpu_count() or 1, help="Processes side by side.")
 @click.option("--some-points", is_flag=True, help="Do not fail for points that none reached.")
-@rig.usable
+@rig.reports_file_errors
 def swept(file: Path, seeds: range, jobs: int, some_points: bool) -> int:
     """Play every seed; each failure with the command that plays it again."""
     world, total, start_s = scenario.load(file), sweep.Sum(), time.perf_counter()
@@ -111,12 +111,12 @@
 @rig.out_option
 @rig.seed_option
 @faults_option
-@rig.usable
+@rig.reports_file_errors
 def hourly(file: Path, count: int, out: Path | None, seed: int | None, faults: bool) -> int:
     """Play hour after hour and say what a relay holds at the end of each."""
     world = world_of(file, seed, faults)
     try:
-        found = hours.played(world, count, rig.fresh(out, world.name))
+        found = hours.played(world, count, rig.record_folder(out, world.name))
     except hours.LullError as error:
         raise click.UsageError(str(error)) from None
     for held in found.samples:
@@ -133,11 +133,11 @@
 @click.option("--out", type=rig.FILE, help="Folder for the small scenario, its record and story.")
 @rig.seed_option
 @faults_option
-@rig.usable
+@rig.reports_file_errors
 def shrunk(file: Path, tries: int, out: Path | None, seed: int | None, faults: bool) -> int:
     """Leave a small scenario and a story of what happened; 1 where there is a failure to tell of."""
     world = world_of(file, seed, faults)
-    folder = rig.fresh(out, f"{world.name}-small")
+    folder = rig.record_folder(out, f"{world.name}-small")
     found = shrink.shrink(world, tries, lambda line: print(line, flush=True))
     if found is None:
         print("nothing is wrong with it")
--- a/tests/rig/test_models.py
+++ b/tests/rig/test_models.py
@@ -15,7 +15,7 @@
 
 from mallowlug.rig.judge import cold
 from mallowlug.rig.judge import record as rec
-from mallowlug.rig.report.live import Live
+from mallowlug.rig.report.live import LiveState
 from mallowlug.rig.world import draw, replay, scenario
 from mallowlug.rig.world.host_model import HostModel, Job, KeyMemory, Refusal, effects
 from mallowlug.rig.world.scenario import EventTable, KindTable, Scenario
@@ -250,12 +250,12 @@
 
 
 def test_the_live_view_counts_what_is_open() -> None:
-    live = Live()
+    live = LiveState()
     story = Story().ask(0, "a").ask(0, "b").ask(0, "c", said="refused")
     story.call(10, "a").call(10, "b", end="open").notice(100, "b")
     for event in story.record().events:
-        live.see(event)
-    assert live.open == {"n0": 0}
+        live.apply(event)
+    assert live.open_messages == {"n0": 0}
     assert (live.counts["asked"], live.counts["taken"], live.counts["refused"]) == (3, 2, 1)
-    assert live.out["a1"] == 1
+    assert live.calls_in_flight["a1"] == 1
     assert live.relays == {"n0": "ready"}
