--- a/mallowlug/rig/judge/ledger.py
+++ b/mallowlug/rig/judge/ledger.py
@@ -15,9 +15,8 @@
 # How long after a full disk has free space again the relay may still have to write what the disk refused.
 DISK_CATCH_UP_US = 250_000
 EXIT_DETECTION_US = 250_000  # max delay until the rig notices that a process has exited by itself
-NOT_PROCESSED = frozenset(
-    ("refused", "over", "unsent")
-)  # results that prove that an attempt was not processed
+# Results that prove that an attempt was not processed.
+NOT_PROCESSED = frozenset(("refused", "over", "unsent"))
 
 
 @dataclass(slots=True)
@@ -194,9 +193,8 @@
             case rec.HostAdded():
                 self.hosts[event.host] = event
             case rec.MessageSubmitted():
-                if (
-                    event.id not in self.messages
-                ):  # a request sent again on a new connection is the same message
+                # A request sent again on a new connection is the same message.
+                if event.id not in self.messages:
                     cls = self.classes.get(event.cls)
                     self.messages[event.id] = Message(event, cls, len(self.messages))
             case rec.ClientOutcome() if event.id in self.messages:
--- a/mallowlug/rig/judge/life.py
+++ b/mallowlug/rig/judge/life.py
@@ -109,9 +109,9 @@
                 )
 
 
-def explore(effects: tuple[Effect, ...], tries: int, kills: int) -> set[ModelState]:
+def explore(effects: tuple[Effect, ...], attempts: int, kills: int) -> set[ModelState]:
     """Return every state that is reachable from newly submitted messages."""
-    first = ModelState(tuple(MessageState(effect) for effect in effects), (tries,) * len(effects), kills)
+    first = ModelState(tuple(MessageState(effect) for effect in effects), (attempts,) * len(effects), kills)
     seen, pending = {first}, [first]
     while pending:
         for model in successors(pending.pop()):
--- a/mallowlug/rig/judge/rules.py
+++ b/mallowlug/rig/judge/rules.py
@@ -17,15 +17,8 @@
 from mallowlug.rig.judge.rule import Breach, Rule
 from mallowlug.rig.judge.untried import UntriedRule
 
-RULES = (
-    "lost",
-    "twice",
-    "drains",
-    "returns",
-    "order",
-    "waits",
-    "untried",
-)  # six rules and one acceptance term
+# Six rules and one acceptance term.
+RULES = ("lost", "twice", "drains", "returns", "order", "waits", "untried")
 MAX_RIG_DELAY_US = 150_000  # max delay of the rig's event loop at which its timestamps are still trusted
 
 
@@ -100,8 +93,8 @@
         """Return when the final result is overdue (us); -1 if the relay never became available again."""
         figures = self.ledger.figures
         relay, submitted = message.submitted.relay, message.submitted
-        came = self.ledger.readable_us(relay, self.ledger.arrival_us("clients", submitted.at))
-        limit = came + submitted.left_us + figures.answer_grace_us + figures.slack_us
+        readable_us = self.ledger.readable_us(relay, self.ledger.arrival_us("clients", submitted.at))
+        limit = readable_us + submitted.left_us + figures.answer_grace_us + figures.slack_us
         for end, ready in sorted(
             self.ledger.unavailable[relay] + self.ledger.cut_off[relay] + self.ledger.unresponsive[relay]
         ):
@@ -174,8 +167,8 @@
     def finish(self) -> None:
         slack_us = self.ledger.figures.slack_us
         for call, message, own, earlier in self._parallel_copies:
-            given_up = not own.answered and 0 <= own.ended_us <= call.began + slack_us
-            if not given_up and (earlier.ended_us < 0 or earlier.ended_us > call.began + slack_us):
+            abandoned = not own.answered and 0 <= own.ended_us <= call.began + slack_us
+            if not abandoned and (earlier.ended_us < 0 or earlier.ended_us > call.began + slack_us):
                 self.report(
                     call.at,
                     message.submitted.relay,
@@ -200,8 +193,8 @@
             return
         self.checked += 1
         in_doubt = [a for a in message.attempts if not a.never_ran()]
-        anywhere = message.cls.effect == "keyed" and not message.cls.by_zone
-        if in_doubt and not anywhere:
+        known_in_all_zones = message.cls.effect == "keyed" and not message.cls.by_zone
+        if in_doubt and not known_in_all_zones:
             ids = [message.submitted.id]
             self.report(at_us, message.submitted.relay, ids, "refused though an attempt may have run")
 
@@ -220,12 +213,9 @@
 
     def __init__(self, ledger: Ledger) -> None:
         super().__init__(ledger)
-        self._announced: dict[
-            tuple[str, str], int
-        ] = {}  # by relay and endpoint: since when it is announced as not ready
-        self._disabled: dict[
-            tuple[str, str], int
-        ] = {}  # by relay and endpoint: since when it is disabled by an operator
+        # By relay and endpoint: since when it is announced as not ready, or disabled by an operator.
+        self._announced: dict[tuple[str, str], int] = {}
+        self._disabled: dict[tuple[str, str], int] = {}
         self._not_ready: dict[str, int] = {}  # by endpoint: since when the directory lists it as not ready
         self._unwatched_since: dict[str, int] = {}  # by relay: since when it has no watch
 
@@ -242,9 +232,8 @@
                 self._disabled.setdefault((event.relay, event.host), event.at)
             else:
                 self._disabled.pop((event.relay, event.host), None)
-        elif (
-            isinstance(event, rec.ProcessEvent) and event.what == "wiped"
-        ):  # disabled hosts are lost with the folder
+        elif isinstance(event, rec.ProcessEvent) and event.what == "wiped":
+            # The record of disabled hosts is lost with the folder.
             self._disabled = {key: at_us for key, at_us in self._disabled.items() if key[0] != event.relay}
         elif isinstance(event, rec.DirectoryChange):
             if event.state == "ready":
@@ -327,9 +316,8 @@
 
     def _sent(self, call: rec.Call, message: Message) -> None:
         figures, submitted = self.ledger.figures, message.submitted
-        if (
-            self.ledger.earliest_send_us(call) < call.began
-        ):  # delayed on the link, so the order of arrival proves nothing
+        # Delayed on the link: the order of arrival proves nothing.
+        if self.ledger.earliest_send_us(call) < call.began:
             return
         for other in self._keys[submitted.relay, submitted.cls, submitted.order]:
             first = 0 <= other.accepted_us <= submitted.at
--- a/tests/rig/test_cli.py
+++ b/tests/rig/test_cli.py
@@ -1,4 +1,4 @@
-"""The rig's commands on a run of a second and a half: run, check, report, replay, and what cannot be used."""
+"""The rig's commands on a run of 1.5 s: run, check, report, replay, and invalid files."""
 
 from __future__ import annotations
 
@@ -32,8 +32,8 @@
 """
 
 
-def kept(folder: Path, *words: str) -> None:
-    """Play until the rig was in time (3 says that it was not, on a busy machine): the rules were kept."""
+def run_and_check(folder: Path, *words: str) -> None:
+    """Run up to three times until the rig was in time (exit code 3: busy machine); the rules must be kept."""
     for _ in range(3):
         shutil.rmtree(folder, ignore_errors=True)
         if (code := main(["rig", *words, "--out", str(folder)])) != 3:
@@ -43,17 +43,20 @@
 
 @pytest.fixture(scope="module")
 def played(tmp_path_factory: pytest.TempPathFactory) -> Path:
-    """The folder of a run that went well."""
+    """The folder of a successful run."""
     folder = tmp_path_factory.mktemp("rig")
     (folder / "small.toml").write_text(SMALL, encoding="utf-8")
-    kept(folder / "out", "run", str(folder / "small.toml"))
+    run_and_check(folder / "out", "run", str(folder / "small.toml"))
     return folder
 
 
 def test_a_run_leaves_a_whole_record_and_a_report(played: Path) -> None:
     record = rec.read(played / "out" / "record.jsonl")
     assert record.whole
-    assert {rude.end for rude in record.events if isinstance(rude, rec.MalformedClient)} <= {"error", "close"}
+    assert {event.end for event in record.events if isinstance(event, rec.MalformedClient)} <= {
+        "error",
+        "close",
+    }
     page = (played / "out" / "report.html").read_text(encoding="utf-8")
     assert "<svg" in page
     assert "Rules: <b>kept</b>, 0 breaches" in page
@@ -67,16 +70,16 @@
     assert (played / "again.html").stat().st_size > 10_000
 
 
-def test_a_truncated_record_ends_with_3(played: Path, capsys: pytest.CaptureFixture[str]) -> None:
+def test_a_truncated_record_exits_with_3(played: Path, capsys: pytest.CaptureFixture[str]) -> None:
     data = (played / "out" / "record.jsonl").read_bytes()
     (played / "cut.jsonl").write_bytes(data[:-10])
     assert main(["rig", "check", str(played / "cut.jsonl")]) == 3
     assert "rules: unknown" in capsys.readouterr().out
 
 
-def test_a_replay_brings_the_same_first_tries(played: Path) -> None:
+def test_a_replay_submits_the_same_messages(played: Path) -> None:
     record = played / "out" / "record.jsonl"
-    kept(played / "replayed", "replay", str(record))
+    run_and_check(played / "replayed", "replay", str(record))
     before, after = (
         [
             (e.dest, e.cls, e.member)
@@ -85,12 +88,12 @@
         ]
         for path in (record, played / "replayed" / "record.jsonl")
     )
-    # Two that are wanted within a millisecond may swap: each waits for a connection of its own.
+    # Two messages submitted within a millisecond may swap, as each waits for its own connection.
     assert sorted(before) == sorted(after)
     assert len(before) > 10
 
 
-def test_what_cannot_be_used_ends_with_2_before_anything_is_started(
+def test_an_invalid_scenario_exits_with_2_before_any_start(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     path = tmp_path / "bad.toml"
@@ -98,15 +101,15 @@
     for command in ("run", "check"):
         out = ["--out", str(tmp_path / "out")] if command == "run" else []
         assert main(["rig", command, str(path), *out]) == 2
-        told = capsys.readouterr().err.splitlines()
-        assert [line.split(": ")[:2] for line in told] == [
+        errors = capsys.readouterr().err.splitlines()
+        assert [line.split(": ")[:2] for line in errors] == [
             [f"{path}:3", "length_s"],
             [f"{path}:6", "load.rate_per_s"],
         ]
     assert not (tmp_path / "out").exists()
 
 
-def test_a_folder_that_holds_a_record_is_not_written_over(played: Path) -> None:
+def test_a_folder_with_a_record_is_not_overwritten(played: Path) -> None:
     record = (played / "out" / "record.jsonl").read_bytes()
     assert main(["rig", "run", str(played / "small.toml"), "--out", str(played / "out")]) == 2
     assert (played / "out" / "record.jsonl").read_bytes() == record
--- a/tests/rig/test_life.py
+++ b/tests/rig/test_life.py
@@ -18,7 +18,7 @@
 
 
 def test_no_reachable_state_repeats_an_unsafe_message() -> None:
-    states = life.explore(("keyed", "unsafe"), tries=2, kills=2)
+    states = life.explore(("keyed", "unsafe"), attempts=2, kills=2)
     assert len(states) > 1000
     for state in states:
         for message in state.messages:
--- a/tests/rig/test_planted.py
+++ b/tests/rig/test_planted.py
@@ -1,4 +1,4 @@
-"""A deliberately faulty relay for each rule: the judge has to catch it, and the real one has to pass."""
+"""For each rule a relay with a seeded fault that the judge must catch; the real relay must pass."""
 
 from __future__ import annotations
 
@@ -24,22 +24,22 @@
     "kind": [{"name": "lots", "share": 1.0, "least_per_s": (20, 20), "error_rate": 0.0}],
 }
 CASES: dict[str, dict[str, Any]] = {
-    # An outage to the end: what cannot be delivered has to be told.
+    # An outage until the end: notices have to report the undeliverable messages.
     "lost": {"event": [{"at_s": 0.5, "what": "silent", "len_s": 3.0, "dest": 0}]},
-    # Half of the calls end in an error that may have run.
+    # Half of the calls end in an error that leaves the attempt in doubt.
     "twice": {
         "seed": 4,
         "class": [{**SAFE, "name": "unsafe", "effect": "unsafe"}],
         "kind": [{**WORLD["kind"][0], "error_rate": 0.5}],
     },
-    # More comes than the slots carry until the relay is killed; what waited for one is found untried.
+    # The load exceeds the slots until the relay is killed; the restart recovers the waiting messages untried.
     "untried": {
         "class": [{**SAFE, "work_ms": 100.0, "deadline_s": 4.0}],
         "relays": {"count": 1, "back_s": 0.1, "slots_room": 0.1},
         "event": [{"at_s": 0.95, "what": "kill", "relay": 0}],
     },
     "drains": {"event": [{"at_s": 0.5, "what": "drain", "count": 2, "len_s": 2.5}]},
-    # After an outage all traffic meets an endpoint at a twenty-fifth of its capacity.
+    # After an outage an endpoint gets all traffic at a twenty-fifth of its capacity.
     "returns": {
         "load": {"rate_per_s": 60.0, "skew": 0.0},
         "partners": {
@@ -65,11 +65,11 @@
 
 
 @pytest.mark.parametrize("rule", RULES)
-def test_a_planted_fault_is_caught_and_the_real_relay_passes(rule: str, tmp_path: Path) -> None:
+def test_a_seeded_fault_is_caught_and_the_real_relay_passes(rule: str, tmp_path: Path) -> None:
     scenario = Scenario.model_validate({"name": rule} | WORLD | CASES[rule])
     done, _, kept = judged(scenario, tmp_path / "real")
     assert (kept.state, kept.breaches, done.complaints) == ("kept", (), [])
-    assert kept.checked[rule] > 0, "the world gave the rule no case"
+    assert kept.checked[rule] > 0, "the scenario has no case of the rule"
     with planted(RULES[rule]):
         _, _, broken = judged(scenario, tmp_path / "planted")
     assert broken.state == "broken"
