--- a/mallowlug/rig/judge/cold.py
+++ b/mallowlug/rig/judge/cold.py
@@ -38,7 +38,7 @@
         return self.cold_from + (1 - self.cold_from) * warm
 
     def work(self, start_us: int, end_us: int) -> float:
-        """Return the messages that it can process between two times, neither before its return."""
+        """Return the messages that it can process between two times, both at or after its return."""
         warm_end = min(max(self.at_us + self.warm_us, start_us), end_us)
         cold = (self.share(start_us) + self.share(warm_end)) / 2 * (warm_end - start_us)
         return (cold + (end_us - warm_end)) * self.per_s / 1e6
--- a/mallowlug/rig/judge/record.py
+++ b/mallowlug/rig/judge/record.py
@@ -63,7 +63,10 @@
 
 
 class RuleLimits(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Limits and tolerances of the rules. ``slack_us`` is added to each limit that is measured on sockets."""
+    """Limits and tolerances of the rules; times in microseconds.
+
+    ``slack_us`` is added to each limit that is measured on sockets.
+    """
 
     drain_grace_us: int = 500_000
     ask_within_us: int = 6_000_000
