--- a/mallowlug/rig/sim/ground.py
+++ b/mallowlug/rig/sim/ground.py
@@ -41,7 +41,7 @@
         self.place = Place(self.net.allocate_address, itertools.count(1))
         self.relays: list[SimRelay] = []
         self.fleet_seeds: list[str] = []  # seed addresses of the relays' fleet
-        self.writer: rec.Writer | None = None
+        self.writer: rec.RecordWriter | None = None
         self.net.max_sockets = lambda _lifetime: scenario.relays.sockets
         self.kernel.on_injected = self._record_fault
 
@@ -61,7 +61,7 @@
     def _record_fault(self, fault: InjectedFault) -> None:
         assert self.writer is not None
         detail = f"{fault.relay} life {fault.lifetime} {fault.point}"
-        self.writer.add(rec.Mark(self.writer.now, "strike", detail))
+        self.writer.add(rec.Annotation(self.writer.now, "strike", detail))
 
     def now_us(self) -> int:
         """The simulated monotonic clock."""
@@ -72,7 +72,7 @@
         return 0.0
 
     def relay(
-        self, name: str, folder: Path, writer: rec.Writer, config: Callable[[], dict[str, Any]]
+        self, name: str, folder: Path, writer: rec.RecordWriter, config: Callable[[], dict[str, Any]]
     ) -> SimRelay:
         """Create a relay on a machine of its own."""
         disk = SimDisk(random.Random(f"disk {name} {self.scenario.seed}"))
--- a/mallowlug/rig/sim/sweep.py
+++ b/mallowlug/rig/sim/sweep.py
@@ -12,7 +12,7 @@
 from pathlib import Path
 
 from mallowlug.rig.judge import record as rec
-from mallowlug.rig.judge.life import walk
+from mallowlug.rig.judge.life import find_violations
 from mallowlug.rig.judge.rules import judge
 from mallowlug.rig.sim.faults import swarm
 from mallowlug.rig.sim.ground import SimulatedRun, simulate
@@ -61,10 +61,10 @@
         complaints=(
             *done.complaints,
             *(verdict.reasons if verdict.state == "unknown" else ()),
-            *(f"model: {line}" for line in walk(record)),
+            *(f"model: {line}" for line in find_violations(record)),
         ),
         points=tuple((fault.relay, fault.lifetime, fault.point) for fault in done.injected),
-        messages=sum(isinstance(event, rec.Ask) for event in record.events),
+        messages=sum(isinstance(event, rec.MessageSubmitted) for event in record.events),
         length_s=done.length_s,
         calls=done.calls,
     )
--- a/mallowlug/rig/sim_cli.py
+++ b/mallowlug/rig/sim_cli.py
@@ -38,7 +38,7 @@
 
 def load_scenario(file: Path, seed: int | None, faults: bool) -> scenario.Scenario:
     """Load the scenario, with the faults of its seed if asked for."""
-    selected = rig.varied(scenario.load(file), seed, None)
+    selected = rig.with_overrides(scenario.load(file), seed, None)
     return swarm(selected, selected.seed) if faults else selected
 
 
@@ -60,15 +60,15 @@
 @rig.seed_option
 @rig.relays_option
 @faults_option
-@rig.usable
+@rig.reports_file_errors
 def run(file: Path, out: Path | None, seed: int | None, relays: int | None, faults: bool) -> int:
     """Run a scenario, judge and report it, as ``rig run`` does."""
-    selected = rig.varied(load_scenario(file, seed, faults), None, relays)
-    folder = rig.fresh(out, selected.name)
+    selected = rig.with_overrides(load_scenario(file, seed, faults), None, relays)
+    folder = rig.record_folder(out, selected.name)
     start_s = time.perf_counter()
     done = simulate(selected, folder)
     took_s = time.perf_counter() - start_s
-    code = rig.reported(done.path, folder / "report.html")
+    code = rig.judge_and_report(done.path, folder / "report.html")
     for name, lines in done.logs.items():
         (folder / f"{name}.log").write_text("\n".join(lines) + "\n", encoding="utf-8")
     print(f"{done.length_s:.1f} s simulated in {took_s:.1f} s\nrecord {done.path}")
@@ -82,7 +82,7 @@
 @click.option("--seeds", type=SeedRange(), required=True, help="A-B, or one.")
 @click.option("--jobs", type=click.IntRange(1), default=os.cpu_count() or 1, help="Parallel processes.")
 @click.option("--some-points", is_flag=True, help="Do not fail for points that none reached.")
-@rig.usable
+@rig.reports_file_errors
 def sweep_command(file: Path, seeds: range, jobs: int, some_points: bool) -> int:
     """Run every seed; print each failure with the command that replays it."""
     selected, total, start_s = scenario.load(file), sweep.SweepSummary(), time.perf_counter()
@@ -113,12 +113,12 @@
 @rig.out_option
 @rig.seed_option
 @faults_option
-@rig.usable
+@rig.reports_file_errors
 def hours_command(file: Path, count: int, out: Path | None, seed: int | None, faults: bool) -> int:
     """Repeat the scenario's hour and print what each relay holds at the end of each."""
     selected = load_scenario(file, seed, faults)
     try:
-        result = hours.run_hours(selected, count, rig.fresh(out, selected.name))
+        result = hours.run_hours(selected, count, rig.record_folder(out, selected.name))
     except hours.QuietPeriodError as error:
         raise click.UsageError(str(error)) from None
     for held in result.samples:
@@ -135,11 +135,11 @@
 @click.option("--out", type=rig.FILE, help="Folder for the small scenario, its record and story.")
 @rig.seed_option
 @faults_option
-@rig.usable
+@rig.reports_file_errors
 def shrink_command(file: Path, tries: int, out: Path | None, seed: int | None, faults: bool) -> int:
     """Minimize a failing scenario and write it with its story; exit code 1 if it fails."""
     selected = load_scenario(file, seed, faults)
-    folder = rig.fresh(out, f"{selected.name}-small")
+    folder = rig.record_folder(out, f"{selected.name}-small")
     result = shrink.shrink(selected, tries, lambda line: print(line, flush=True))
     if result is None:
         print("the scenario does not fail")
--- a/tests/rig/test_models.py
+++ b/tests/rig/test_models.py
@@ -15,7 +15,7 @@
 
 from mallowlug.rig.judge import cold
 from mallowlug.rig.judge import record as rec
-from mallowlug.rig.report.live import Live
+from mallowlug.rig.report.live import LiveState
 from mallowlug.rig.world import draw, replay, scenario
 from mallowlug.rig.world.host_model import HostModel, Job, KeyMemory, Refusal, effects
 from mallowlug.rig.world.scenario import EventTable, KindTable, Scenario
@@ -23,7 +23,7 @@
 from tests.rig.story import SECOND, Story
 from tests.world import ROOT
 
-RETURN = cold.Return(10 * SECOND, 4.0, 0.25, 10 * SECOND)
+RETURN = cold.ColdReturn(10 * SECOND, 4.0, 0.25, 10 * SECOND)
 KIND = KindTable(name="lots", share=1.0)
 
 
@@ -57,22 +57,22 @@
         if level >= 1:
             arrivals.append((at, 1.0))
             level -= 1
-    assert cold.overrun(RETURN, arrivals, 1.5, 3 * SECOND) is None
+    assert cold.first_overload(RETURN, arrivals, 1.5, 3 * SECOND) is None
 
 
 def test_a_burst_is_over_and_the_same_later_is_not() -> None:
     most = int(RETURN.budget(RETURN.at_us, 1.5, 3 * SECOND))
     burst = [(RETURN.at_us + n * 1000, 1.0) for n in range(most + 1)]
-    assert cold.overrun(RETURN, burst[:most], 1.5, 3 * SECOND) is None
-    found = cold.overrun(RETURN, burst, 1.5, 3 * SECOND)
+    assert cold.first_overload(RETURN, burst[:most], 1.5, 3 * SECOND) is None
+    found = cold.first_overload(RETURN, burst, 1.5, 3 * SECOND)
     assert found is not None
     assert found[0] == RETURN.at_us
-    assert cold.overrun(RETURN, [(at + 10 * SECOND, n) for at, n in burst], 1.5, 3 * SECOND) is None
+    assert cold.first_overload(RETURN, [(at + 10 * SECOND, n) for at, n in burst], 1.5, 3 * SECOND) is None
 
 
 def test_chance_has_the_room_that_the_standing_test_gives_it() -> None:
-    assert cold.most_in_window(16) == 16 + 3 * 4 + 3
-    assert cold.most_in_window(36) == 36 + 2 * 6 + 2
+    assert cold.max_in_window(16) == 16 + 3 * 4 + 3
+    assert cold.max_in_window(36) == 36 + 2 * 6 + 2
 
 
 def test_an_endpoint_serves_queues_and_refuses() -> None:
@@ -212,7 +212,9 @@
 
 def test_replayed_traffic_is_the_first_tries_and_nothing_else() -> None:
     story = Story().ask(100, "a", said="refused").ask(600, "b", first="a").ask(900, "c", "keyed", dest=2)
-    story.add(rec.Ask(901_000, "c", "n0", 2, "keyed", "m", SECOND))  # once more on a new connection
+    story.add(
+        rec.MessageSubmitted(901_000, "c", "n0", 2, "keyed", "m", SECOND)
+    )  # once more on a new connection
     traffic = replay.traffic_of(story.record())
     assert [(a.at_s, a.dest, a.cls) for a in traffic] == [(0.0, 1, "safe"), (pytest.approx(0.8), 2, "keyed")]
 
@@ -223,7 +225,7 @@
     kept = rec.read(tmp_path / "traffic")
     assert kept.whole
     assert replay.traffic_of(kept) == replay.traffic_of(story.record())
-    assert {type(event) for event in kept.events} == {rec.Ask, rec.End}
+    assert {type(event) for event in kept.events} == {rec.MessageSubmitted, rec.RecordEnd}
 
 
 def test_the_shipped_rush_hour_can_be_replayed() -> None:
@@ -248,12 +250,12 @@
 
 
 def test_the_live_view_counts_what_is_open() -> None:
-    live = Live()
+    live = LiveState()
     story = Story().ask(0, "a").ask(0, "b").ask(0, "c", said="refused")
     story.call(10, "a").call(10, "b", end="open").notice(100, "b")
     for event in story.record().events:
-        live.see(event)
-    assert live.open == {"n0": 0}
+        live.apply(event)
+    assert live.open_messages == {"n0": 0}
     assert (live.counts["asked"], live.counts["taken"], live.counts["refused"]) == (3, 2, 1)
-    assert live.out["a1"] == 1
+    assert live.calls_in_flight["a1"] == 1
     assert live.relays == {"n0": "ready"}
--- a/tests/rig/test_tail.py
+++ b/tests/rig/test_tail.py
@@ -1,4 +1,4 @@
-"""The tail of a record: what is slow, what never came, and what a call carried."""
+"""Latency of a record: slow and missing deliveries, and the messages that calls carried."""
 
 from __future__ import annotations
 
@@ -12,17 +12,17 @@
 from bench import tails
 from mallowlug.cli.main import main
 from mallowlug.rig.judge import record as rec
-from mallowlug.rig.judge.tail import quantile, tail_of
+from mallowlug.rig.judge.tail import latency_of, quantile
 from mallowlug.rig.world import scenario
 from mallowlug.rig.world.draw import hosts_of
 from tests.rig.story import Story
 from tests.world import ROOT
 
 
-def test_delivery_counts_from_the_first_try_and_what_never_came_is_the_tail() -> None:
+def test_delivery_counts_from_the_first_submission_and_undelivered_messages_are_the_tail() -> None:
     story = Story().ask(0, "a").call(10, "a", took=40).ask(0, "b").notice(900, "b")
     story.ask(100, "c", said="refused").ask(600, "d", first="c").call(700, "d", took=100)
-    found = tail_of(story.record())
+    found = latency_of(story.record())
     assert found.deliver_ms == (700.0, math.inf, math.inf)
     assert (found.messages, found.delivered, found.calls, found.carried) == (3, 2, 2, 2)
     assert found.accept_ms == (1.0, 1.0, 1.0)
@@ -30,29 +30,33 @@
 
 def test_a_batch_is_one_call_and_connections_are_counted_once() -> None:
     story = Story().ask(0, "a").ask(0, "b").ask(0, "c").call(10, "a", "b").call(200, "c")
-    found = tail_of(story.record())
+    found = latency_of(story.record())
     assert (found.calls, found.carried, found.connections) == (2, 3, 1)
 
 
 def test_a_record_without_traffic_has_no_quantiles() -> None:
-    found = tail_of(Story().record())
+    found = latency_of(Story().record())
     assert (found.accept_ms, found.deliver_ms, found.messages) == ((), (), 0)
 
 
 @given(st.lists(st.floats(0, 1e6), min_size=1, max_size=60), st.floats(0.001, 1))
-def test_a_quantile_is_the_least_value_that_covers_its_share(values: list[float], share: float) -> None:
+def test_a_quantile_is_the_smallest_value_that_covers_its_share(values: list[float], share: float) -> None:
     found = quantile(values, share)
     assert sum(value <= found for value in values) >= share * len(values)
     assert sum(value < found for value in values) < share * len(values)
 
 
 @pytest.mark.parametrize(("values", "share"), [([], 0.5), ([1.0], 0.0), ([1.0], 1.1)])
-def test_a_quantile_of_nothing_is_refused(values: list[float], share: float) -> None:
+def test_a_quantile_without_values_or_of_an_invalid_share_is_rejected(
+    values: list[float], share: float
+) -> None:
     with pytest.raises(ValueError, match="quantile"):
         quantile(values, share)
 
 
-def test_the_command_tells_each_record(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+def test_the_command_prints_a_line_for_each_record(
+    tmp_path: Path, capsys: pytest.CaptureFixture[str]
+) -> None:
     path = tmp_path / "record.jsonl"
     rec.save(Story().ask(0, "a").call(10, "a", took=40).record(), path)
     assert main(["rig", "tail", str(path), str(path)]) == 0
--- a/tests/sim/test_upgrades.py
+++ b/tests/sim/test_upgrades.py
@@ -72,7 +72,7 @@
 def test_an_upgrade_hands_all_messages_over(tmp_path: Path) -> None:
     done, record, verdict = judged(small_without_refusals(), tmp_path)
     assert (verdict.state, done.complaints) == ("kept", [])
-    ends = [ref for e in record.events if isinstance(e, rec.Answer) for ref, end in e.ends.items()
+    ends = [ref for e in record.events if isinstance(e, rec.CallAnswered) for ref, end in e.ends.items()
             if end == "delivered"]  # fmt: skip
     assert len(ends) == len(set(ends)) == 24
     assert any("handed over" in line for line in done.logs["n0"])
@@ -231,7 +231,7 @@
 def test_disabled_hosts_get_no_calls_through_kills_and_upgrades(seed: int, tmp_path: Path) -> None:
     _, record, verdict = judged(swarm(STAFF, seed), tmp_path)
     assert (verdict.state, verdict.breaches) == ("kept", ())
-    assert sum(isinstance(event, rec.Hand) for event in record.events) > 0
+    assert sum(isinstance(event, rec.HostDisabled) for event in record.events) > 0
 
 
 def run_upgrades(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> tuple[int, int, bool]:
