--- a/bench/members.py
+++ b/bench/members.py
@@ -34,8 +34,8 @@
 
 def false_deaths(net: Net) -> int:
     """How often somebody who lives was held dead."""
-    living = {side.me.relay for side in net.sides.values()}
-    return sum(event.what == "dead" and event.relay in living for _, event in net.events)
+    living = {side.own_update.relay for side in net.sides.values()}
+    return sum(event.change == "dead" and event.relay in living for _, event in net.events)
 
 
 def slowed(net: Net, size: int) -> None:
--- a/mallowlug/cli/fleet.py
+++ b/mallowlug/cli/fleet.py
@@ -11,7 +11,7 @@
 
 from mallowlug.config import ConfigError, address_of
 
-ANSWER_S = 2.0  # s for the console's answer
+RESPONSE_TIMEOUT_S = 2.0  # s for the console's answer
 STATES = ("alive", "suspect", "dead", "left")
 
 
@@ -36,9 +36,9 @@
 json_option = click.option("--json", "plain", is_flag=True, help="As the console tells it.")
 
 
-def asked(console: tuple[str, int]) -> bytes:
+def fetch_view(console: tuple[str, int]) -> bytes:
     """The view as the console tells it; ``click.ClickException`` where it tells none."""
-    connection = http.client.HTTPConnection(*console, timeout=ANSWER_S)
+    connection = http.client.HTTPConnection(*console, timeout=RESPONSE_TIMEOUT_S)
     try:
         connection.request("GET", "/fleet")
         answer = connection.getresponse()
@@ -52,7 +52,7 @@
     return body
 
 
-def lines_of(table: dict[str, Any]) -> list[str]:
+def format_view(table: dict[str, Any]) -> list[str]:
     """What staff read: the relay's own place first, then the members by state."""
     cut = ", CUT OFF: fewer than half are heard" if table["cut_off"] else ""
     slow = f", finds itself slow ({table['health']})" if table["health"] else ""
@@ -80,8 +80,8 @@
 @json_option
 def show(console: tuple[str, int], plain: bool) -> int:
     """The members, their states, and for how many parts are reckoned."""
-    body = asked(console)
-    click.echo(body.decode().strip() if plain else "\n".join(lines_of(msgspec.json.decode(body))))
+    body = fetch_view(console)
+    click.echo(body.decode().strip() if plain else "\n".join(format_view(msgspec.json.decode(body))))
     return 0
 
 
@@ -91,14 +91,14 @@
 @click.option("--times", type=click.IntRange(1), default=None, help="Stop after so many looks.")
 def watch(console: tuple[str, int], every: float, times: int | None) -> int:
     """Tell each change of the view, until it is broken off."""
-    looks, last = 0, ""
-    while times is None or looks < times:
-        table = msgspec.json.decode(asked(console))
-        found = " ".join(f"{name}={row['state']}/{row['life']}" for name, row in table["members"].items())
-        if found != last:
-            click.echo(f"{table['digest']}  parts {table['group']}  {found}")
-        looks, last = looks + 1, found
-        if times is None or looks < times:
+    polls, last = 0, ""
+    while times is None or polls < times:
+        table = msgspec.json.decode(fetch_view(console))
+        members = " ".join(f"{name}={row['state']}/{row['life']}" for name, row in table["members"].items())
+        if members != last:
+            click.echo(f"{table['digest']}  parts {table['group']}  {members}")
+        polls, last = polls + 1, members
+        if times is None or polls < times:
             time.sleep(every)
     return 0
 
@@ -109,7 +109,7 @@
 @json_option
 def why(member: str, console: tuple[str, int], plain: bool) -> int:
     """Why MEMBER is held as it is: who said so, and over which path it was heard."""
-    table = msgspec.json.decode(asked(console))
+    table = msgspec.json.decode(fetch_view(console))
     if (row := table["members"].get(member)) is None:
         raise click.ClickException(f"{member} is not known here")
     if plain:
--- a/mallowlug/compose.py
+++ b/mallowlug/compose.py
@@ -314,15 +314,15 @@
 
     def _join_fleet(self, plan: config.FleetPlan) -> None:
         """Start the agent for the fleet view, whose group size determines this relay's share of quotas."""
-        from mallowlug.fleet.agent import Agent, Place  # noqa: PLC0415
+        from mallowlug.fleet.agent import Agent, FleetConfig  # noqa: PLC0415
 
         cfg = self._cfg
-        place = Place(
+        fleet_config = FleetConfig(
             plan.name, plan.listen, plan.address, plan.seeds, plan.zone, plan.period_s, plan.settle_s
         )
         self._fleet_agent = self._operator_interface.fleet = Agent(
-            cfg.name, place, told=cfg.settings.group_size, folder=cfg.state, system=self._system,
-            version=VERSION, resized=self._apply_group_size,
+            cfg.name, fleet_config, configured_size=cfg.settings.group_size, folder=cfg.state,
+            system=self._system, version=VERSION, on_group_size_changed=self._apply_group_size,
         )  # fmt: skip
         self._fleet_agent.open()
 
--- a/mallowlug/fleet/agent.py
+++ b/mallowlug/fleet/agent.py
@@ -14,42 +14,44 @@
 
 from mallowlug.core.model import Address, parse_address
 from mallowlug.fleet import records as rec
-from mallowlug.fleet.quota_shares import Parts
-from mallowlug.fleet.records import Rumour
-from mallowlug.fleet.swim import Swim, Times
-from mallowlug.fleet.view import Event, shown
+from mallowlug.fleet.quota_shares import QuotaShares
+from mallowlug.fleet.records import MemberUpdate
+from mallowlug.fleet.swim import ProtocolTimes, Swim
+from mallowlug.fleet.view import ViewEvent, view_json
 from mallowlug.system import Disk, System, replace_file
 
 LOG = logging.getLogger(__name__)
-FILE = "fleet"  # in the lasting folder: the number of the last life
-AGAIN_S = 1.0  # s before an address that cannot be had is tried again
-FRESH = 5  # probe periods in which a digest that was heard counts as the member's present one
+LIFETIME_FILE = "fleet"  # in the lasting folder: the number of the last life
+BIND_RETRY_S = 1.0  # s before an address that cannot be had is tried again
+DIGEST_FRESH_INTERVALS = (
+    5  # probe periods in which a digest that was heard counts as the member's present one
+)
 
 
 @dataclass(frozen=True, slots=True)
-class Place:
+class FleetConfig:
     """What the operator file says of this relay's place. Times in seconds."""
 
     fleet: str
     listen: Address
-    address: str  # host:port that others are told
+    advertised_address: str  # host:port that others are told
     seeds: Collection[str]
     zone: str = ""
-    period_s: float = 1.0
+    probe_interval_s: float = 1.0
     settle_s: float = 30.0
 
 
-def lived(folder: Path, disk: Disk) -> int:
+def next_lifetime_number(folder: Path, disk: Disk) -> int:
     """The number of this life, which is kept for the next one: 1 more than the last that the folder knows.
 
     Where nothing can be read or kept it may have been used before; the others then say so, and it grows.
     """
     try:
-        last = int(disk.read(folder / FILE).decode("ascii").split()[0])
+        last = int(disk.read(folder / LIFETIME_FILE).decode("ascii").split()[0])
     except (OSError, ValueError, IndexError):
         last = 0
     try:
-        replace_file(disk, folder / FILE, f"{last + 1}\n".encode("ascii"))
+        replace_file(disk, folder / LIFETIME_FILE, f"{last + 1}\n".encode("ascii"))
     except OSError as error:
         LOG.error("fleet: life %d is not kept: %s", last + 1, error)
     return last + 1
@@ -61,31 +63,41 @@
     def __init__(
         self,
         relay: str,
-        place: Place,
+        fleet_config: FleetConfig,
         *,
-        told: int,
+        configured_size: int,
         folder: Path,
         system: System,
         version: str,
-        resized: Callable[[int], None],
+        on_group_size_changed: Callable[[int], None],
     ) -> None:
-        self._loop, self._system, self._place = asyncio.get_running_loop(), system, place
-        life = lived(folder, system.disk)
+        self._loop, self._system, self._fleet_config = asyncio.get_running_loop(), system, fleet_config
+        life = next_lifetime_number(folder, system.disk)
         self._rng = random.Random(f"{relay} {life} {system.wall_ns()}")
         mark = self._rng.getrandbits(48)
-        me = Rumour(relay, life, mark, 0, "alive", place.address, place.zone, version, relay)
-        self._times = Times(period_us=int(place.period_s * 1e6), answer_us=int(place.period_s * 3e5))
+        own_update = MemberUpdate(
+            relay, life, mark, 0, "alive", fleet_config.advertised_address, fleet_config.zone, version, relay
+        )
+        self._times = ProtocolTimes(
+            probe_interval_us=int(fleet_config.probe_interval_s * 1e6),
+            ack_timeout_us=int(fleet_config.probe_interval_s * 3e5),
+        )
         self.swim = Swim(
-            place.fleet, me, seeds=place.seeds, times=self._times, rng=self._rng, now_us=self._now_us()
+            fleet_config.fleet,
+            own_update,
+            seeds=fleet_config.seeds,
+            times=self._times,
+            rng=self._rng,
+            now_us=self._now_us(),
         )
-        self.parts = Parts(int(place.settle_s * 1e6), told)
-        self._resized, self._size = resized, told
+        self.quota_shares = QuotaShares(int(fleet_config.settle_s * 1e6), configured_size)
+        self._on_group_size_changed, self._group_size = on_group_size_changed, configured_size
         self._transport: asyncio.DatagramTransport | None = None
         self._timer: asyncio.TimerHandle | None = None
         self._opening: asyncio.Task[None] | None = None
-        self._clash: rec.Clash | None = None
-        self._halved = False
-        self.sent = self.received = self.foreign = 0
+        self._reported_clash: rec.Clash | None = None
+        self._cut_off = False
+        self.datagrams_sent = self.datagrams_received = self.foreign_datagrams = 0
 
     def _now_us(self) -> int:
         return int(self._loop.time() * 1e6)
@@ -97,27 +109,27 @@
     async def _open(self) -> None:
         while True:
             try:
-                sock = self._system.datagram(self._place.listen)
+                sock = self._system.datagram(self._fleet_config.listen)
                 break
             except OSError as error:
-                LOG.error("fleet: %s:%d cannot be had yet: %s", *self._place.listen, error)
-                await asyncio.sleep(AGAIN_S)
+                LOG.error("fleet: %s:%d cannot be had yet: %s", *self._fleet_config.listen, error)
+                await asyncio.sleep(BIND_RETRY_S)
         await self._loop.create_datagram_endpoint(lambda: self, sock=sock)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self._transport = cast(asyncio.DatagramTransport, transport)  # asyncio's own is none by its class
-        me = self.swim.me
-        LOG.info("fleet: %s, life %d, at %s", me.relay, me.life, me.address)
+        own = self.swim.own_update
+        LOG.info("fleet: %s, life %d, at %s", own.relay, own.life, own.address)
         self._tick()
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
         """Anybody can send one: what is not this fleet's is counted and left out."""
-        self.received += 1
+        self.datagrams_received += 1
         try:
-            frame = rec.decoded(data, self._place.fleet)
-        except rec.ForeignError as error:
-            self.foreign += 1
-            if self.foreign == 1:
+            frame = rec.decode(data, self._fleet_config.fleet)
+        except rec.ForeignDatagramError as error:
+            self.foreign_datagrams += 1
+            if self.foreign_datagrams == 1:
                 LOG.warning("fleet: a datagram from %s:%d was left out: %s", *addr, error)
             return
         self.swim.receive(self._now_us(), frame)
@@ -130,51 +142,55 @@
     def _tick(self) -> None:
         due_us = self.swim.tick(self._now_us())
         self._flush()
-        self._reckon()
+        self._update_group()
         self._timer = self._loop.call_later(max(0.001, (due_us - self._now_us()) / 1e6), self._tick)
 
     def _flush(self) -> None:
-        out, self.swim.out = self.swim.out, []
-        for address, frame in out:
+        outgoing, self.swim.outgoing = self.swim.outgoing, []
+        for address, frame in outgoing:
             try:
-                pair = parse_address(address)
+                destination = parse_address(address)
             except ValueError as error:
                 LOG.debug("fleet: %s", error)
                 continue
             if self._transport is not None and not self._transport.is_closing():
-                self._transport.sendto(rec.encoded(frame), pair)
-                self.sent += 1
+                self._transport.sendto(rec.encode(frame), destination)
+                self.datagrams_sent += 1
         events, self.swim.events = self.swim.events, []
         for event in events:
-            self._note(event)
-        if self.swim.clash != self._clash:
-            self._clash = self.swim.clash
-            if self._clash is not None:
-                LOG.error("fleet: another process lives as %s, at %s", self._clash.relay, self._clash.address)
-
-    def _note(self, event: Event) -> None:
-        level = logging.WARNING if event.what in ("suspect", "dead") else logging.INFO
-        by = (event.relay, event.life, event.what, event.by or event.relay, event.path)
-        LOG.log(level, "fleet: %s (life %d) %s, by %s over %s", *by)
-
-    def _reckon(self) -> None:
+            self._log_event(event)
+        if self.swim.clash != self._reported_clash:
+            self._reported_clash = self.swim.clash
+            if self._reported_clash is not None:
+                LOG.error(
+                    "fleet: another process lives as %s, at %s",
+                    self._reported_clash.relay,
+                    self._reported_clash.address,
+                )
+
+    def _log_event(self, event: ViewEvent) -> None:
+        level = logging.WARNING if event.change in ("suspect", "dead") else logging.INFO
+        values = (event.relay, event.life, event.change, event.by or event.relay, event.path)
+        LOG.log(level, "fleet: %s (life %d) %s, by %s over %s", *values)
+
+    def _update_group(self) -> None:
         """The group by which parts are reckoned, and whether this relay is cut off."""
         now_us, view = self._now_us(), self.swim.view
-        states = {relay: str(member.said.state) for relay, member in view.members.items()}
-        fresh_us = FRESH * self._times.period_us
-
-        def agree(group: Collection[str]) -> int:
-            return self.swim.agreeing(group, now_us, fresh_us)
-
-        size = self.parts.update(now_us, states, agree)
-        if size != self._size:
-            LOG.info("fleet: parts are reckoned for %d relays, not %d", size, self._size)
-            self._size = size
-            self._resized(size)
-        halved = 2 * len(view.here()) < len(self.parts.settled)
-        if halved != self._halved:
-            self._halved = halved
-            LOG.warning("fleet: %s", "cut off: fewer than half are heard" if halved else "no longer cut off")
+        states = {relay: str(member.update.state) for relay, member in view.members.items()}
+        fresh_us = DIGEST_FRESH_INTERVALS * self._times.probe_interval_us
+
+        def count_agreeing(group: Collection[str]) -> int:
+            return self.swim.count_agreeing(group, now_us, fresh_us)
+
+        size = self.quota_shares.update(now_us, states, count_agreeing)
+        if size != self._group_size:
+            LOG.info("fleet: parts are reckoned for %d relays, not %d", size, self._group_size)
+            self._group_size = size
+            self._on_group_size_changed(size)
+        cut_off = 2 * len(view.live_members()) < len(self.quota_shares.settled_group)
+        if cut_off != self._cut_off:
+            self._cut_off = cut_off
+            LOG.warning("fleet: %s", "cut off: fewer than half are heard" if cut_off else "no longer cut off")
 
     def close(self, leaving: bool) -> None:
         """Stop; with ``leaving`` the others are told that this relay goes."""
@@ -192,25 +208,29 @@
         """The view as JSON, for staff: own id, digest, group size, and the members with their causes."""
         swim, clash = self.swim, self.swim.clash
         head = {
-            "relay": swim.me.relay, "digest": f"{swim.view.digest:014x}", "group": self._size,
-            "health": swim.health, "now_us": self._now_us(), "cut_off": self._halved,
+            "relay": swim.own_update.relay, "digest": f"{swim.view.digest:014x}", "group": self._group_size,
+            "health": swim.local_health, "now_us": self._now_us(), "cut_off": self._cut_off,
             "clash": clash.address if clash is not None else "",
         }  # fmt: skip
         text = msgspec.json.encode(head).decode()
-        return f'{text[:-1]},"members":{shown(swim.view).decode()}}}\n'
+        return f'{text[:-1]},"members":{view_json(swim.view).decode()}}}\n'
 
     def metrics_text(self) -> str:
         """What a scrape reads of the fleet."""
-        states = [member.said.state for member in self.swim.view.members.values()]
-        names: tuple[rec.State, ...] = ("alive", "suspect", "dead", "left")
-        plain: dict[str, int] = {f"members_{name}": states.count(name) for name in names}
-        plain |= {"group": self._size, "health": self.swim.health, "cut_off": int(self._halved)}
+        states = [member.update.state for member in self.swim.view.members.values()]
+        state_names: tuple[rec.State, ...] = ("alive", "suspect", "dead", "left")
+        gauges: dict[str, int] = {f"members_{name}": states.count(name) for name in state_names}
+        gauges |= {"group": self._group_size, "health": self.swim.local_health, "cut_off": int(self._cut_off)}
         lines = [
-            f"# TYPE relay_fleet_{name} gauge\nrelay_fleet_{name} {value}\n" for name, value in plain.items()
+            f"# TYPE relay_fleet_{name} gauge\nrelay_fleet_{name} {value}\n" for name, value in gauges.items()
         ]
-        counts = {"sent": self.sent, "received": self.received, "foreign": self.foreign}
+        counters = {
+            "sent": self.datagrams_sent,
+            "received": self.datagrams_received,
+            "foreign": self.foreign_datagrams,
+        }
         lines += [
             f"# TYPE relay_fleet_{name}_total counter\nrelay_fleet_{name}_total {value}\n"
-            for name, value in counts.items()
+            for name, value in counters.items()
         ]
         return "".join(lines)
--- a/mallowlug/fleet/quota_shares.py
+++ b/mallowlug/fleet/quota_shares.py
@@ -18,7 +18,7 @@
 
 
 @dataclass(slots=True)
-class Parts:
+class QuotaShares:
     """One relay's reckoning.
 
     ``settle_us``: how long a death is held by a majority before it counts. ``told``: the group that the
@@ -27,42 +27,55 @@
     """
 
     settle_us: int
-    told: int = 1
-    met: bool = False
-    counted: set[str] = field(default_factory=set)  # relays that are reckoned with
-    settled: set[str] = field(default_factory=set)  # the last group that was agreed on
-    largest: int = 1  # settled group so far, less the leaves that were said
-    _agreed: dict[str, int] = field(default_factory=dict)  # by death: since when a majority holds it
+    configured_size: int = 1
+    configured_size_seen: bool = False
+    counted_relays: set[str] = field(default_factory=set)  # relays that are reckoned with
+    settled_group: set[str] = field(default_factory=set)  # the last group that was agreed on
+    largest_settled: int = 1  # settled group so far, less the leaves that were said
+    _majority_since_us: dict[str, int] = field(
+        default_factory=dict
+    )  # by death: since when a majority holds it
 
     @property
-    def size(self) -> int:
+    def group_size(self) -> int:
         """The group for which parts are reckoned, at least 1."""
-        return max(1, len(self.counted), -(-self.largest // 2), 0 if self.met else self.told)
+        return max(
+            1,
+            len(self.counted_relays),
+            -(-self.largest_settled // 2),
+            0 if self.configured_size_seen else self.configured_size,
+        )
 
-    def update(self, now_us: int, states: Mapping[str, str], agree: Callable[[Collection[str]], int]) -> int:
+    def update(
+        self, now_us: int, states: Mapping[str, str], count_agreeing: Callable[[Collection[str]], int]
+    ) -> int:
         """Take the view in. ``agree`` tells how many of a group hold the same view as this relay, itself with
         them. Returns the size.
         """
-        here = {relay for relay, state in states.items() if state in ("alive", "suspect")}
-        for relay in [relay for relay in self.counted if states.get(relay) == "left"]:
-            self.counted.discard(relay)
-            self.largest -= relay in self.settled
-            self.settled.discard(relay)
-        self.counted |= here
-        self.settled |= here
-        self.largest = max(self.largest, len(self.settled))
-        majority = agree(self.settled)
-        self.met |= len(self.settled) >= self.told
-        missing = self.counted - here
-        self._agreed = {relay: at for relay, at in self._agreed.items() if relay in missing}
-        if missing and 2 * majority > len(self.settled):
+        live = {relay for relay, state in states.items() if state in ("alive", "suspect")}
+        for relay in [relay for relay in self.counted_relays if states.get(relay) == "left"]:
+            self.counted_relays.discard(relay)
+            self.largest_settled -= relay in self.settled_group
+            self.settled_group.discard(relay)
+        self.counted_relays |= live
+        self.settled_group |= live
+        self.largest_settled = max(self.largest_settled, len(self.settled_group))
+        agreeing = count_agreeing(self.settled_group)
+        self.configured_size_seen |= len(self.settled_group) >= self.configured_size
+        missing = self.counted_relays - live
+        self._majority_since_us = {
+            relay: at for relay, at in self._majority_since_us.items() if relay in missing
+        }
+        if missing and 2 * agreeing > len(self.settled_group):
             for relay in missing:
-                self._agreed.setdefault(relay, now_us)
+                self._majority_since_us.setdefault(relay, now_us)
         else:
-            self._agreed.clear()
-        released = {relay for relay, at in self._agreed.items() if now_us - at >= self.settle_us}
+            self._majority_since_us.clear()
+        released = {relay for relay, at in self._majority_since_us.items() if now_us - at >= self.settle_us}
         if released:
-            self.counted -= released
-            self.settled -= released
-            self._agreed = {relay: at for relay, at in self._agreed.items() if relay not in released}
-        return self.size
+            self.counted_relays -= released
+            self.settled_group -= released
+            self._majority_since_us = {
+                relay: at for relay, at in self._majority_since_us.items() if relay not in released
+            }
+        return self.group_size
--- a/mallowlug/fleet/records.py
+++ b/mallowlug/fleet/records.py
@@ -12,10 +12,10 @@
 import msgspec
 
 VERSION = 1  # of the protocol; one that differs in this cannot be understood
-MOST_BYTES = 1400  # of a datagram: within an Ethernet frame behind any usual tunnel
-MOST_RUMOURS = 12  # in a frame beside what it is about
-MOST_ROWS, PAGE_BYTES = 16, 1000  # members on one page of a table, and their bytes
-MOST_PAGES = 128  # of a table
+MAX_DATAGRAM_BYTES = 1400  # of a datagram: within an Ethernet frame behind any usual tunnel
+MAX_UPDATES_PER_FRAME = 12  # in a frame beside what it is about
+MAX_ROWS_PER_PAGE, MAX_PAGE_BYTES = 16, 1000  # members on one page of a table, and their bytes
+MAX_PAGES = 128  # of a table
 
 Name = Annotated[str, msgspec.Meta(min_length=1, max_length=64)]
 Text = Annotated[str, msgspec.Meta(max_length=64)]
@@ -23,7 +23,7 @@
 State = Literal["alive", "suspect", "dead", "left"]
 
 
-class Rumour(msgspec.Struct, frozen=True, array_like=True):
+class MemberUpdate(msgspec.Struct, frozen=True, array_like=True):
     """What is said of one member. ``by``: who found it out; times are no part of it, as clocks differ."""
 
     relay: Name
@@ -68,7 +68,7 @@
 class Page(msgspec.Struct, frozen=True, tag="page"):
     """A part of the sender's table. ``wanted``: the receiver's is asked for."""
 
-    rows: Annotated[tuple[Rumour, ...], msgspec.Meta(max_length=MOST_ROWS)]
+    rows: Annotated[tuple[MemberUpdate, ...], msgspec.Meta(max_length=MAX_ROWS_PER_PAGE)]
     wanted: bool = False
 
 
@@ -94,50 +94,50 @@
     address: Text
     digest: Count  # of the sender's view
     body: Body
-    rumours: Annotated[tuple[Rumour, ...], msgspec.Meta(max_length=MOST_RUMOURS)] = ()
+    rumours: Annotated[tuple[MemberUpdate, ...], msgspec.Meta(max_length=MAX_UPDATES_PER_FRAME)] = ()
 
 
-class ForeignError(ValueError):
+class ForeignDatagramError(ValueError):
     """A datagram that is not this fleet's: its reason."""
 
 
-def pages(rows: Sequence[Rumour]) -> list[tuple[Rumour, ...]]:
+def split_into_pages(rows: Sequence[MemberUpdate]) -> list[tuple[MemberUpdate, ...]]:
     """A table in parts that fit a datagram each, beside the frame around them."""
-    found: list[list[Rumour]] = [[]]
-    size = 0
+    result: list[list[MemberUpdate]] = [[]]
+    page_bytes = 0
     for row in rows:
-        each = len(ENCODER.encode(row))
-        if found[-1] and (size + each > PAGE_BYTES or len(found[-1]) == MOST_ROWS):
-            found.append([])
-            size = 0
-        found[-1].append(row)
-        size += each
-    return [tuple(page) for page in found[:MOST_PAGES]]
+        row_bytes = len(ENCODER.encode(row))
+        if result[-1] and (page_bytes + row_bytes > MAX_PAGE_BYTES or len(result[-1]) == MAX_ROWS_PER_PAGE):
+            result.append([])
+            page_bytes = 0
+        result[-1].append(row)
+        page_bytes += row_bytes
+    return [tuple(page) for page in result[:MAX_PAGES]]
 
 
 ENCODER = msgspec.msgpack.Encoder()
 DECODER = msgspec.msgpack.Decoder(Frame)
 
 
-def encoded(frame: Frame) -> bytes:
+def encode(frame: Frame) -> bytes:
     """A datagram of at most ``MOST_BYTES``; what does not fit of its rumours is left out, the last first."""
     data = ENCODER.encode(frame)
-    while len(data) > MOST_BYTES and frame.rumours:
+    while len(data) > MAX_DATAGRAM_BYTES and frame.rumours:
         frame = msgspec.structs.replace(frame, rumours=frame.rumours[: len(frame.rumours) // 2])
         data = ENCODER.encode(frame)
     return data
 
 
-def decoded(data: bytes, fleet: str) -> Frame:
+def decode(data: bytes, fleet: str) -> Frame:
     """A datagram's frame; ``ForeignError`` for whatever is none of this fleet's."""
-    if len(data) > MOST_BYTES:
-        raise ForeignError(f"{len(data)} bytes")
+    if len(data) > MAX_DATAGRAM_BYTES:
+        raise ForeignDatagramError(f"{len(data)} bytes")
     try:
         frame = DECODER.decode(data)
     except (msgspec.MsgspecError, RecursionError, UnicodeDecodeError) as error:
-        raise ForeignError(f"no frame: {error}") from None
+        raise ForeignDatagramError(f"no frame: {error}") from None
     if frame.version != VERSION:
-        raise ForeignError(f"version {frame.version}, not {VERSION}")
+        raise ForeignDatagramError(f"version {frame.version}, not {VERSION}")
     if frame.fleet != fleet:
-        raise ForeignError(f"of fleet {frame.fleet!r}")
+        raise ForeignDatagramError(f"of fleet {frame.fleet!r}")
     return frame
--- a/mallowlug/fleet/swim.py
+++ b/mallowlug/fleet/swim.py
@@ -15,28 +15,32 @@
 import msgspec
 
 from mallowlug.fleet import records as rec
-from mallowlug.fleet.records import Frame, Rumour
-from mallowlug.fleet.view import Event, View
+from mallowlug.fleet.records import Frame, MemberUpdate
+from mallowlug.fleet.view import View, ViewEvent
 
-MOST_HEALTH = 8  # of the factor by which one that finds itself slow gives others more time
-MOST_PENDING = 64  # pings that others asked for, at once
-MOST_EVENTS = 256  # that nobody has taken yet
+MAX_HEALTH = 8  # of the factor by which one that finds itself slow gives others more time
+MAX_PENDING = 64  # pings that others asked for, at once
+MAX_EVENTS = 256  # that nobody has taken yet
 
 
 @dataclass(frozen=True, slots=True)
-class Times:
+class ProtocolTimes:
     """How often and how long; microseconds where not said otherwise."""
 
-    period_us: int = 1_000_000  # between two probes of one relay
-    answer_us: int = 300_000  # for an answer, before others are asked
-    helpers: int = 3  # who are asked to ping one that did not answer
-    suspicion: float = 4.0  # times the logarithm of the fleet's size: periods in which a suspect may answer
-    slackest: float = 6.0  # times as long while nobody else suspects it
-    spread: int = 3  # times the logarithm: frames that carry one rumour
-    table_us: int = 1_000_000  # between two tables sent by one relay
-    heal_us: int = 2_000_000  # between two pings to somebody who is gone, or to a seed
-    remember_us: int = 600_000_000  # how long the gone are remembered
-    late_us: int = 500_000  # by which a tick may be late before this relay thinks that it stood still
+    probe_interval_us: int = 1_000_000  # between two probes of one relay
+    ack_timeout_us: int = 300_000  # for an answer, before others are asked
+    indirect_probes: int = 3  # who are asked to ping one that did not answer
+    suspicion_multiplier: float = (
+        4.0  # times the logarithm of the fleet's size: periods in which a suspect may answer
+    )
+    max_suspicion_factor: float = 6.0  # times as long while nobody else suspects it
+    retransmit_multiplier: int = 3  # times the logarithm: frames that carry one rumour
+    table_interval_us: int = 1_000_000  # between two tables sent by one relay
+    reconnect_interval_us: int = 2_000_000  # between two pings to somebody who is gone, or to a seed
+    retain_departed_us: int = 600_000_000  # how long the gone are remembered
+    max_tick_delay_us: int = (
+        500_000  # by which a tick may be late before this relay thinks that it stood still
+    )
 
 
 @dataclass(slots=True)
@@ -45,9 +49,9 @@
 
     relay: str
     number: int
-    ask_us: int  # when others are asked
+    indirect_at_us: int  # when others are asked
     end_us: int
-    asked: int = 0
+    indirect_count: int = 0
     nacks: int = 0
 
 
@@ -56,361 +60,425 @@
     """How long a member may still answer."""
 
     since_us: int
-    least_us: int
-    most_us: int
-    by: set[str] = field(default_factory=set)
-    wanted: int = 1  # others whose word brings it down to the least
+    min_us: int
+    max_us: int
+    suspecting_relays: set[str] = field(default_factory=set)
+    confirmations_needed: int = 1  # others whose word brings it down to the least
 
     @property
     def end_us(self) -> int:
         """When the member is held dead: the sooner, the more of the others suspect it too."""
-        heard = max(0, len(self.by) - 1)
-        part = math.log(heard + 1) / math.log(self.wanted + 1) if self.wanted > 0 else 1.0
-        return self.since_us + max(self.least_us, int(self.most_us - part * (self.most_us - self.least_us)))
+        confirmations = max(0, len(self.suspecting_relays) - 1)
+        fraction = (
+            math.log(confirmations + 1) / math.log(self.confirmations_needed + 1)
+            if self.confirmations_needed > 0
+            else 1.0
+        )
+        return self.since_us + max(self.min_us, int(self.max_us - fraction * (self.max_us - self.min_us)))
 
 
 class Swim:
     """One relay's side. ``out`` and ``events`` are the caller's to take."""
 
     def __init__(
-        self, fleet: str, me: Rumour, *, seeds: Collection[str], times: Times, rng: random.Random, now_us: int
+        self,
+        fleet: str,
+        own_update: MemberUpdate,
+        *,
+        seeds: Collection[str],
+        times: ProtocolTimes,
+        rng: random.Random,
+        now_us: int,
     ) -> None:
         self.fleet, self.times, self._rng = fleet, times, rng
-        self.view = View(me, now_us)
-        self.seeds = [seed for seed in dict.fromkeys(seeds) if seed != me.address]
-        self.out: list[tuple[str, Frame]] = []
-        self.events: list[Event] = []
-        self.health = 0  # 0: well; above it this relay doubts itself first
+        self.view = View(own_update, now_us)
+        self.seeds = [seed for seed in dict.fromkeys(seeds) if seed != own_update.address]
+        self.outgoing: list[tuple[str, Frame]] = []
+        self.events: list[ViewEvent] = []
+        self.local_health = 0  # 0: well; above it this relay doubts itself first
         self.clash: rec.Clash | None = None  # another process that lives under this id
-        self._number = rng.getrandbits(32)
-        self._turns: list[str] = []  # whom to probe, in a drawn order
+        self._last_sequence_number = rng.getrandbits(32)
+        self._probe_order: list[str] = []  # whom to probe, in a drawn order
         self._probe: Probe | None = None
-        self._next_us = now_us  # of the next probe
-        self._heal_us = now_us  # of the next ping to a seed or to one who is gone
-        self._table_us = now_us  # before which no table is sent
-        self._due_us = now_us  # when the next tick was asked for
-        self._suspects: dict[str, Suspicion] = {}
-        self._rumours: dict[str, tuple[Rumour, int]] = {}  # by relay: what is passed on, and how often it was
-        self._helping: dict[int, tuple[str, int, int]] = {}  # by own number: who asked, its number, till when
-        self._doubts: dict[str, tuple[Rumour, int]] = {}  # a new life elsewhere, while the old one may live
-        self.heard: dict[str, tuple[int, int]] = {}  # by relay: its last digest, and when it came
-        self._say(me)
+        self._next_probe_us = now_us  # of the next probe
+        self._reconnect_at_us = now_us  # of the next ping to a seed or to one who is gone
+        self._table_allowed_us = now_us  # before which no table is sent
+        self._next_tick_us = now_us  # when the next tick was asked for
+        self._suspicions: dict[str, Suspicion] = {}
+        self._gossip_queue: dict[
+            str, tuple[MemberUpdate, int]
+        ] = {}  # by relay: what is passed on, and how often it was
+        self._indirect_requests: dict[
+            int, tuple[str, int, int]
+        ] = {}  # by own number: who asked, its number, till when
+        self._pending_claims: dict[
+            str, tuple[MemberUpdate, int]
+        ] = {}  # a new life elsewhere, while the old one may live
+        self.last_digests: dict[str, tuple[int, int]] = {}  # by relay: its last digest, and when it came
+        self._queue_update(own_update)
 
     @property
-    def me(self) -> Rumour:
+    def own_update(self) -> MemberUpdate:
         """What this relay says of itself."""
-        return self.view.own
+        return self.view.own_update
 
     # What comes in
 
     def receive(self, now_us: int, frame: Frame) -> None:
         """Take a frame in; one from this relay's own id is another process's, or an echo."""
-        if frame.sender == self.me.relay:
-            self._namesake(frame)
+        if frame.sender == self.own_update.relay:
+            self._detect_duplicate_id(frame)
             return
-        self.heard[frame.sender] = frame.digest, now_us
-        for said in frame.rumours:
-            self._hear(now_us, said, "rumour")
+        self.last_digests[frame.sender] = frame.digest, now_us
+        for update in frame.rumours:
+            self._handle_update(now_us, update, "rumour")
         body = frame.body
         match body:
             case rec.Ping():
-                self._pinged(now_us, frame, body)
+                self._handle_ping(now_us, frame, body)
             case rec.Ack():
-                self._acked(frame, body)
+                self._handle_ack(frame, body)
             case rec.Ask():
-                self._asked(now_us, frame, body)
+                self._handle_ask(now_us, frame, body)
             case rec.Nack():
                 if self._probe is not None and self._probe.number == body.number:
                     self._probe.nacks += 1
             case rec.Page():
-                for said in body.rows:
-                    self._hear(now_us, said, "table")
+                for update in body.rows:
+                    self._handle_update(now_us, update, "table")
                 if body.wanted:
                     self._send_table(now_us, frame.address, False)
             case rec.Clash():
-                if body.relay == self.me.relay and body.mark != self.me.mark:
+                if body.relay == self.own_update.relay and body.mark != self.own_update.mark:
                     self.clash = body
-        self._compare(now_us, frame)
+        self._compare_digests(now_us, frame)
 
-    def _namesake(self, frame: Frame) -> None:
-        if frame.mark != self.me.mark and frame.address != self.me.address:
+    def _detect_duplicate_id(self, frame: Frame) -> None:
+        if frame.mark != self.own_update.mark and frame.address != self.own_update.address:
             self.clash = rec.Clash(frame.sender, frame.mark, frame.address)
 
-    def _pinged(self, now_us: int, frame: Frame, ping: rec.Ping) -> None:
-        if not ping.relay or ping.relay == self.me.relay:
-            self._send(frame.address, rec.Ack(ping.number, self.me.relay))
-        held = self.view.members.get(frame.sender)
-        unknown = held is None or not held.here or held.said.life < frame.life
-        if unknown and now_us >= self._table_us:  # its table says who it is, and ours what it missed
+    def _handle_ping(self, now_us: int, frame: Frame, ping: rec.Ping) -> None:
+        if not ping.relay or ping.relay == self.own_update.relay:
+            self._send(frame.address, rec.Ack(ping.number, self.own_update.relay))
+        entry = self.view.members.get(frame.sender)
+        unknown = entry is None or not entry.is_live or entry.update.life < frame.life
+        if unknown and now_us >= self._table_allowed_us:  # its table says who it is, and ours what it missed
             self._send_table(now_us, frame.address, True)
 
-    def _acked(self, frame: Frame, ack: rec.Ack) -> None:
+    def _handle_ack(self, frame: Frame, ack: rec.Ack) -> None:
         probe = self._probe
         if probe is not None and ack.number == probe.number and ack.relay == probe.relay:
             self._probe = None
-            self.health = max(0, self.health - 1)
-        if (help_ := self._helping.pop(ack.number, None)) is not None:
-            address, number, _ = help_
+            self.local_health = max(0, self.local_health - 1)
+        if (request := self._indirect_requests.pop(ack.number, None)) is not None:
+            address, number, _ = request
             self._send(address, rec.Ack(number, ack.relay))
-        for relay, (said, _) in list(self._doubts.items()):
-            held = self.view.members.get(relay)
-            if ack.relay == relay and held is not None and frame.mark == held.said.mark:
-                del self._doubts[relay]  # the old life answers: the other process is told, and not taken in
-                self._send(said.address, rec.Clash(relay, frame.mark, frame.address))
-
-    def _asked(self, now_us: int, frame: Frame, ask: rec.Ask) -> None:
-        if len(self._helping) < MOST_PENDING:
-            number = self._numbered()
-            self._helping[number] = frame.address, ask.number, now_us + self.times.answer_us
+        for relay, (update, _) in list(self._pending_claims.items()):
+            entry = self.view.members.get(relay)
+            if ack.relay == relay and entry is not None and frame.mark == entry.update.mark:
+                del self._pending_claims[
+                    relay
+                ]  # the old life answers: the other process is told, and not taken in
+                self._send(update.address, rec.Clash(relay, frame.mark, frame.address))
+
+    def _handle_ask(self, now_us: int, frame: Frame, ask: rec.Ask) -> None:
+        if len(self._indirect_requests) < MAX_PENDING:
+            number = self._next_sequence_number()
+            self._indirect_requests[number] = frame.address, ask.number, now_us + self.times.ack_timeout_us
             self._send(ask.address, rec.Ping(number, ask.relay))
 
-    def _hear(self, now_us: int, said: Rumour, path: str) -> None:
+    def _handle_update(self, now_us: int, update: MemberUpdate, path: str) -> None:
         """One rumour: about this relay it may have to be answered, about others it may be news."""
-        if said.relay == self.me.relay:
-            self._about_me(now_us, said)
+        if update.relay == self.own_update.relay:
+            self._refute(now_us, update)
             return
-        held = self.view.members.get(said.relay)
-        if held is not None and self._elsewhere(held.said, said) and held.here:
-            self._doubt(now_us, held.said, said)
+        entry = self.view.members.get(update.relay)
+        if entry is not None and self._is_other_process(entry.update, update) and entry.is_live:
+            self._verify_claim(now_us, entry.update, update)
             return
-        if held is not None and msgspec.structs.replace(said, by=held.said.by) == held.said:
-            self._confirm(said)
-        self._hold(now_us, said, path)
+        if entry is not None and msgspec.structs.replace(update, by=entry.update.by) == entry.update:
+            self._confirm_suspicion(update)
+        self._apply_update(now_us, update, path)
 
-    def _confirm(self, said: Rumour) -> None:
+    def _confirm_suspicion(self, update: MemberUpdate) -> None:
         """One more suspects whom this relay suspects: worth passing on while it shortens the time."""
-        found = self._suspects.get(said.relay)
-        if found is not None and said.by not in found.by:
-            found.by.add(said.by)
-            if len(found.by) <= found.wanted + 1:
-                self._say(said)
+        suspicion = self._suspicions.get(update.relay)
+        if suspicion is not None and update.by not in suspicion.suspecting_relays:
+            suspicion.suspecting_relays.add(update.by)
+            if len(suspicion.suspecting_relays) <= suspicion.confirmations_needed + 1:
+                self._queue_update(update)
 
-    def _elsewhere(self, held: Rumour, said: Rumour) -> bool:
+    def _is_other_process(self, current: MemberUpdate, update: MemberUpdate) -> bool:
         """Whether a rumour tells of another process under a known id, at another place."""
-        return said.mark != held.mark and said.address != held.address and said.life >= held.life
+        return (
+            update.mark != current.mark and update.address != current.address and update.life >= current.life
+        )
 
-    def _doubt(self, now_us: int, held: Rumour, said: Rumour) -> None:
+    def _verify_claim(self, now_us: int, current: MemberUpdate, update: MemberUpdate) -> None:
         """Two processes under one id, perhaps: the one that is known is asked before the other counts."""
-        if said.relay not in self._doubts and len(self._doubts) < MOST_PENDING:
-            self._doubts[said.relay] = said, now_us + 2 * self.times.answer_us * (self.health + 1)
-            self._send(held.address, rec.Ping(self._numbered(), said.relay))
-
-    def _about_me(self, now_us: int, said: Rumour) -> None:
-        me = self.me
-        if said.mark != me.mark:
-            if said.life >= me.life and said.state in ("alive", "suspect") and said.address != me.address:
-                self.clash = rec.Clash(said.relay, said.mark, said.address)
-            elif said.life >= me.life:  # the folder is older than what others saw of this relay
-                self._renew(now_us, life=said.life + 1)
-        elif said.life > me.life:
-            self._renew(now_us, life=said.life + 1)
-        elif said.life == me.life and me.state == "alive" and said.state != "alive":
-            if said.incarnation < me.incarnation:
+        if update.relay not in self._pending_claims and len(self._pending_claims) < MAX_PENDING:
+            self._pending_claims[update.relay] = (
+                update,
+                now_us + 2 * self.times.ack_timeout_us * (self.local_health + 1),
+            )
+            self._send(current.address, rec.Ping(self._next_sequence_number(), update.relay))
+
+    def _refute(self, now_us: int, update: MemberUpdate) -> None:
+        own = self.own_update
+        if update.mark != own.mark:
+            if (
+                update.life >= own.life
+                and update.state in ("alive", "suspect")
+                and update.address != own.address
+            ):
+                self.clash = rec.Clash(update.relay, update.mark, update.address)
+            elif update.life >= own.life:  # the folder is older than what others saw of this relay
+                self._reassert_alive(now_us, life=update.life + 1)
+        elif update.life > own.life:
+            self._reassert_alive(now_us, life=update.life + 1)
+        elif update.life == own.life and own.state == "alive" and update.state != "alive":
+            if update.incarnation < own.incarnation:
                 return
-            self.health = min(MOST_HEALTH, self.health + 1)
-            self._renew(now_us, incarnation=said.incarnation + 1)
+            self.local_health = min(MAX_HEALTH, self.local_health + 1)
+            self._reassert_alive(now_us, incarnation=update.incarnation + 1)
 
-    def _renew(self, now_us: int, life: int | None = None, incarnation: int = 0) -> None:
+    def _reassert_alive(self, now_us: int, life: int | None = None, incarnation: int = 0) -> None:
         """Say once more that this relay is alive, so that it counts over what was said of it."""
         if life is not None:
             self.clash = None
-        life = self.me.life if life is None else life
-        said = msgspec.structs.replace(self.me, life=life, incarnation=incarnation, state="alive")
-        self.view.take(said, now_us, "own")
-        self._say(said)
-
-    def _hold(self, now_us: int, said: Rumour, path: str) -> None:
-        former = self.view.members.get(said.relay)
-        if not self.view.heeds(said):
+        life = self.own_update.life if life is None else life
+        update = msgspec.structs.replace(self.own_update, life=life, incarnation=incarnation, state="alive")
+        self.view.apply(update, now_us, "own")
+        self._queue_update(update)
+
+    def _apply_update(self, now_us: int, update: MemberUpdate, path: str) -> None:
+        former = self.view.members.get(update.relay)
+        if not self.view.supersedes(update):
             return
-        event = self.view.take(said, now_us, path)
-        self._say(said)
+        event = self.view.apply(update, now_us, path)
+        self._queue_update(update)
         if event is not None:
-            self._tell(event)
-        if said.state == "suspect":
-            if former is None or former.said.state != "suspect" or said.life > former.said.life:
-                self._suspect_from(now_us, said)
+            self._record_event(event)
+        if update.state == "suspect":
+            if former is None or former.update.state != "suspect" or update.life > former.update.life:
+                self._start_suspicion(now_us, update)
         else:
-            self._suspects.pop(said.relay, None)
-
-    def _suspect_from(self, now_us: int, said: Rumour) -> None:
-        size = max(2, len(self.view.here()))
-        least = int(self.times.suspicion * max(1.0, math.log10(size)) * self.times.period_us)
-        wanted = min(self.times.helpers, size - 2)
-        most = int(least * self.times.slackest) if wanted > 0 else least
-        self._suspects[said.relay] = Suspicion(now_us, least, most, {said.by}, wanted)
-
-    def _compare(self, now_us: int, frame: Frame) -> None:
+            self._suspicions.pop(update.relay, None)
+
+    def _start_suspicion(self, now_us: int, update: MemberUpdate) -> None:
+        size = max(2, len(self.view.live_members()))
+        min_us = int(
+            self.times.suspicion_multiplier * max(1.0, math.log10(size)) * self.times.probe_interval_us
+        )
+        confirmations_needed = min(self.times.indirect_probes, size - 2)
+        max_us = int(min_us * self.times.max_suspicion_factor) if confirmations_needed > 0 else min_us
+        self._suspicions[update.relay] = Suspicion(now_us, min_us, max_us, {update.by}, confirmations_needed)
+
+    def _compare_digests(self, now_us: int, frame: Frame) -> None:
         """Where digests differ, and rumours have had their time, tables are exchanged."""
-        if frame.digest == self.view.digest or now_us < self._table_us or isinstance(frame.body, rec.Page):
+        if (
+            frame.digest == self.view.digest
+            or now_us < self._table_allowed_us
+            or isinstance(frame.body, rec.Page)
+        ):
             return
-        if not self._rumours or len(self.view.members) == 1 or self._rng.random() < 0.1:
+        if not self._gossip_queue or len(self.view.members) == 1 or self._rng.random() < 0.1:
             self._send_table(now_us, frame.address, True)
 
     # What time brings
 
     def tick(self, now_us: int) -> int:
         """Do what is due; when the next tick is wanted."""
-        if now_us - self._due_us > self.times.late_us:
-            self._stood_still(now_us)
-        self._help_ends(now_us)
-        self._doubts_end(now_us)
-        self._probing(now_us)
-        for relay, suspicion in list(self._suspects.items()):
+        if now_us - self._next_tick_us > self.times.max_tick_delay_us:
+            self._detect_pause(now_us)
+        self._expire_indirect_requests(now_us)
+        self._expire_claims(now_us)
+        self._advance_probe(now_us)
+        for relay, suspicion in list(self._suspicions.items()):
             if now_us >= suspicion.end_us:
-                held = self.view.members[relay].said
-                self._hold(now_us, msgspec.structs.replace(held, state="dead", by=self.me.relay), "probe")
-        if now_us >= self._heal_us:
-            self._heal(now_us)
-        ends = [suspicion.end_us for suspicion in self._suspects.values()]
-        probe = [self._probe.ask_us if not self._probe.asked else self._probe.end_us] if self._probe else []
-        helps = [until_us for _, _, until_us in self._helping.values()]
-        helps += [until_us for _, until_us in self._doubts.values()]
-        self._due_us = max(now_us + 1000, min([self._next_us, self._heal_us, *ends, *probe, *helps]))
-        return self._due_us
-
-    def _stood_still(self, now_us: int) -> None:
+                current = self.view.members[relay].update
+                self._apply_update(
+                    now_us, msgspec.structs.replace(current, state="dead", by=self.own_update.relay), "probe"
+                )
+        if now_us >= self._reconnect_at_us:
+            self._contact_absent(now_us)
+        ends = [suspicion.end_us for suspicion in self._suspicions.values()]
+        probe = (
+            [self._probe.indirect_at_us if not self._probe.indirect_count else self._probe.end_us]
+            if self._probe
+            else []
+        )
+        expiries = [until_us for _, _, until_us in self._indirect_requests.values()]
+        expiries += [until_us for _, until_us in self._pending_claims.values()]
+        self._next_tick_us = max(
+            now_us + 1000, min([self._next_probe_us, self._reconnect_at_us, *ends, *probe, *expiries])
+        )
+        return self._next_tick_us
+
+    def _detect_pause(self, now_us: int) -> None:
         """This process did nothing for a while: what it waited for may lie unread, so nobody is blamed."""
-        late_us = now_us - self._due_us
-        self.health = min(MOST_HEALTH, self.health + 1)
+        late_us = now_us - self._next_tick_us
+        self.local_health = min(MAX_HEALTH, self.local_health + 1)
         self._probe = None
-        self._next_us = max(self._next_us, now_us + self.times.answer_us)
-        for suspicion in self._suspects.values():
+        self._next_probe_us = max(self._next_probe_us, now_us + self.times.ack_timeout_us)
+        for suspicion in self._suspicions.values():
             suspicion.since_us += late_us
-        self._renew(now_us, incarnation=self.me.incarnation + 1)  # it may be suspected, or dead, by now
+        self._reassert_alive(
+            now_us, incarnation=self.own_update.incarnation + 1
+        )  # it may be suspected, or dead, by now
 
-    def _help_ends(self, now_us: int) -> None:
-        for number, (address, asked, until_us) in list(self._helping.items()):
+    def _expire_indirect_requests(self, now_us: int) -> None:
+        for number, (address, request_number, until_us) in list(self._indirect_requests.items()):
             if now_us >= until_us:
-                del self._helping[number]
-                self._send(address, rec.Nack(asked))
+                del self._indirect_requests[number]
+                self._send(address, rec.Nack(request_number))
 
-    def _doubts_end(self, now_us: int) -> None:
-        for relay, (said, until_us) in list(self._doubts.items()):
+    def _expire_claims(self, now_us: int) -> None:
+        for relay, (update, until_us) in list(self._pending_claims.items()):
             if now_us >= until_us:  # the old life did not answer: it is gone
-                del self._doubts[relay]
-                self._hold(now_us, said, "probe")
+                del self._pending_claims[relay]
+                self._apply_update(now_us, update, "probe")
 
-    def _probing(self, now_us: int) -> None:
+    def _advance_probe(self, now_us: int) -> None:
         probe = self._probe
-        if probe is not None and not probe.asked and now_us >= probe.ask_us:
-            self._ask_others(probe)
+        if probe is not None and not probe.indirect_count and now_us >= probe.indirect_at_us:
+            self._probe_indirectly(probe)
         if probe is not None and now_us >= probe.end_us:
-            self._missed(now_us, probe)
-        if self._probe is None and now_us >= self._next_us:
-            self._begin(now_us)
+            self._fail_probe(now_us, probe)
+        if self._probe is None and now_us >= self._next_probe_us:
+            self._start_probe(now_us)
 
-    def _begin(self, now_us: int) -> None:
+    def _start_probe(self, now_us: int) -> None:
         """The next member's turn; each has one before any has another."""
-        self._next_us = now_us + int(self.times.period_us * self._rng.uniform(0.9, 1.1))
-        while self._turns or len(self.view.here()) > 1:
-            if not self._turns:
-                self._turns = [relay for relay in self.view.here() if relay != self.me.relay]
-                self._rng.shuffle(self._turns)
-            relay = self._turns.pop()
-            held = self.view.members.get(relay)
-            if held is None or not held.here:
+        self._next_probe_us = now_us + int(self.times.probe_interval_us * self._rng.uniform(0.9, 1.1))
+        while self._probe_order or len(self.view.live_members()) > 1:
+            if not self._probe_order:
+                self._probe_order = [
+                    relay for relay in self.view.live_members() if relay != self.own_update.relay
+                ]
+                self._rng.shuffle(self._probe_order)
+            relay = self._probe_order.pop()
+            entry = self.view.members.get(relay)
+            if entry is None or not entry.is_live:
                 continue
-            slack, number = self.health + 1, self._numbered()
-            answer_us, end_us = self.times.answer_us * slack, self.times.period_us * slack
+            time_factor, number = self.local_health + 1, self._next_sequence_number()
+            answer_us, end_us = (
+                self.times.ack_timeout_us * time_factor,
+                self.times.probe_interval_us * time_factor,
+            )
             self._probe = Probe(relay, number, now_us + answer_us, now_us + end_us)
-            about = [held.said] if held.said.state == "suspect" else []  # told first that it is suspected
-            self._send(held.said.address, rec.Ping(number, relay), about)
+            required_updates = (
+                [entry.update] if entry.update.state == "suspect" else []
+            )  # told first that it is suspected
+            self._send(entry.update.address, rec.Ping(number, relay), required_updates)
             return
 
-    def _ask_others(self, probe: Probe) -> None:
-        held = self.view.members[probe.relay].said
-        others = [r for r in self.view.here() if r not in (self.me.relay, probe.relay)]
-        chosen = self._rng.sample(others, min(self.times.helpers, len(others)))
-        probe.asked = max(1, len(chosen))
+    def _probe_indirectly(self, probe: Probe) -> None:
+        target = self.view.members[probe.relay].update
+        others = [r for r in self.view.live_members() if r not in (self.own_update.relay, probe.relay)]
+        chosen = self._rng.sample(others, min(self.times.indirect_probes, len(others)))
+        probe.indirect_count = max(1, len(chosen))
         for relay in chosen:
-            self._send(self.view.members[relay].said.address, rec.Ask(probe.number, held.relay, held.address))
+            self._send(
+                self.view.members[relay].update.address, rec.Ask(probe.number, target.relay, target.address)
+            )
 
-    def _missed(self, now_us: int, probe: Probe) -> None:
+    def _fail_probe(self, now_us: int, probe: Probe) -> None:
         """Nobody got an answer. Who heard not even those that it asked doubts itself too."""
         self._probe = None
-        others = len(self.view.here()) > 2
-        if others and probe.nacks < min(probe.asked, self.times.helpers):
-            self.health = min(MOST_HEALTH, self.health + 1)
-        held = self.view.members.get(probe.relay)
-        if held is None or not held.here:
+        others = len(self.view.live_members()) > 2
+        if others and probe.nacks < min(probe.indirect_count, self.times.indirect_probes):
+            self.local_health = min(MAX_HEALTH, self.local_health + 1)
+        entry = self.view.members.get(probe.relay)
+        if entry is None or not entry.is_live:
             return
-        said = msgspec.structs.replace(held.said, state="suspect", by=self.me.relay)
-        if held.said.state == "suspect":
-            self._confirm(said)
+        update = msgspec.structs.replace(entry.update, state="suspect", by=self.own_update.relay)
+        if entry.update.state == "suspect":
+            self._confirm_suspicion(update)
         else:
-            self._hold(now_us, said, "probe")
+            self._apply_update(now_us, update, "probe")
 
-    def _heal(self, now_us: int) -> None:
+    def _contact_absent(self, now_us: int) -> None:
         """Somebody who is gone, or a seed, is asked now and then: so a cut heals however long it was."""
-        self._heal_us = now_us + int(self.times.heal_us * self._rng.uniform(0.7, 1.3))
-        self.view.forget(now_us - self.times.remember_us)
-        for relay in [relay for relay in self.heard if relay not in self.view.members]:
-            del self.heard[relay]
-        here = {self.view.members[relay].said.address for relay in self.view.here()}
-        gone = [
-            member.said.address for relay, member in self.view.members.items()
-            if not member.here and relay != self.me.relay
+        self._reconnect_at_us = now_us + int(self.times.reconnect_interval_us * self._rng.uniform(0.7, 1.3))
+        self.view.remove_departed(now_us - self.times.retain_departed_us)
+        for relay in [relay for relay in self.last_digests if relay not in self.view.members]:
+            del self.last_digests[relay]
+        live_addresses = {self.view.members[relay].update.address for relay in self.view.live_members()}
+        departed_addresses = [
+            member.update.address for relay, member in self.view.members.items()
+            if not member.is_live and relay != self.own_update.relay
         ]  # fmt: skip
-        away = [seed for seed in self.seeds if seed not in here]
-        for group in (gone, away):
-            if group:
-                self._send(self._rng.choice(group), rec.Ping(self._numbered()))
+        absent_seeds = [seed for seed in self.seeds if seed not in live_addresses]
+        for addresses in (departed_addresses, absent_seeds):
+            if addresses:
+                self._send(self._rng.choice(addresses), rec.Ping(self._next_sequence_number()))
 
     # What goes out
 
     def leave(self) -> None:
         """Say that this relay goes, to a few at once; the last that it says."""
-        said = msgspec.structs.replace(self.me, state="left", by=self.me.relay)
-        self.view.take(said, self._due_us, "own")
-        others = [relay for relay in self.view.here() if relay != self.me.relay]
-        for relay in self._rng.sample(others, min(2 * self.times.helpers, len(others))):
-            self._send(self.view.members[relay].said.address, rec.Page((said,)))
+        update = msgspec.structs.replace(self.own_update, state="left", by=self.own_update.relay)
+        self.view.apply(update, self._next_tick_us, "own")
+        others = [relay for relay in self.view.live_members() if relay != self.own_update.relay]
+        for relay in self._rng.sample(others, min(2 * self.times.indirect_probes, len(others))):
+            self._send(self.view.members[relay].update.address, rec.Page((update,)))
 
-    def agreeing(self, group: Collection[str], now_us: int, fresh_us: int) -> int:
+    def count_agreeing(self, group: Collection[str], now_us: int, fresh_us: int) -> int:
         """How many of a group hold this view, this relay with them, as far as was heard lately."""
         return sum(
-            relay == self.me.relay
-            or (relay in self.heard and self.heard[relay][0] == self.view.digest
-                and now_us - self.heard[relay][1] <= fresh_us)
+            relay == self.own_update.relay
+            or (relay in self.last_digests and self.last_digests[relay][0] == self.view.digest
+                and now_us - self.last_digests[relay][1] <= fresh_us)
             for relay in group
         )  # fmt: skip
 
-    def _numbered(self) -> int:
-        self._number += 1
-        return self._number
+    def _next_sequence_number(self) -> int:
+        self._last_sequence_number += 1
+        return self._last_sequence_number
 
-    def _say(self, said: Rumour) -> None:
+    def _queue_update(self, update: MemberUpdate) -> None:
         """Pass a rumour on; of one relay the newest alone."""
-        self._rumours[said.relay] = said, 0
+        self._gossip_queue[update.relay] = update, 0
 
-    def _tell(self, event: Event) -> None:
+    def _record_event(self, event: ViewEvent) -> None:
         self.events.append(event)
-        del self.events[:-MOST_EVENTS]
+        del self.events[:-MAX_EVENTS]
 
-    def _chosen(self) -> list[Rumour]:
+    def _select_updates(self) -> list[MemberUpdate]:
         """Rumours for a frame, those first that were passed on least; each a bounded number of times."""
-        most = self.times.spread * max(1, math.ceil(math.log2(len(self.view.members) + 1)))
-        chosen = sorted(self._rumours.items(), key=lambda item: item[1][1])[: rec.MOST_RUMOURS - 1]
-        for relay, (said, count) in chosen:
-            if count + 1 >= most:
-                del self._rumours[relay]
+        max_transmissions = self.times.retransmit_multiplier * max(
+            1, math.ceil(math.log2(len(self.view.members) + 1))
+        )
+        chosen = sorted(self._gossip_queue.items(), key=lambda item: item[1][1])[
+            : rec.MAX_UPDATES_PER_FRAME - 1
+        ]
+        for relay, (update, count) in chosen:
+            if count + 1 >= max_transmissions:
+                del self._gossip_queue[relay]
             else:
-                self._rumours[relay] = said, count + 1
-        return [said for _, (said, _) in chosen]
-
-    def _send(self, address: str, body: rec.Body, about: Collection[Rumour] = ()) -> None:
-        rumours = (*about, *(said for said in self._chosen() if said not in about))
-        self.out.append((address, self._frame(body, rumours)))
-
-    def _frame(self, body: rec.Body, rumours: tuple[Rumour, ...] = ()) -> Frame:
-        me, digest = self.me, self.view.digest
-        return Frame(rec.VERSION, self.fleet, me.relay, me.life, me.mark, me.address, digest, body, rumours)
-
-    def _send_table(self, now_us: int, address: str, wanted: bool) -> None:
+                self._gossip_queue[relay] = update, count + 1
+        return [update for _, (update, _) in chosen]
+
+    def _send(self, address: str, body: rec.Body, required_updates: Collection[MemberUpdate] = ()) -> None:
+        updates = (
+            *required_updates,
+            *(update for update in self._select_updates() if update not in required_updates),
+        )
+        self.outgoing.append((address, self._frame(body, updates)))
+
+    def _frame(self, body: rec.Body, rumours: tuple[MemberUpdate, ...] = ()) -> Frame:
+        own, digest = self.own_update, self.view.digest
+        return Frame(
+            rec.VERSION, self.fleet, own.relay, own.life, own.mark, own.address, digest, body, rumours
+        )
+
+    def _send_table(self, now_us: int, address: str, request_table: bool) -> None:
         """All that is held, page by page; an answer to one that was asked for asks for none."""
-        if wanted:
-            self._table_us = now_us + int(self.times.table_us * self._rng.uniform(0.8, 1.2))
-        pages = rec.pages(self.view.rows())
-        for at, rows in enumerate(pages, 1):
-            self.out.append((address, self._frame(rec.Page(rows, wanted and at == len(pages)))))
+        if request_table:
+            self._table_allowed_us = now_us + int(self.times.table_interval_us * self._rng.uniform(0.8, 1.2))
+        pages = rec.split_into_pages(self.view.updates())
+        for number, rows in enumerate(pages, 1):
+            self.outgoing.append(
+                (address, self._frame(rec.Page(rows, request_table and number == len(pages))))
+            )
--- a/mallowlug/rig/sim/members.py
+++ b/mallowlug/rig/sim/members.py
@@ -11,9 +11,9 @@
 from itertools import count
 
 from mallowlug.fleet import records as rec
-from mallowlug.fleet.records import Rumour
-from mallowlug.fleet.swim import Swim, Times
-from mallowlug.fleet.view import Event
+from mallowlug.fleet.records import MemberUpdate
+from mallowlug.fleet.swim import ProtocolTimes, Swim
+from mallowlug.fleet.view import ViewEvent
 
 SECOND = 1_000_000
 
@@ -33,7 +33,7 @@
     """Relays by id, each with the processes that it had; what is said goes by ``address``."""
 
     seed: int = 1
-    times: Times = field(default_factory=Times)
+    times: ProtocolTimes = field(default_factory=ProtocolTimes)
     now_us: int = 10 * SECOND
 
     def __post_init__(self) -> None:
@@ -41,7 +41,7 @@
         self.sides: dict[str, Swim] = {}  # by address
         self.links: dict[tuple[str, str], Link] = {}
         self.plain = Link()
-        self.events: list[tuple[str, Event]] = []  # with the address of who holds it
+        self.events: list[tuple[str, ViewEvent]] = []  # with the address of who holds it
         self.sent, self.bytes = Counter[str](), Counter[str]()
         self.still: dict[str, int] = {}  # by address: it does nothing until then
         self._due: list[tuple[int, int, Callable[[], None]]] = []
@@ -50,9 +50,9 @@
     def start(self, relay: str, *, life: int = 1, seeds: Iterable[str] = (), address: str = "") -> Swim:
         """A process of a relay; an older one at its address is gone."""
         address = address or f"{relay}:1"
-        me = Rumour(relay, life, self.rng.getrandbits(48), 0, "alive", address, "a", "1", relay)
+        own_update = MemberUpdate(relay, life, self.rng.getrandbits(48), 0, "alive", address, "a", "1", relay)
         side = Swim(
-            "test", me, seeds=list(seeds), times=self.times,
+            "test", own_update, seeds=list(seeds), times=self.times,
             rng=random.Random(f"{self.seed} {address} {life}"), now_us=self.now_us,
         )  # fmt: skip
         self.sides[address] = side
@@ -116,12 +116,12 @@
         self.after(due_us - self.now_us, lambda: self._wake(address, side))
 
     def _flush(self, address: str, side: Swim) -> None:
-        out, side.out = side.out, []
+        out, side.outgoing = side.outgoing, []
         events, side.events = side.events, []
         self.events += [(address, event) for event in events]
         for target, frame in out:
-            data = rec.encoded(frame)
-            assert len(data) <= rec.MOST_BYTES
+            data = rec.encode(frame)
+            assert len(data) <= rec.MAX_DATAGRAM_BYTES
             self.sent[address] += 1
             self.bytes[address] += len(data)
             link = self.links.get((address, target), self.plain)
@@ -136,7 +136,7 @@
         if (until := self.still.get(address, 0)) > self.now_us:
             self.after(until - self.now_us, lambda: self._come(address, data))
             return
-        side.receive(self.now_us, rec.decoded(data, "test"))
+        side.receive(self.now_us, rec.decode(data, "test"))
         self._flush(address, side)
 
     # What is asked of it
@@ -144,12 +144,14 @@
     def agree(self, addresses: Iterable[str] | None = None) -> bool:
         """Whether these (or all) hold the same view, and in it each other, alive."""
         sides = [self.sides[a] for a in addresses] if addresses is not None else list(self.sides.values())
-        ids = {side.me.relay for side in sides}
+        ids = {side.own_update.relay for side in sides}
         return len({side.view.digest for side in sides}) == 1 and all(
-            {r for r, m in side.view.members.items() if m.said.state == "alive"} == ids for side in sides
+            {r for r, m in side.view.members.items() if m.update.state == "alive"} == ids for side in sides
         )
 
     def states(self, relay: str) -> Counter[str]:
         """How many hold a relay in each state."""
-        held = [side.view.members.get(relay) for side in self.sides.values() if side.me.relay != relay]
-        return Counter(member.said.state if member is not None else "unknown" for member in held)
+        held = [
+            side.view.members.get(relay) for side in self.sides.values() if side.own_update.relay != relay
+        ]
+        return Counter(member.update.state if member is not None else "unknown" for member in held)
--- a/tests/members/test_processes.py
+++ b/tests/members/test_processes.py
@@ -18,59 +18,61 @@
 from mallowlug.rig.judge import record as rec
 from mallowlug.rig.judge.members import judged
 from mallowlug.rig.world.fronts import Way
-from tests.members.ground import Ground, agreed, alive
+from tests.members.ground import FleetEnvironment, alive_members, views_agree
 from tests.world import ROOT, http_request, soon
 
 NAMES = ("n0", "n1", "n2", "n3", "n4")
 
 
 @pytest_asyncio.fixture
-async def ground(tmp_path: Path) -> AsyncIterator[Ground]:
+async def ground(tmp_path: Path) -> AsyncIterator[FleetEnvironment]:
     """Fault points, and no relay yet."""
-    ground = Ground(tmp_path)
+    ground = FleetEnvironment(tmp_path)
     yield ground
     await ground.stop()
     assert judged(ground.record) == []
     assert sum(isinstance(event, rec.Held) for event in ground.record) > 0
 
 
-async def five(ground: Ground) -> None:
+async def start_five_relays(ground: FleetEnvironment) -> None:
     """Five relays that have settled; two are everybody's seeds."""
     for name in NAMES:
         await ground.add(name, seed=name in NAMES[:2])
-    await ground.settled(*NAMES)
+    await ground.wait_settled(*NAMES)
 
 
-def held(tables: dict[str, Any], name: str) -> set[str]:
+def states_held(tables: dict[str, Any], name: str) -> set[str]:
     """In which states others hold a relay."""
     return {table["members"].get(name, {}).get("state", "") for own, table in tables.items() if own != name}
 
 
-async def test_a_crash_is_known_by_all_and_its_next_life_too(ground: Ground) -> None:
-    await five(ground)
+async def test_all_relays_learn_of_a_crash_and_of_the_restart(ground: FleetEnvironment) -> None:
+    await start_five_relays(ground)
     await ground.nodes["n3"].kill()
     rest = [name for name in NAMES if name != "n3"]
-    tables = await ground.until(lambda found: held(found, "n3") == {"dead"}, *rest)
+    tables = await ground.wait_until(lambda found: states_held(found, "n3") == {"dead"}, *rest)
     assert all(row["members"]["n3"]["by"] for row in tables.values())  # who said so
     await ground.start(ground.nodes["n3"])
-    tables = await ground.settled(*NAMES)
+    tables = await ground.wait_settled(*NAMES)
     assert {table["members"]["n3"]["life"] for table in tables.values()} == {2}
 
 
-async def test_a_return_faster_than_any_detection_is_heard_as_a_new_life(ground: Ground) -> None:
-    await five(ground)
+async def test_restart_before_detection_is_seen_as_a_new_lifetime(ground: FleetEnvironment) -> None:
+    await start_five_relays(ground)
     await ground.nodes["n4"].kill()
     await ground.start(ground.nodes["n4"])
 
     def new(tables: dict[str, Any]) -> bool:
-        return {table["members"]["n4"]["life"] for table in tables.values()} == {2} and agreed(tables, NAMES)
+        return {table["members"]["n4"]["life"] for table in tables.values()} == {2} and views_agree(
+            tables, NAMES
+        )
 
-    await ground.until(new, *NAMES)
+    await ground.wait_until(new, *NAMES)
     assert "n4 (life 2) new life" in ground.log("n0")
 
 
-async def test_a_relay_that_lost_its_folder_comes_back_in_a_life_of_its_own(ground: Ground) -> None:
-    await five(ground)
+async def test_relay_that_lost_its_state_folder_returns_with_a_new_lifetime(ground: FleetEnvironment) -> None:
+    await start_five_relays(ground)
     node = ground.nodes["n2"]
     await node.kill()
     shutil.rmtree(node.state)
@@ -78,94 +80,94 @@
     await ground.start(node)
 
     def above(tables: dict[str, Any]) -> bool:
-        return agreed(tables, NAMES) and all(t["members"]["n2"]["life"] >= 2 for t in tables.values())
+        return views_agree(tables, NAMES) and all(t["members"]["n2"]["life"] >= 2 for t in tables.values())
 
-    await ground.until(above, *NAMES)
+    await ground.wait_until(above, *NAMES)
 
 
-async def test_a_cut_heals_and_parts_grow_on_the_side_of_the_majority_alone(ground: Ground) -> None:
-    await five(ground)
-    await ground.until(lambda tables: {t["group"] for t in tables.values()} == {5}, *NAMES)
+async def test_partition_heals_and_only_the_majority_shrinks_its_group(ground: FleetEnvironment) -> None:
+    await start_five_relays(ground)
+    await ground.wait_until(lambda tables: {t["group"] for t in tables.values()} == {5}, *NAMES)
     few, most = ["n0", "n3"], ["n1", "n2", "n4"]
-    ground.fronts.apart(few, most)
-    await ground.settled(*most)
-    await ground.settled(*few)
-    tables = await ground.until(lambda found: {t["group"] for t in found.values()} == {3}, *most)
-    minority = await ground.until(lambda found: all(t["cut_off"] for t in found.values()), *few)
+    ground.proxies.apart(few, most)
+    await ground.wait_settled(*most)
+    await ground.wait_settled(*few)
+    tables = await ground.wait_until(lambda found: {t["group"] for t in found.values()} == {3}, *most)
+    minority = await ground.wait_until(lambda found: all(t["cut_off"] for t in found.values()), *few)
     assert {table["group"] for table in minority.values()} == {5}
     groups = [table["group"] for table in (*tables.values(), *minority.values())]
     assert sum(1 / group for group in groups) < 1.5
-    ground.fronts.heal()
-    await ground.settled(*NAMES)
-    await ground.until(lambda found: {t["group"] for t in found.values()} == {5}, *NAMES)
+    ground.proxies.heal()
+    await ground.wait_settled(*NAMES)
+    await ground.wait_until(lambda found: {t["group"] for t in found.values()} == {5}, *NAMES)
 
 
-async def test_two_that_cannot_hear_each_other_live_on_while_others_hear_both(ground: Ground) -> None:
-    await five(ground)
-    ground.fronts.way("n2", "n3", Way(cut=True))
-    before = ground.fronts.dropped["n2", "n3"] + ground.fronts.dropped["n3", "n2"]
+async def test_two_relays_without_a_path_stay_alive_while_others_reach_both(ground: FleetEnvironment) -> None:
+    await start_five_relays(ground)
+    ground.proxies.way("n2", "n3", Way(cut=True))
+    before = ground.proxies.dropped["n2", "n3"] + ground.proxies.dropped["n3", "n2"]
 
     async def tried() -> None:
-        while ground.fronts.dropped["n2", "n3"] + ground.fronts.dropped["n3", "n2"] < before + 12:
+        while ground.proxies.dropped["n2", "n3"] + ground.proxies.dropped["n3", "n2"] < before + 12:
             await asyncio.sleep(0.02)
 
     await soon(tried())
-    await ground.settled(*NAMES)
+    await ground.wait_settled(*NAMES)
     assert not any(f"fleet: {name} (life 1) dead" in ground.log(other) for name in NAMES for other in NAMES)
 
 
-async def test_a_one_way_cut_and_a_bad_link_evict_nobody(ground: Ground) -> None:
-    await five(ground)
-    ground.fronts.way("n1", "n4", Way(cut=True), both=False)
-    ground.fronts.way("n0", "n2", Way(loss=0.3, delay_s=0.02, jitter_s=0.02, doubled=0.3))
-    base = ground.fronts.carried["n0", "n2"]
+async def test_one_way_cut_and_lossy_link_evict_no_relay(ground: FleetEnvironment) -> None:
+    await start_five_relays(ground)
+    ground.proxies.way("n1", "n4", Way(cut=True), both=False)
+    ground.proxies.way("n0", "n2", Way(loss=0.3, delay_s=0.02, jitter_s=0.02, doubled=0.3))
+    base = ground.proxies.carried["n0", "n2"]
 
     async def used() -> None:
-        while ground.fronts.carried["n0", "n2"] < base + 20:
+        while ground.proxies.carried["n0", "n2"] < base + 20:
             await asyncio.sleep(0.02)
 
     await soon(used())
-    await ground.settled(*NAMES)
+    await ground.wait_settled(*NAMES)
     assert not any(") dead" in ground.log(name) for name in NAMES)
 
 
-async def test_one_that_stood_still_is_back_in_the_same_life(ground: Ground) -> None:
+async def test_paused_relay_returns_in_the_same_lifetime(ground: FleetEnvironment) -> None:
     """Long enough to be held dead; it answers with a higher incarnation, and evicts nobody itself."""
-    await five(ground)
+    await start_five_relays(ground)
     node = ground.nodes["n1"]
     node.signal(signal.SIGSTOP)
     rest = [name for name in NAMES if name != "n1"]
-    await ground.until(lambda found: held(found, "n1") == {"dead"}, *rest)
+    await ground.wait_until(lambda found: states_held(found, "n1") == {"dead"}, *rest)
     node.signal(signal.SIGCONT)
-    tables = await ground.settled(*NAMES)
+    tables = await ground.wait_settled(*NAMES)
     rows = [table["members"]["n1"] for table in tables.values()]
     assert {row["life"] for row in rows} == {1} and min(row["incarnation"] for row in rows) > 0
     assert ") dead" not in ground.log("n1")
 
 
-async def test_one_that_is_told_to_end_has_left_and_parts_grow_at_once(ground: Ground) -> None:
-    await five(ground)
+async def test_terminated_relay_leaves_and_the_group_shrinks_at_once(ground: FleetEnvironment) -> None:
+    await start_five_relays(ground)
     node = ground.nodes["n4"]
     node.signal(signal.SIGTERM)
     assert node.process is not None
     assert await soon(node.process.wait()) == 0
     rest = [name for name in NAMES if name != "n4"]
-    tables = await ground.until(lambda found: held(found, "n4") == {"left"}, *rest)
+    tables = await ground.wait_until(lambda found: states_held(found, "n4") == {"left"}, *rest)
     assert not any("n4 (life 1) dead" in ground.log(name) for name in rest)
-    await ground.until(lambda found: {t["group"] for t in found.values()} == {4}, *rest)
-    assert all(alive(table) == set(rest) for table in tables.values())
+    await ground.wait_until(lambda found: {t["group"] for t in found.values()} == {4}, *rest)
+    assert all(alive_members(table) == set(rest) for table in tables.values())
 
 
-async def test_one_joins_while_another_dies_and_a_third_die_at_once(ground: Ground) -> None:
-    await five(ground)
+async def test_join_during_a_crash_and_two_simultaneous_crashes(ground: FleetEnvironment) -> None:
+    await start_five_relays(ground)
     await asyncio.gather(ground.nodes["n2"].kill(), ground.add("n5"))
-    await ground.settled("n0", "n1", "n3", "n4", "n5")
+    await ground.wait_settled("n0", "n1", "n3", "n4", "n5")
     await asyncio.gather(ground.nodes["n3"].kill(), ground.nodes["n4"].kill())
-    await ground.settled("n0", "n1", "n5")
+    await ground.wait_settled("n0", "n1", "n5")
 
 
-async def test_two_processes_with_one_id_are_told_and_evict_nobody(ground: Ground) -> None:
-    await five(ground)
+async def test_duplicate_relay_id_is_reported_and_evicts_no_relay(ground: FleetEnvironment) -> None:
+    await start_five_relays(ground)
     twin = await ground.add("twin")
     await twin.kill()
     path = twin.folder / "config.json"
@@ -179,13 +181,13 @@
             await asyncio.sleep(0.02)
 
     await soon(told())
-    await ground.settled(*NAMES)
-    tables = await ground.settled(*NAMES)
+    await ground.wait_settled(*NAMES)
+    tables = await ground.wait_settled(*NAMES)
     assert {table["members"]["n3"]["life"] for table in tables.values()} == {1}
 
 
-async def test_figures_and_foreign_datagrams(ground: Ground) -> None:
-    await five(ground)
+async def test_metrics_and_foreign_datagrams(ground: FleetEnvironment) -> None:
+    await start_five_relays(ground)
     loop = asyncio.get_running_loop()
     transport, _ = await loop.create_datagram_endpoint(
         asyncio.DatagramProtocol, remote_addr=ground.nodes["n0"].listen
@@ -203,15 +205,15 @@
     text = await soon(counted())
     transport.close()
     assert "relay_fleet_members_alive 5\n" in text and "relay_fleet_cut_off 0\n" in text
-    await ground.settled(*NAMES)
+    await ground.wait_settled(*NAMES)
 
 
-async def test_staff_ask_by_command_who_is_there_and_why(ground: Ground) -> None:
+async def test_operator_commands_show_members_and_reasons(ground: FleetEnvironment) -> None:
     for name in NAMES[:3]:
         await ground.add(name, seed=name == "n0")
-    await ground.settled(*NAMES[:3])
+    await ground.wait_settled(*NAMES[:3])
     await ground.nodes["n2"].kill()
-    await ground.until(lambda found: held(found, "n2") == {"dead"}, "n0", "n1")
+    await ground.wait_until(lambda found: states_held(found, "n2") == {"dead"}, "n0", "n1")
     console = f"127.0.0.1:{ground.nodes['n0'].console}"
 
     async def said(*words: str) -> tuple[int, str]:
@@ -235,7 +237,7 @@
     assert code == 1 and "does not answer" in text
 
 
-def test_without_the_table_nothing_of_it_is_imported() -> None:
+def test_fleet_package_is_not_imported_without_fleet_configuration() -> None:
     text = "import sys, mallowlug.compose; print([n for n in sys.modules if n.startswith('mallowlug.fleet')])"
     found = subprocess.run([sys.executable, "-c", text], cwd=ROOT, capture_output=True, text=True, check=True)
     assert found.stdout == "[]\n"
--- a/tests/sim/test_members.py
+++ b/tests/sim/test_members.py
@@ -31,14 +31,14 @@
     real = Agent.open
 
     def opened(self: Agent) -> None:
-        agents[self.swim.me.relay] = self
+        agents[self.swim.own_update.relay] = self
         real(self)
 
     async def look(_world: World) -> None:
         await asyncio.sleep(AT_S)
         found.update(agents)
         for name, agent in found.items():
-            told[name] = agent.swim.view.digest, agent._size, frozenset(agent.swim.view.here())
+            told[name] = agent.swim.view.digest, agent._group_size, frozenset(agent.swim.view.live_members())
 
     told: dict[str, Any] = {}
     monkeypatch.setattr(Agent, "open", opened)
@@ -61,7 +61,7 @@
         {"at_s": 4.0, "what": "stall", "relay": 3, "len_s": 2.0},
         {"at_s": 6.0, "what": "upgrade", "relay": 4},
     )  # fmt: skip
-    lives = {name: agent.swim.me.life for name, agent in found.items()}
+    lives = {name: agent.swim.own_update.life for name, agent in found.items()}
     assert lives == {"n0": 1, "n1": 1, "n2": 2, "n3": 1, "n4": 2}
 
 
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -42,7 +42,7 @@
 
 
 def test_fleet_table_can_hold_all_members() -> None:
-    assert records.MOST_PAGES * records.MOST_ROWS > HOST_COUNT
+    assert records.MAX_PAGES * records.MAX_ROWS_PER_PAGE > HOST_COUNT
 
 
 def handover_of(hosts: list[str]) -> HandoverState:
