--- a/mallowlug/cli/fleet.py
+++ b/mallowlug/cli/fleet.py
@@ -1,4 +1,4 @@
-"""``mallowlug fleet``: ask a relay's console what it holds of its fleet. Nothing is changed by any of it."""
+"""``mallowlug fleet``: read-only commands that show a relay's view of its fleet, from its console."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 from mallowlug.config import ConfigError, address_of
 
-RESPONSE_TIMEOUT_S = 2.0  # s for the console's answer
+RESPONSE_TIMEOUT_S = 2.0  # for the console's response
 STATES = ("alive", "suspect", "dead", "left")
 
 
@@ -23,7 +23,7 @@
     def convert(
         self, value: Any, param: click.Parameter | None, ctx: click.Context | None
     ) -> tuple[str, int]:
-        """The address; a usage error where it is none."""
+        """Parse the address; an invalid one is a usage error."""
         try:
             return value if isinstance(value, tuple) else address_of(value)
         except ConfigError as error:
@@ -33,11 +33,11 @@
 console_option = click.option(
     "--console", type=Console(), envvar="ROUTER_CONSOLE", required=True, help="The relay's console."
 )
-json_option = click.option("--json", "plain", is_flag=True, help="As the console tells it.")
+json_option = click.option("--json", "plain", is_flag=True, help="Print the console's JSON.")
 
 
 def fetch_view(console: tuple[str, int]) -> bytes:
-    """The view as the console tells it; ``click.ClickException`` where it tells none."""
+    """Return the view as the console's JSON; raise ``click.ClickException`` if there is none."""
     connection = http.client.HTTPConnection(*console, timeout=RESPONSE_TIMEOUT_S)
     try:
         connection.request("GET", "/fleet")
@@ -53,12 +53,12 @@
 
 
 def format_view(table: dict[str, Any]) -> list[str]:
-    """What staff read: the relay's own place first, then the members by state."""
-    cut = ", CUT OFF: fewer than half are heard" if table["cut_off"] else ""
-    slow = f", finds itself slow ({table['health']})" if table["health"] else ""
-    lines = [f"{table['relay']}: view {table['digest']}, parts for {table['group']} relays{cut}{slow}"]
+    """Format the view for operators: the relay's own status first, then the members by state."""
+    cut = ", CUT OFF: fewer than half of the group are live" if table["cut_off"] else ""
+    slow = f"; local health score {table['health']}" if table["health"] else ""
+    lines = [f"{table['relay']}: view {table['digest']}, quota shares for {table['group']} relays{cut}{slow}"]
     if table["clash"]:
-        lines.append(f"ANOTHER PROCESS lives under this id, at {table['clash']}")
+        lines.append(f"ANOTHER PROCESS uses this id, at {table['clash']}")
     width = max(map(len, table["members"]))
     for state in STATES:
         for name, row in table["members"].items():
@@ -72,14 +72,14 @@
 
 @click.group("fleet")
 def group() -> None:
-    """Who is there, as one relay holds it. Exit codes: 0 told; 1 the console does not tell; 2 usage."""
+    """Fleet members as one relay sees them. Exit codes: 0 success; 1 no answer from the console; 2 usage."""
 
 
 @group.command("show")
 @console_option
 @json_option
 def show(console: tuple[str, int], plain: bool) -> int:
-    """The members, their states, and for how many parts are reckoned."""
+    """Show the members, their states, and the group size for quota shares."""
     body = fetch_view(console)
     click.echo(body.decode().strip() if plain else "\n".join(format_view(msgspec.json.decode(body))))
     return 0
@@ -88,15 +88,15 @@
 @group.command("watch")
 @console_option
 @click.option("--every", type=click.FloatRange(0.1), default=1.0, show_default=True, help="Seconds.")
-@click.option("--times", type=click.IntRange(1), default=None, help="Stop after so many looks.")
+@click.option("--times", type=click.IntRange(1), default=None, help="Stop after this many polls.")
 def watch(console: tuple[str, int], every: float, times: int | None) -> int:
-    """Tell each change of the view, until it is broken off."""
+    """Print each change of the view until interrupted."""
     polls, last = 0, ""
     while times is None or polls < times:
         table = msgspec.json.decode(fetch_view(console))
         members = " ".join(f"{name}={row['state']}/{row['life']}" for name, row in table["members"].items())
         if members != last:
-            click.echo(f"{table['digest']}  parts {table['group']}  {members}")
+            click.echo(f"{table['digest']}  group {table['group']}  {members}")
         polls, last = polls + 1, members
         if times is None or polls < times:
             time.sleep(every)
@@ -108,7 +108,7 @@
 @console_option
 @json_option
 def why(member: str, console: tuple[str, int], plain: bool) -> int:
-    """Why MEMBER is held as it is: who said so, and over which path it was heard."""
+    """Explain MEMBER's state: which relay reported it, and by which path it was received."""
     table = msgspec.json.decode(fetch_view(console))
     if (row := table["members"].get(member)) is None:
         raise click.ClickException(f"{member} is not known here")
--- a/mallowlug/fleet/__init__.py
+++ b/mallowlug/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""The relays' own view of their fleet: who is there, and for how large a group each reckons."""
+"""Fleet membership among relays, and the group size from which each relay derives its share of quotas."""
--- a/mallowlug/fleet/agent.py
+++ b/mallowlug/fleet/agent.py
@@ -1,4 +1,4 @@
-"""One relay's place in the fleet: a datagram socket and a timer around the protocol; its life on disk."""
+"""Runs the fleet protocol of one relay: datagram socket, timer, and the lifetime number on disk."""
 
 from __future__ import annotations
 
@@ -21,20 +21,18 @@
 from mallowlug.system import Disk, System, replace_file
 
 LOG = logging.getLogger(__name__)
-LIFETIME_FILE = "fleet"  # in the lasting folder: the number of the last life
-BIND_RETRY_S = 1.0  # s before an address that cannot be had is tried again
-DIGEST_FRESH_INTERVALS = (
-    5  # probe periods in which a digest that was heard counts as the member's present one
-)
+LIFETIME_FILE = "fleet"  # in the state folder: the last lifetime number
+BIND_RETRY_S = 1.0  # before binding to an unavailable address is retried
+DIGEST_FRESH_INTERVALS = 5  # a received digest counts as current for this many probe intervals
 
 
 @dataclass(frozen=True, slots=True)
 class FleetConfig:
-    """What the operator file says of this relay's place. Times in seconds."""
+    """Fleet settings from the operator file. Times in seconds."""
 
     fleet: str
     listen: Address
-    advertised_address: str  # host:port that others are told
+    advertised_address: str  # host:port that is announced to other relays
     seeds: Collection[str]
     zone: str = ""
     probe_interval_s: float = 1.0
@@ -42,9 +40,10 @@
 
 
 def next_lifetime_number(folder: Path, disk: Disk) -> int:
-    """The number of this life, which is kept for the next one: 1 more than the last that the folder knows.
+    """Return the lifetime number of this process, 1 more than the stored one, and store it.
 
-    Where nothing can be read or kept it may have been used before; the others then say so, and it grows.
+    If the file cannot be read or written, the number may have been used before; other relays then report the
+    higher one, and this relay raises its own.
     """
     try:
         last = int(disk.read(folder / LIFETIME_FILE).decode("ascii").split()[0])
@@ -53,12 +52,12 @@
     try:
         replace_file(disk, folder / LIFETIME_FILE, f"{last + 1}\n".encode("ascii"))
     except OSError as error:
-        LOG.error("fleet: life %d is not kept: %s", last + 1, error)
+        LOG.error("fleet: cannot store lifetime number %d: %s", last + 1, error)
     return last + 1
 
 
 class Agent(asyncio.DatagramProtocol):
-    """Keeps the view for as long as this process owns the relay's messages."""
+    """Maintains the view while this process owns the relay's messages."""
 
     def __init__(
         self,
@@ -103,7 +102,7 @@
         return int(self._loop.time() * 1e6)
 
     def open(self) -> None:
-        """Begin, as soon as the address can be had."""
+        """Start the protocol once the address can be bound."""
         self._opening = self._loop.create_task(self._open())
 
     async def _open(self) -> None:
@@ -112,31 +111,35 @@
                 sock = self._system.datagram(self._fleet_config.listen)
                 break
             except OSError as error:
-                LOG.error("fleet: %s:%d cannot be had yet: %s", *self._fleet_config.listen, error)
+                LOG.error("fleet: cannot bind to %s:%d, will retry: %s", *self._fleet_config.listen, error)
                 await asyncio.sleep(BIND_RETRY_S)
         await self._loop.create_datagram_endpoint(lambda: self, sock=sock)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self._transport = cast(asyncio.DatagramTransport, transport)  # asyncio's own is none by its class
+        self._transport = cast(asyncio.DatagramTransport, transport)  # asyncio's transport is not a subclass
         own = self.swim.own_update
-        LOG.info("fleet: %s, life %d, at %s", own.relay, own.life, own.address)
+        LOG.info("fleet: started as %s (life %d) at %s", own.relay, own.life, own.address)
         self._tick()
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
-        """Anybody can send one: what is not this fleet's is counted and left out."""
+        """Process a datagram. Any host can send one: those of other fleets are counted and ignored."""
         self.datagrams_received += 1
         try:
             frame = rec.decode(data, self._fleet_config.fleet)
         except rec.ForeignDatagramError as error:
             self.foreign_datagrams += 1
             if self.foreign_datagrams == 1:
-                LOG.warning("fleet: a datagram from %s:%d was left out: %s", *addr, error)
+                LOG.warning(
+                    "fleet: ignored a foreign datagram from %s:%d (only the first is logged): %s",
+                    *addr,
+                    error,
+                )
             return
         self.swim.receive(self._now_us(), frame)
         self._flush()
 
     def error_received(self, exc: Exception) -> None:
-        """Nobody is at an address; the probes find that out."""
+        """Log a socket error such as an unreachable address; probes detect the missing member."""
         LOG.debug("fleet: %s", exc)
 
     def _tick(self) -> None:
@@ -163,7 +166,7 @@
             self._reported_clash = self.swim.clash
             if self._reported_clash is not None:
                 LOG.error(
-                    "fleet: another process lives as %s, at %s",
+                    "fleet: another process uses id %s, at %s",
                     self._reported_clash.relay,
                     self._reported_clash.address,
                 )
@@ -174,7 +177,7 @@
         LOG.log(level, "fleet: %s (life %d) %s, by %s over %s", *values)
 
     def _update_group(self) -> None:
-        """The group by which parts are reckoned, and whether this relay is cut off."""
+        """Update the group size for quota shares, and whether this relay is cut off."""
         now_us, view = self._now_us(), self.swim.view
         states = {relay: str(member.update.state) for relay, member in view.members.items()}
         fresh_us = DIGEST_FRESH_INTERVALS * self._times.probe_interval_us
@@ -184,16 +187,19 @@
 
         size = self.quota_shares.update(now_us, states, count_agreeing)
         if size != self._group_size:
-            LOG.info("fleet: parts are reckoned for %d relays, not %d", size, self._group_size)
+            LOG.info("fleet: group size for quota shares is now %d relays, was %d", size, self._group_size)
             self._group_size = size
             self._on_group_size_changed(size)
         cut_off = 2 * len(view.live_members()) < len(self.quota_shares.settled_group)
         if cut_off != self._cut_off:
             self._cut_off = cut_off
-            LOG.warning("fleet: %s", "cut off: fewer than half are heard" if cut_off else "no longer cut off")
+            LOG.warning(
+                "fleet: %s",
+                "cut off: fewer than half of the group are live" if cut_off else "no longer cut off",
+            )
 
     def close(self, leaving: bool) -> None:
-        """Stop; with ``leaving`` the others are told that this relay goes."""
+        """Stop. With ``leaving``, announce to other relays that this relay leaves."""
         if leaving and self._transport is not None:
             self.swim.leave()
             self._flush()
@@ -205,7 +211,7 @@
             self._transport.close()
 
     def members_json(self) -> str:
-        """The view as JSON, for staff: own id, digest, group size, and the members with their causes."""
+        """Return the view as JSON for operators: own id, digest, group size and members."""
         swim, clash = self.swim, self.swim.clash
         head = {
             "relay": swim.own_update.relay, "digest": f"{swim.view.digest:014x}", "group": self._group_size,
@@ -216,7 +222,7 @@
         return f'{text[:-1]},"members":{view_json(swim.view).decode()}}}\n'
 
     def metrics_text(self) -> str:
-        """What a scrape reads of the fleet."""
+        """Return the fleet metrics in the Prometheus text format."""
         states = [member.update.state for member in self.swim.view.members.values()]
         state_names: tuple[rec.State, ...] = ("alive", "suspect", "dead", "left")
         gauges: dict[str, int] = {f"members_{name}": states.count(name) for name in state_names}
--- a/mallowlug/fleet/quota_shares.py
+++ b/mallowlug/fleet/quota_shares.py
@@ -1,14 +1,14 @@
-"""For how large a group a relay reckons its part of what all may take: paces, limits, cold budgets. No I/O.
+"""Group size from which a relay derives its share of send rates, limits and cold budgets. No I/O.
 
-A smaller view may never loosen what a relay takes: in a cut each side would take the other's part. So a part
-shrinks at once by whoever joins, and grows only by a leave that was said, or by a death that a majority of
-the last settled group holds for ``settle_us``. Whoever sees no majority goes on with its old part.
+A smaller view must not by itself enlarge a relay's share: in a partition each side would take the other's.
+So a share shrinks at once when a relay joins, and grows only after an announced leave, or a death that a
+majority of the last settled group holds for ``settle_us``. A relay without a majority keeps its share.
 
-Bound of the sum of all parts: 1 undisturbed. In a cut one side at most has a majority of n; it comes to a
-group of a > n/2, the others stay at n, so the sum is at most a/a + (n - a)/n < 3/2. Each further cut inside
-the majority may add less than 1/2 in the same way. The group never goes below half of the largest that was
-settled (less those who said that they leave), so with at most that many alive the sum stays within 2,
-however often the fleet is cut.
+Bound on the sum of all shares: 1 if undisturbed. In a partition at most one side has a majority of n; it
+shrinks to a group of a > n/2, the others stay at n, so the sum is at most a/a + (n - a)/n < 3/2. Each further
+partition inside the majority may add less than 1/2 in the same way. The group never goes below half of the
+largest settled one (less announced leaves), so with at most that many relays alive the sum stays within 2,
+however often the fleet is partitioned.
 """
 
 from __future__ import annotations
@@ -19,26 +19,24 @@
 
 @dataclass(slots=True)
 class QuotaShares:
-    """One relay's reckoning.
+    """Group size of one relay.
 
-    ``settle_us``: how long a death is held by a majority before it counts. ``told``: the group that the
-    settings name, which counts until so many have been seen: one that has just started knows nobody, and who
-    was not seen yet may be there.
+    ``settle_us``: how long a majority must hold a death before it counts. ``configured_size``: the group size
+    of the settings, a lower bound until that many relays have been seen, since a relay that has just started
+    knows no other, and relays not yet seen may be alive.
     """
 
     settle_us: int
     configured_size: int = 1
     configured_size_seen: bool = False
-    counted_relays: set[str] = field(default_factory=set)  # relays that are reckoned with
-    settled_group: set[str] = field(default_factory=set)  # the last group that was agreed on
-    largest_settled: int = 1  # settled group so far, less the leaves that were said
-    _majority_since_us: dict[str, int] = field(
-        default_factory=dict
-    )  # by death: since when a majority holds it
+    counted_relays: set[str] = field(default_factory=set)  # relays included in the group size
+    settled_group: set[str] = field(default_factory=set)  # the last group that was agreed on, for majorities
+    largest_settled: int = 1  # size of the largest settled group, less announced leaves
+    _majority_since_us: dict[str, int] = field(default_factory=dict)  # by dead relay: start of the majority
 
     @property
     def group_size(self) -> int:
-        """The group for which parts are reckoned, at least 1."""
+        """The group size for quota shares, at least 1."""
         return max(
             1,
             len(self.counted_relays),
@@ -49,8 +47,9 @@
     def update(
         self, now_us: int, states: Mapping[str, str], count_agreeing: Callable[[Collection[str]], int]
     ) -> int:
-        """Take the view in. ``agree`` tells how many of a group hold the same view as this relay, itself with
-        them. Returns the size.
+        """Apply the states of the view and return the group size.
+
+        ``count_agreeing`` returns how many of a group hold the same view as this relay, itself included.
         """
         live = {relay for relay, state in states.items() if state in ("alive", "suspect")}
         for relay in [relay for relay in self.counted_relays if states.get(relay) == "left"]:
--- a/mallowlug/fleet/records.py
+++ b/mallowlug/fleet/records.py
@@ -1,7 +1,7 @@
-"""What relays say to each other: typed records, each datagram one of them, bounded in size and number.
+"""Wire format of the fleet protocol: typed records, one frame per datagram, bounded in size. No I/O.
 
-Unknown fields are passed over, so that a later version may say more; a record that is no record, of another
-fleet or of another version of the protocol is left out with its reason. No I/O.
+Unknown fields are ignored, so that later versions can add fields. A malformed datagram, or one of another
+fleet or protocol version, is rejected with a reason.
 """
 
 from __future__ import annotations
@@ -11,11 +11,11 @@
 
 import msgspec
 
-VERSION = 1  # of the protocol; one that differs in this cannot be understood
-MAX_DATAGRAM_BYTES = 1400  # of a datagram: within an Ethernet frame behind any usual tunnel
-MAX_UPDATES_PER_FRAME = 12  # in a frame beside what it is about
-MAX_ROWS_PER_PAGE, MAX_PAGE_BYTES = 16, 1000  # members on one page of a table, and their bytes
-MAX_PAGES = 128  # of a table
+VERSION = 1  # of the protocol; versions are not compatible with each other
+MAX_DATAGRAM_BYTES = 1400  # fits an Ethernet frame with the overhead of any usual tunnel
+MAX_UPDATES_PER_FRAME = 12  # gossip beside the body
+MAX_ROWS_PER_PAGE, MAX_PAGE_BYTES = 16, 1000  # of the member table
+MAX_PAGES = 128  # of one member table
 
 Name = Annotated[str, msgspec.Meta(min_length=1, max_length=64)]
 Text = Annotated[str, msgspec.Meta(max_length=64)]
@@ -24,35 +24,35 @@
 
 
 class MemberUpdate(msgspec.Struct, frozen=True, array_like=True):
-    """What is said of one member. ``by``: who found it out; times are no part of it, as clocks differ."""
+    """Gossip update about one member. ``by``: the relay that detected it. No times, as clocks differ."""
 
     relay: Name
-    life: Count  # grows with each start of the relay, by its folder
-    mark: Count  # drawn at the life's start: tells two processes of one id and life apart
-    incarnation: Count  # grows where the member answers a false suspicion
+    life: Count  # lifetime number: grows with each start, kept in the state folder
+    mark: Count  # random, drawn at start: distinguishes two processes of one id and lifetime
+    incarnation: Count  # raised by the member to refute a false suspicion
     state: State
-    address: Text  # host:port at which it is reached
+    address: Text  # host:port
     zone: Text = ""
     version: Text = ""  # of the program
     by: Text = ""
 
 
 class Ping(msgspec.Struct, frozen=True, tag="ping"):
-    """Are you there? ``relay``: who is meant; empty where only an address is known."""
+    """Probe. ``relay``: the intended receiver; empty if only the address is known."""
 
     number: Count
     relay: Text = ""
 
 
 class Ack(msgspec.Struct, frozen=True, tag="ack"):
-    """I am; ``relay``: who that is, since one may answer for another who was asked about."""
+    """Answer to a ping. ``relay``: the member that answered; a helper relays it after an indirect probe."""
 
     number: Count
     relay: Name
 
 
 class Ask(msgspec.Struct, frozen=True, tag="ask"):
-    """Ping this member for me, and tell me, either way."""
+    """Request for an indirect probe of a member, answered by an ack or a nack."""
 
     number: Count
     relay: Name
@@ -60,20 +60,20 @@
 
 
 class Nack(msgspec.Struct, frozen=True, tag="nack"):
-    """It has not answered me so far; so who asked is heard at least."""
+    """The indirect probe has no answer yet; shows the requester that the helper hears it."""
 
     number: Count
 
 
 class Page(msgspec.Struct, frozen=True, tag="page"):
-    """A part of the sender's table. ``wanted``: the receiver's is asked for."""
+    """One page of the sender's member table. ``wanted``: requests the receiver's table."""
 
     rows: Annotated[tuple[MemberUpdate, ...], msgspec.Meta(max_length=MAX_ROWS_PER_PAGE)]
     wanted: bool = False
 
 
 class Clash(msgspec.Struct, frozen=True, tag="clash"):
-    """Your id is another process's that lives: with that mark, at that address."""
+    """Reports that another live process uses the receiver's id, with its mark and address."""
 
     relay: Name
     mark: Count
@@ -84,7 +84,7 @@
 
 
 class Frame(msgspec.Struct, frozen=True):
-    """One datagram. ``address``: where the sender is reached, whatever the datagram's own source says."""
+    """One datagram. ``address``: the sender's advertised address; the source address is not used."""
 
     version: int
     fleet: Name
@@ -92,17 +92,17 @@
     life: Count
     mark: Count
     address: Text
-    digest: Count  # of the sender's view
+    digest: Count  # of the sender's view of the fleet
     body: Body
     rumours: Annotated[tuple[MemberUpdate, ...], msgspec.Meta(max_length=MAX_UPDATES_PER_FRAME)] = ()
 
 
 class ForeignDatagramError(ValueError):
-    """A datagram that is not this fleet's: its reason."""
+    """The datagram does not belong to this fleet; the text is the reason."""
 
 
 def split_into_pages(rows: Sequence[MemberUpdate]) -> list[tuple[MemberUpdate, ...]]:
-    """A table in parts that fit a datagram each, beside the frame around them."""
+    """Split a table into pages that each fit a datagram with the frame around them."""
     result: list[list[MemberUpdate]] = [[]]
     page_bytes = 0
     for row in rows:
@@ -120,7 +120,7 @@
 
 
 def encode(frame: Frame) -> bytes:
-    """A datagram of at most ``MOST_BYTES``; what does not fit of its rumours is left out, the last first."""
+    """Encode a frame in at most ``MAX_DATAGRAM_BYTES``; drops updates from the end until it fits."""
     data = ENCODER.encode(frame)
     while len(data) > MAX_DATAGRAM_BYTES and frame.rumours:
         frame = msgspec.structs.replace(frame, rumours=frame.rumours[: len(frame.rumours) // 2])
@@ -129,15 +129,15 @@
 
 
 def decode(data: bytes, fleet: str) -> Frame:
-    """A datagram's frame; ``ForeignError`` for whatever is none of this fleet's."""
+    """Decode a datagram; raise ``ForeignDatagramError`` if it does not belong to this fleet."""
     if len(data) > MAX_DATAGRAM_BYTES:
-        raise ForeignDatagramError(f"{len(data)} bytes")
+        raise ForeignDatagramError(f"datagram of {len(data)} bytes is too long")
     try:
         frame = DECODER.decode(data)
     except (msgspec.MsgspecError, RecursionError, UnicodeDecodeError) as error:
-        raise ForeignDatagramError(f"no frame: {error}") from None
+        raise ForeignDatagramError(f"malformed frame: {error}") from None
     if frame.version != VERSION:
-        raise ForeignDatagramError(f"version {frame.version}, not {VERSION}")
+        raise ForeignDatagramError(f"protocol version {frame.version}, expected {VERSION}")
     if frame.fleet != fleet:
-        raise ForeignDatagramError(f"of fleet {frame.fleet!r}")
+        raise ForeignDatagramError(f"frame of another fleet, {frame.fleet!r}")
     return frame
--- a/mallowlug/fleet/swim.py
+++ b/mallowlug/fleet/swim.py
@@ -1,8 +1,8 @@
-"""The protocol by which relays keep their view: SWIM with suspicion, Lifeguard's local health, and tables
-that are exchanged where digests differ. No I/O: frames and times in, frames, events and the next time out.
+"""Membership protocol of the relays: SWIM with suspicion, Lifeguard's local health, and exchange of full
+member tables when digests differ. No I/O: takes frames and times; yields frames, events and the next tick.
 
-After Das, Gupta, Motivala, "SWIM" (DSN 2002), and Dadgar, Phillips, Currey, "Lifeguard" (2017); the options
-that were weighed are in ``docs/design-fleet-view.md``. Times are microseconds of the caller's clock.
+After Das, Gupta, Motivala, "SWIM" (DSN 2002), and Dadgar, Phillips, Currey, "Lifeguard" (2017); the
+alternatives considered are in ``docs/design-fleet-view.md``. Times are microseconds of the caller's clock.
 """
 
 from __future__ import annotations
@@ -18,38 +18,34 @@
 from mallowlug.fleet.records import Frame, MemberUpdate
 from mallowlug.fleet.view import View, ViewEvent
 
-MAX_HEALTH = 8  # of the factor by which one that finds itself slow gives others more time
-MAX_PENDING = 64  # pings that others asked for, at once
-MAX_EVENTS = 256  # that nobody has taken yet
+MAX_HEALTH = 8  # max local health score; timeouts are multiplied by score + 1
+MAX_PENDING = 64  # max concurrent indirect pings, and max pending claims
+MAX_EVENTS = 256  # max events kept until the caller takes them
 
 
 @dataclass(frozen=True, slots=True)
 class ProtocolTimes:
-    """How often and how long; microseconds where not said otherwise."""
-
-    probe_interval_us: int = 1_000_000  # between two probes of one relay
-    ack_timeout_us: int = 300_000  # for an answer, before others are asked
-    indirect_probes: int = 3  # who are asked to ping one that did not answer
-    suspicion_multiplier: float = (
-        4.0  # times the logarithm of the fleet's size: periods in which a suspect may answer
-    )
-    max_suspicion_factor: float = 6.0  # times as long while nobody else suspects it
-    retransmit_multiplier: int = 3  # times the logarithm: frames that carry one rumour
-    table_interval_us: int = 1_000_000  # between two tables sent by one relay
-    reconnect_interval_us: int = 2_000_000  # between two pings to somebody who is gone, or to a seed
-    retain_departed_us: int = 600_000_000  # how long the gone are remembered
-    max_tick_delay_us: int = (
-        500_000  # by which a tick may be late before this relay thinks that it stood still
-    )
+    """Intervals, timeouts and multipliers of the protocol."""
+
+    probe_interval_us: int = 1_000_000  # between two probes sent by one relay
+    ack_timeout_us: int = 300_000  # before indirect probes are requested
+    indirect_probes: int = 3  # members asked to ping one that did not answer
+    suspicion_multiplier: float = 4.0  # x log10(fleet size): min suspicion time in probe intervals
+    max_suspicion_factor: float = 6.0  # max / min suspicion time; the max applies without confirmations
+    retransmit_multiplier: int = 3  # x log2(members + 1): frames that carry one update
+    table_interval_us: int = 1_000_000  # between two table exchanges started by one relay
+    reconnect_interval_us: int = 2_000_000  # between pings to departed members and absent seeds
+    retain_departed_us: int = 600_000_000  # how long departed members are kept
+    max_tick_delay_us: int = 500_000  # a tick later than this means that the process was paused
 
 
 @dataclass(slots=True)
 class Probe:
-    """The one that is going on."""
+    """The probe in progress."""
 
     relay: str
     number: int
-    indirect_at_us: int  # when others are asked
+    indirect_at_us: int  # when indirect probes are requested
     end_us: int
     indirect_count: int = 0
     nacks: int = 0
@@ -57,17 +53,17 @@
 
 @dataclass(slots=True)
 class Suspicion:
-    """How long a member may still answer."""
+    """A suspected member and the time that it has to refute."""
 
     since_us: int
     min_us: int
     max_us: int
     suspecting_relays: set[str] = field(default_factory=set)
-    confirmations_needed: int = 1  # others whose word brings it down to the least
+    confirmations_needed: int = 1  # by other relays, to shorten the time to the minimum
 
     @property
     def end_us(self) -> int:
-        """When the member is held dead: the sooner, the more of the others suspect it too."""
+        """When the member is declared dead: earlier with each other relay that confirms the suspicion."""
         confirmations = max(0, len(self.suspecting_relays) - 1)
         fraction = (
             math.log(confirmations + 1) / math.log(self.confirmations_needed + 1)
@@ -78,7 +74,7 @@
 
 
 class Swim:
-    """One relay's side. ``out`` and ``events`` are the caller's to take."""
+    """Protocol state of one relay. The caller takes the contents of ``outgoing`` and ``events``."""
 
     def __init__(
         self,
@@ -95,37 +91,33 @@
         self.seeds = [seed for seed in dict.fromkeys(seeds) if seed != own_update.address]
         self.outgoing: list[tuple[str, Frame]] = []
         self.events: list[ViewEvent] = []
-        self.local_health = 0  # 0: well; above it this relay doubts itself first
-        self.clash: rec.Clash | None = None  # another process that lives under this id
+        self.local_health = 0  # 0: healthy; a higher score lengthens this relay's timeouts
+        self.clash: rec.Clash | None = None  # another live process that uses this relay's id
         self._last_sequence_number = rng.getrandbits(32)
-        self._probe_order: list[str] = []  # whom to probe, in a drawn order
+        self._probe_order: list[str] = []  # remaining members of this round, shuffled
         self._probe: Probe | None = None
-        self._next_probe_us = now_us  # of the next probe
-        self._reconnect_at_us = now_us  # of the next ping to a seed or to one who is gone
-        self._table_allowed_us = now_us  # before which no table is sent
-        self._next_tick_us = now_us  # when the next tick was asked for
+        self._next_probe_us = now_us  # earliest start of the next probe
+        self._reconnect_at_us = now_us  # next ping to a departed member and an absent seed
+        self._table_allowed_us = now_us  # no table exchange is started before
+        self._next_tick_us = now_us  # when the next tick was requested
         self._suspicions: dict[str, Suspicion] = {}
-        self._gossip_queue: dict[
-            str, tuple[MemberUpdate, int]
-        ] = {}  # by relay: what is passed on, and how often it was
-        self._indirect_requests: dict[
-            int, tuple[str, int, int]
-        ] = {}  # by own number: who asked, its number, till when
-        self._pending_claims: dict[
-            str, tuple[MemberUpdate, int]
-        ] = {}  # a new life elsewhere, while the old one may live
-        self.last_digests: dict[str, tuple[int, int]] = {}  # by relay: its last digest, and when it came
+        self._gossip_queue: dict[str, tuple[MemberUpdate, int]] = {}  # by relay: update, times sent
+        # By own sequence number: the requester's address, its sequence number, expiry.
+        self._indirect_requests: dict[int, tuple[str, int, int]] = {}
+        # By relay: update about another process that claims a known id, expiry.
+        self._pending_claims: dict[str, tuple[MemberUpdate, int]] = {}
+        self.last_digests: dict[str, tuple[int, int]] = {}  # by relay: its last digest, when received
         self._queue_update(own_update)
 
     @property
     def own_update(self) -> MemberUpdate:
-        """What this relay says of itself."""
+        """The update that describes this relay."""
         return self.view.own_update
 
-    # What comes in
+    # Incoming frames
 
     def receive(self, now_us: int, frame: Frame) -> None:
-        """Take a frame in; one from this relay's own id is another process's, or an echo."""
+        """Process a frame. One with this relay's own id comes from another process or is an echo."""
         if frame.sender == self.own_update.relay:
             self._detect_duplicate_id(frame)
             return
@@ -162,7 +154,7 @@
             self._send(frame.address, rec.Ack(ping.number, self.own_update.relay))
         entry = self.view.members.get(frame.sender)
         unknown = entry is None or not entry.is_live or entry.update.life < frame.life
-        if unknown and now_us >= self._table_allowed_us:  # its table says who it is, and ours what it missed
+        if unknown and now_us >= self._table_allowed_us:  # exchange tables: each side lacks information
             self._send_table(now_us, frame.address, True)
 
     def _handle_ack(self, frame: Frame, ack: rec.Ack) -> None:
@@ -176,9 +168,7 @@
         for relay, (update, _) in list(self._pending_claims.items()):
             entry = self.view.members.get(relay)
             if ack.relay == relay and entry is not None and frame.mark == entry.update.mark:
-                del self._pending_claims[
-                    relay
-                ]  # the old life answers: the other process is told, and not taken in
+                del self._pending_claims[relay]  # the known process is alive: reject the claim
                 self._send(update.address, rec.Clash(relay, frame.mark, frame.address))
 
     def _handle_ask(self, now_us: int, frame: Frame, ask: rec.Ask) -> None:
@@ -188,7 +178,7 @@
             self._send(ask.address, rec.Ping(number, ask.relay))
 
     def _handle_update(self, now_us: int, update: MemberUpdate, path: str) -> None:
-        """One rumour: about this relay it may have to be answered, about others it may be news."""
+        """Process an update: refute it if about this relay, verify a claim to a known id, or apply it."""
         if update.relay == self.own_update.relay:
             self._refute(now_us, update)
             return
@@ -201,7 +191,7 @@
         self._apply_update(now_us, update, path)
 
     def _confirm_suspicion(self, update: MemberUpdate) -> None:
-        """One more suspects whom this relay suspects: worth passing on while it shortens the time."""
+        """Count another relay's suspicion, and gossip it while it still shortens the suspicion time."""
         suspicion = self._suspicions.get(update.relay)
         if suspicion is not None and update.by not in suspicion.suspecting_relays:
             suspicion.suspecting_relays.add(update.by)
@@ -209,13 +199,13 @@
                 self._queue_update(update)
 
     def _is_other_process(self, current: MemberUpdate, update: MemberUpdate) -> bool:
-        """Whether a rumour tells of another process under a known id, at another place."""
+        """Return whether an update describes another process with a known id, at another address."""
         return (
             update.mark != current.mark and update.address != current.address and update.life >= current.life
         )
 
     def _verify_claim(self, now_us: int, current: MemberUpdate, update: MemberUpdate) -> None:
-        """Two processes under one id, perhaps: the one that is known is asked before the other counts."""
+        """Ping the known process of an id before another process with the same id is accepted."""
         if update.relay not in self._pending_claims and len(self._pending_claims) < MAX_PENDING:
             self._pending_claims[update.relay] = (
                 update,
@@ -224,6 +214,7 @@
             self._send(current.address, rec.Ping(self._next_sequence_number(), update.relay))
 
     def _refute(self, now_us: int, update: MemberUpdate) -> None:
+        """Detect a duplicate id, or supersede a wrong update about this relay."""
         own = self.own_update
         if update.mark != own.mark:
             if (
@@ -232,7 +223,7 @@
                 and update.address != own.address
             ):
                 self.clash = rec.Clash(update.relay, update.mark, update.address)
-            elif update.life >= own.life:  # the folder is older than what others saw of this relay
+            elif update.life >= own.life:  # the state folder is older than what others saw of this relay
                 self._reassert_alive(now_us, life=update.life + 1)
         elif update.life > own.life:
             self._reassert_alive(now_us, life=update.life + 1)
@@ -243,7 +234,7 @@
             self._reassert_alive(now_us, incarnation=update.incarnation + 1)
 
     def _reassert_alive(self, now_us: int, life: int | None = None, incarnation: int = 0) -> None:
-        """Say once more that this relay is alive, so that it counts over what was said of it."""
+        """Announce this relay as alive, with a lifetime or incarnation that supersedes other reports."""
         if life is not None:
             self.clash = None
         life = self.own_update.life if life is None else life
@@ -252,6 +243,7 @@
         self._queue_update(update)
 
     def _apply_update(self, now_us: int, update: MemberUpdate, path: str) -> None:
+        """Apply an update that supersedes the current one, gossip it, and start or end a suspicion."""
         former = self.view.members.get(update.relay)
         if not self.view.supersedes(update):
             return
@@ -275,7 +267,7 @@
         self._suspicions[update.relay] = Suspicion(now_us, min_us, max_us, {update.by}, confirmations_needed)
 
     def _compare_digests(self, now_us: int, frame: Frame) -> None:
-        """Where digests differ, and rumours have had their time, tables are exchanged."""
+        """Exchange tables if digests differ, but rarely (0.1) while queued updates are spreading."""
         if (
             frame.digest == self.view.digest
             or now_us < self._table_allowed_us
@@ -285,10 +277,10 @@
         if not self._gossip_queue or len(self.view.members) == 1 or self._rng.random() < 0.1:
             self._send_table(now_us, frame.address, True)
 
-    # What time brings
+    # Timers
 
     def tick(self, now_us: int) -> int:
-        """Do what is due; when the next tick is wanted."""
+        """Do what is due and return the time of the next tick."""
         if now_us - self._next_tick_us > self.times.max_tick_delay_us:
             self._detect_pause(now_us)
         self._expire_indirect_requests(now_us)
@@ -316,16 +308,15 @@
         return self._next_tick_us
 
     def _detect_pause(self, now_us: int) -> None:
-        """This process did nothing for a while: what it waited for may lie unread, so nobody is blamed."""
+        """Handle a pause of this process: answers may wait unread, so no member is blamed for the delay."""
         late_us = now_us - self._next_tick_us
         self.local_health = min(MAX_HEALTH, self.local_health + 1)
         self._probe = None
         self._next_probe_us = max(self._next_probe_us, now_us + self.times.ack_timeout_us)
         for suspicion in self._suspicions.values():
             suspicion.since_us += late_us
-        self._reassert_alive(
-            now_us, incarnation=self.own_update.incarnation + 1
-        )  # it may be suspected, or dead, by now
+        # By now others may suspect this relay or hold it dead.
+        self._reassert_alive(now_us, incarnation=self.own_update.incarnation + 1)
 
     def _expire_indirect_requests(self, now_us: int) -> None:
         for number, (address, request_number, until_us) in list(self._indirect_requests.items()):
@@ -335,7 +326,7 @@
 
     def _expire_claims(self, now_us: int) -> None:
         for relay, (update, until_us) in list(self._pending_claims.items()):
-            if now_us >= until_us:  # the old life did not answer: it is gone
+            if now_us >= until_us:  # the known process did not answer: accept the claim
                 del self._pending_claims[relay]
                 self._apply_update(now_us, update, "probe")
 
@@ -349,7 +340,7 @@
             self._start_probe(now_us)
 
     def _start_probe(self, now_us: int) -> None:
-        """The next member's turn; each has one before any has another."""
+        """Probe the next member; each is probed once per round, in random order."""
         self._next_probe_us = now_us + int(self.times.probe_interval_us * self._rng.uniform(0.9, 1.1))
         while self._probe_order or len(self.view.live_members()) > 1:
             if not self._probe_order:
@@ -369,7 +360,7 @@
             self._probe = Probe(relay, number, now_us + answer_us, now_us + end_us)
             required_updates = (
                 [entry.update] if entry.update.state == "suspect" else []
-            )  # told first that it is suspected
+            )  # lets it refute at once
             self._send(entry.update.address, rec.Ping(number, relay), required_updates)
             return
 
@@ -384,7 +375,10 @@
             )
 
     def _fail_probe(self, now_us: int, probe: Probe) -> None:
-        """Nobody got an answer. Who heard not even those that it asked doubts itself too."""
+        """Suspect the member after a failed probe.
+
+        Missing nacks from the helpers mean that this relay may be at fault: its health score rises.
+        """
         self._probe = None
         others = len(self.view.live_members()) > 2
         if others and probe.nacks < min(probe.indirect_count, self.times.indirect_probes):
@@ -399,7 +393,7 @@
             self._apply_update(now_us, update, "probe")
 
     def _contact_absent(self, now_us: int) -> None:
-        """Somebody who is gone, or a seed, is asked now and then: so a cut heals however long it was."""
+        """Ping a departed member and an absent seed, so that a partition of any length heals."""
         self._reconnect_at_us = now_us + int(self.times.reconnect_interval_us * self._rng.uniform(0.7, 1.3))
         self.view.remove_departed(now_us - self.times.retain_departed_us)
         for relay in [relay for relay in self.last_digests if relay not in self.view.members]:
@@ -414,10 +408,10 @@
             if addresses:
                 self._send(self._rng.choice(addresses), rec.Ping(self._next_sequence_number()))
 
-    # What goes out
+    # Outgoing frames
 
     def leave(self) -> None:
-        """Say that this relay goes, to a few at once; the last that it says."""
+        """Announce that this relay leaves, directly to several members; its last message."""
         update = msgspec.structs.replace(self.own_update, state="left", by=self.own_update.relay)
         self.view.apply(update, self._next_tick_us, "own")
         others = [relay for relay in self.view.live_members() if relay != self.own_update.relay]
@@ -425,7 +419,7 @@
             self._send(self.view.members[relay].update.address, rec.Page((update,)))
 
     def count_agreeing(self, group: Collection[str], now_us: int, fresh_us: int) -> int:
-        """How many of a group hold this view, this relay with them, as far as was heard lately."""
+        """Count the members of a group, this relay included, whose recent digest equals its own."""
         return sum(
             relay == self.own_update.relay
             or (relay in self.last_digests and self.last_digests[relay][0] == self.view.digest
@@ -438,7 +432,7 @@
         return self._last_sequence_number
 
     def _queue_update(self, update: MemberUpdate) -> None:
-        """Pass a rumour on; of one relay the newest alone."""
+        """Queue an update for gossip; it replaces an older one about the same relay."""
         self._gossip_queue[update.relay] = update, 0
 
     def _record_event(self, event: ViewEvent) -> None:
@@ -446,7 +440,7 @@
         del self.events[:-MAX_EVENTS]
 
     def _select_updates(self) -> list[MemberUpdate]:
-        """Rumours for a frame, those first that were passed on least; each a bounded number of times."""
+        """Select updates for a frame, the least sent first; each is sent a bounded number of times."""
         max_transmissions = self.times.retransmit_multiplier * max(
             1, math.ceil(math.log2(len(self.view.members) + 1))
         )
@@ -474,7 +468,7 @@
         )
 
     def _send_table(self, now_us: int, address: str, request_table: bool) -> None:
-        """All that is held, page by page; an answer to one that was asked for asks for none."""
+        """Send the member table in pages. ``request_table``: ask for the receiver's; False in a response."""
         if request_table:
             self._table_allowed_us = now_us + int(self.times.table_interval_us * self._rng.uniform(0.8, 1.2))
         pages = rec.split_into_pages(self.view.updates())
--- a/mallowlug/fleet/view.py
+++ b/mallowlug/fleet/view.py
@@ -1,8 +1,8 @@
-"""The view as a value: members with their lives and states, why each is held so, and what changed. No I/O.
+"""The membership view: members, their lifetimes and states, the source of each, and changes. No I/O.
 
-Of one relay the higher life counts, whatever is said of a lower one: a dead life never comes back. Of one
-life the higher incarnation counts, which its process alone raises; of one incarnation suspect is stronger
-than alive, and dead stronger than either. A leave is the last word of a life.
+For one relay the higher lifetime number (``life``) wins, so an ended process lifetime never returns. Within
+a lifetime the higher incarnation wins; only the process itself raises it. Within an incarnation suspect
+overrides alive, and dead overrides both. A leave is final for its lifetime.
 """
 
 from __future__ import annotations
@@ -23,21 +23,21 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberEntry:
-    """One relay as it is held; ``since_us`` by the holder's monotonic clock."""
+    """The latest update about one relay. ``since_us``: start of its state, by the local monotonic clock."""
 
     update: MemberUpdate
     since_us: int
-    path: str  # own, probe, rumour or table: how it was heard
+    path: str  # own, probe, rumour or table: how it was received
 
     @property
     def is_live(self) -> bool:
-        """Whether it counts as there: alive, or only suspected."""
+        """Whether the member counts as live: alive, or only suspected."""
         return self.update.state in LIVE_STATES
 
 
 @dataclass(frozen=True, slots=True)
 class ViewEvent:
-    """A change of the view, with its cause."""
+    """A change of the view, with the reporting relay and the path of the update."""
 
     change: Change
     relay: str
@@ -48,7 +48,7 @@
 
 
 def digest_contribution(update: MemberUpdate) -> int:
-    """What one member adds to a digest; who is gone adds nothing, as each holder forgets them by itself."""
+    """Hash one member for the digest; 0 for a departed one, as each relay removes those at its own time."""
     if update.state not in LIVE_STATES:
         return 0
     text = f"{update.relay} {update.life} {update.mark} {update.incarnation} {update.state} {update.address}"
@@ -56,15 +56,13 @@
 
 
 class View:
-    """Who is there, as one relay holds it."""
+    """The members of the fleet as one relay knows them."""
 
     def __init__(self, own_update: MemberUpdate, now_us: int) -> None:
         self.own_id = own_update.relay
         self.members: dict[str, MemberEntry] = {}
-        self._live_members: list[str] | None = (
-            None  # found once between two changes: it is asked for at every probe
-        )
-        self.digest = 0  # equal where views are equal, whatever the order in which they came about
+        self._live_members: list[str] | None = None  # cached between changes: every probe reads it
+        self.digest = 0  # XOR over the members: independent of update order
         self._replace_entry(MemberEntry(own_update, now_us, "own"))
 
     def _replace_entry(self, member: MemberEntry) -> None:
@@ -77,17 +75,17 @@
 
     @property
     def own_update(self) -> MemberUpdate:
-        """What is said of this relay itself."""
+        """The update about this relay itself."""
         return self.members[self.own_id].update
 
     def live_members(self) -> list[str]:
-        """The ids of all who count as there, this relay with them."""
+        """Return the ids of all live members, this relay included."""
         if self._live_members is None:
             self._live_members = [relay for relay, member in self.members.items() if member.is_live]
         return self._live_members
 
     def supersedes(self, update: MemberUpdate) -> bool:
-        """Whether a rumour says more than is held."""
+        """Return whether an update is newer than what is known about its relay."""
         if (member := self.members.get(update.relay)) is None:
             return True
         current = member.update
@@ -100,7 +98,7 @@
         return STATE_PRECEDENCE[update.state] > STATE_PRECEDENCE[current.state]
 
     def apply(self, update: MemberUpdate, now_us: int, path: str) -> ViewEvent | None:
-        """Hold what a rumour says, if it says more; the event, where that is a change to whoever asks."""
+        """Apply an update if it supersedes the current one; return the event if members or states changed."""
         if not self.supersedes(update):
             return None
         former = self.members.get(update.relay)
@@ -110,18 +108,18 @@
         return ViewEvent(change, update.relay, update.life, now_us, update.by, path) if change else None
 
     def remove_departed(self, before_us: int) -> None:
-        """Let go of who has been gone for long."""
+        """Remove members that departed before this time."""
         for relay, member in list(self.members.items()):
             if not member.is_live and member.since_us < before_us and relay != self.own_id:
                 del self.members[relay]
 
     def updates(self) -> list[MemberUpdate]:
-        """The whole table."""
+        """Return the updates of all members."""
         return [member.update for member in self.members.values()]
 
 
 def classify_change(former: MemberUpdate | None, update: MemberUpdate) -> Change | None:
-    """What a rumour changes for those who ask who is there; None for nothing."""
+    """Classify the visible change from a former update to a new one; None if there is none."""
     if former is None:
         return "joined" if update.state in LIVE_STATES else None
     if update.life > former.life:
@@ -134,7 +132,7 @@
 
 
 def view_json(view: View, relays: Iterable[str] | None = None) -> bytes:
-    """The table as JSON, for staff: by relay what is held, since when (us) and why."""
+    """Encode the view as JSON for operators: by relay its update, ``since_us`` and path."""
     rows = {
         relay: {
             **msgspec.to_builtins(msgspec.structs.asdict(member.update)),
--- a/tests/members/ground.py
+++ b/tests/members/ground.py
@@ -1,4 +1,4 @@
-"""Several real processes of the program, each with a console, and fault points on every way between two."""
+"""Fleet tests with several real relay processes, each with a console, and fault injection on every path."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
 from mallowlug.rig.world.fronts import Fronts
 from tests.world import ROOT, free_port, http_request, settings_json, soon
 
-PERIOD_S = 0.1  # between two probes: a tenth of what the operator file has
+PERIOD_S = 0.1  # probe interval: a tenth of the operator file's default
 SETTLE_S = 0.5
-SAMPLE_INTERVAL_S = 0.1  # between two looks at all views
+SAMPLE_INTERVAL_S = 0.1  # between two samples of all views
 
 
 class Node:
-    """One relay over its lives."""
+    """One relay over several process lifetimes."""
 
     def __init__(self, name: str, folder: Path) -> None:
         self.name, self.folder, self.state = name, folder, folder / "state"
@@ -30,16 +30,16 @@
         self.console, self.port = free_port(), free_port()
         self.listen = "127.0.0.1", free_port(socket.SOCK_DGRAM)
         self.process: asyncio.subprocess.Process | None = None
-        self.paused = False  # stopped by a signal
+        self.paused = False  # by SIGSTOP
         self.on_exit: Callable[[Node], None] = lambda _node: None
 
     @property
     def alive(self) -> bool:
-        """Whether its process runs."""
+        """Whether the process runs."""
         return self.process is not None and self.process.returncode is None
 
     def signal(self, number: int) -> None:
-        """Signal its process."""
+        """Send a signal to the process."""
         assert self.process is not None
         if number in (signal.SIGSTOP, signal.SIGCONT):
             self.paused = number == signal.SIGSTOP
@@ -48,14 +48,14 @@
         self.process.send_signal(number)
 
     async def kill(self) -> None:
-        """SIGKILL."""
+        """Kill the process and wait for its exit."""
         if self.process is not None and self.alive:
             self.on_exit(self)
             self.process.kill()
             await self.process.wait()
 
     async def fetch_view(self) -> dict[str, Any]:
-        """Its view, as the console tells it; empty where nobody answers."""
+        """Return the view from the console; empty if there is no answer."""
         try:
             status, text = await asyncio.wait_for(http_request(self.console, "GET", "/fleet"), 2.0)
         except (OSError, IndexError, TimeoutError):
@@ -64,7 +64,7 @@
 
 
 class FleetEnvironment:
-    """The relays of one test."""
+    """The relays of one test, and the record that the judge checks."""
 
     def __init__(self, folder: Path, seed: int = 1) -> None:
         self.folder, self.proxies = folder, Fronts(seed)
@@ -75,7 +75,7 @@
         self._sampler: asyncio.Task[None] | None = None
 
     async def add(self, name: str, *, seed: bool = False, **fleet: Any) -> Node:
-        """A relay with its front, started."""
+        """Add a relay with its proxy, and start it."""
         node = self.nodes[name] = Node(name, self.folder / name)
         host, port = await self.proxies.add(name, node.listen)
         if seed:
@@ -85,7 +85,7 @@
         return node
 
     def write_config(self, node: Node, address: str, **fleet: Any) -> None:
-        """Its configuration and its operator file."""
+        """Write the configuration and the operator file."""
         config = {
             "name": node.name, "listen": f"127.0.0.1:{node.port}", "discovery": "127.0.0.1:9", "seed": "1",
             "console": f"127.0.0.1:{node.console}", "settings": settings_json() | {"group_size": 3},
@@ -101,7 +101,7 @@
         (node.folder / "operator.toml").write_text("\n".join(["[fleet]", *lines, ""]), encoding="utf-8")
 
     async def start(self, node: Node) -> None:
-        """Its next life."""
+        """Start the next process lifetime of a relay."""
         if self._sampler is None:
             self._sampler = asyncio.get_running_loop().create_task(self._sample_views())
         node.on_exit = self.record_exit
@@ -116,7 +116,7 @@
     async def wait_until(
         self, condition: Callable[[dict[str, dict[str, Any]]], bool], *names: str
     ) -> dict[str, Any]:
-        """Wait until the views of these relays (or of all that run) are as they should be."""
+        """Wait until the views of these relays (default: all running ones) meet a condition."""
 
         async def poll() -> dict[str, Any]:
             while True:
@@ -130,16 +130,16 @@
         return await soon(poll())
 
     async def wait_settled(self, *names: str) -> dict[str, Any]:
-        """Wait until these relays hold the same view, and in it each other alone as alive."""
+        """Wait until these relays agree on a view in which exactly they are alive."""
         chosen = set(names) or {name for name, node in self.nodes.items() if node.alive}
         return await self.wait_until(lambda tables: views_agree(tables, chosen), *sorted(chosen))
 
     def log(self, name: str) -> str:
-        """What a relay has logged over all its lives."""
+        """Return the log of a relay over all its process lifetimes."""
         return (self.nodes[name].folder / "log").read_text(encoding="utf-8")
 
     async def stop(self) -> None:
-        """End everything."""
+        """Stop all processes, the sampler and the proxies."""
         for node in self.nodes.values():
             if node.alive:
                 node.signal(signal.SIGCONT)
@@ -152,15 +152,15 @@
         self.record.append(event)
 
     def record_exit(self, node: Node) -> None:
-        """A process has ended, or ends now."""
+        """Record that a process has ended or is ending."""
         self._append(rec.Process(rec.now_us(), node.name, "exit", ""))
 
     def record_path_state(self, one: str, other: str, clear: bool) -> None:
-        """A way is disturbed, or as it should be again."""
+        """Record that a datagram path is disturbed or clear again."""
         self._append(rec.Way(rec.now_us(), one, other, clear))
 
     async def _sample_views(self) -> None:
-        """Write down what each relay holds, again and again, for the judge."""
+        """Record the view of each running relay periodically, for the judge."""
         while True:
             for name, node in list(self.nodes.items()):
                 if node.alive and not node.paused and (table := await node.fetch_view()) and node.alive:
@@ -170,11 +170,11 @@
 
 
 def alive_members(table: dict[str, Any]) -> set[str]:
-    """Who is held alive."""
+    """Return the members that a view holds alive."""
     return {name for name, row in table["members"].items() if row["state"] == "alive"}
 
 
 def views_agree(tables: dict[str, Any], names: Collection[str]) -> bool:
-    """Whether all hold the same, and each other alone as alive."""
+    """Return whether all views are equal and hold exactly these relays alive."""
     digests = {table["digest"] for table in tables.values()}
     return len(digests) == 1 and all(alive_members(table) == set(names) for table in tables.values())
--- a/tests/members/test_parts.py
+++ b/tests/members/test_parts.py
@@ -1,4 +1,4 @@
-"""Parts: what all relays take together has a bound in every cut."""
+"""Quota shares: the sum over all relays is bounded in every partition."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class SimulatedFleet:
-    """Relays that hear those on their own side, and hold the others dead."""
+    """Relays that hear only those on their side of a partition and hold the others dead."""
 
     def __init__(self, size: int) -> None:
         self.shares = {at: QuotaShares(SETTLE_US, configured_size=size) for at in range(size)}
@@ -23,7 +23,7 @@
         self.now_us = 0
 
     def step(self, wait_us: int = 2 * SETTLE_US) -> None:
-        """Let every relay settle on what it hears, twice: once to see, once behind the wait."""
+        """Update every relay twice: once to see the change, once after the wait."""
         for _ in range(2):
             for own, share in self.shares.items():
                 if own in self.left:
@@ -40,7 +40,7 @@
 
     @property
     def total_share(self) -> float:
-        """What all that live take."""
+        """Sum of the shares of all relays that have not left."""
         return sum(1 / share.group_size for at, share in self.shares.items() if at not in self.left)
 
 
@@ -54,11 +54,11 @@
 @settings(max_examples=200)
 @given(st.integers(2, 16), st.lists(st.lists(st.integers(0, 2), min_size=16, max_size=16), max_size=5))
 def test_sum_of_shares_is_bounded_in_every_partition(size: int, cuts: list[list[int]]) -> None:
-    """1 and half a part for each cut, and never more than 2."""
+    """Less than 1 plus 1/2 for each partition, and never more than 2."""
     world = SimulatedFleet(size)
     world.step()
     for number, cut in enumerate(cuts, 1):
-        world.side = {at: world.side[at] * 3 + cut[at] for at in world.side}  # a cut within the sides
+        world.side = {at: world.side[at] * 3 + cut[at] for at in world.side}  # partition within each side
         world.step()
         assert world.total_share < 1 + number / 2 and world.total_share <= 2 + 1e-9
 
@@ -73,7 +73,7 @@
     assert world.shares[0].group_size == 4 and world.shares[4].group_size == 5
     world.side[4] = 0
     world.step()
-    assert world.shares[0].group_size == 5  # at once, as it is back
+    assert world.shares[0].group_size == 5  # a returned relay counts at once
     world.left.add(3)
     world.step(wait_us=1)
     assert world.shares[0].group_size == 4
@@ -83,12 +83,12 @@
     share = QuotaShares(SETTLE_US, configured_size=40)
     assert share.update(0, {"a": "alive"}, lambda _group: 1) == 40
     some = {f"r{at}": "alive" for at in range(39)}
-    assert share.update(100, some, lambda _group: 39) == 40  # the last one may be there too
+    assert share.update(100, some, lambda _group: 39) == 40  # the last configured relay may be alive too
     assert share.update(200, some | {"last": "alive", "more": "alive"}, lambda _group: 41) == 41
 
 
 def test_seeded_fault_of_shares_that_grow_in_a_partition_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The plant: each goes by whom it hears."""
+    """Seeded fault: each relay counts only the relays that it hears."""
 
     def by_ear(self: QuotaShares, _now: int, states: dict[str, str], _agree: object) -> int:
         self.counted_relays = {relay for relay, state in states.items() if state == "alive"}
--- a/tests/members/test_processes.py
+++ b/tests/members/test_processes.py
@@ -1,5 +1,5 @@
-"""The view of the fleet over real processes, with faults between them. Safety is judged from what each one
-tells and logs; times only against the one wide bound of all tests.
+"""Fleet membership with real processes and link faults. Safety is judged from the views and logs of the
+relays; times are only checked against the one wide bound of all tests.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 
 @pytest_asyncio.fixture
 async def ground(tmp_path: Path) -> AsyncIterator[FleetEnvironment]:
-    """Fault points, and no relay yet."""
+    """A fleet without relays; its record is judged after the test."""
     ground = FleetEnvironment(tmp_path)
     yield ground
     await ground.stop()
@@ -35,14 +35,14 @@
 
 
 async def start_five_relays(ground: FleetEnvironment) -> None:
-    """Five relays that have settled; two are everybody's seeds."""
+    """Start five relays and wait until they settle; two are seeds of the others."""
     for name in NAMES:
         await ground.add(name, seed=name in NAMES[:2])
     await ground.wait_settled(*NAMES)
 
 
 def states_held(tables: dict[str, Any], name: str) -> set[str]:
-    """In which states others hold a relay."""
+    """Return the states in which the other relays hold this one."""
     return {table["members"].get(name, {}).get("state", "") for own, table in tables.items() if own != name}
 
 
@@ -51,7 +51,7 @@
     await ground.nodes["n3"].kill()
     rest = [name for name in NAMES if name != "n3"]
     tables = await ground.wait_until(lambda found: states_held(found, "n3") == {"dead"}, *rest)
-    assert all(row["members"]["n3"]["by"] for row in tables.values())  # who said so
+    assert all(row["members"]["n3"]["by"] for row in tables.values())  # the relay that reported the death
     await ground.start(ground.nodes["n3"])
     tables = await ground.wait_settled(*NAMES)
     assert {table["members"]["n3"]["life"] for table in tables.values()} == {2}
@@ -132,7 +132,7 @@
 
 
 async def test_paused_relay_returns_in_the_same_lifetime(ground: FleetEnvironment) -> None:
-    """Long enough to be held dead; it answers with a higher incarnation, and evicts nobody itself."""
+    """Paused until declared dead, it refutes with a higher incarnation, and declares no relay dead itself."""
     await start_five_relays(ground)
     node = ground.nodes["n1"]
     node.signal(signal.SIGSTOP)
@@ -176,11 +176,11 @@
     twin.state.mkdir()
     await ground.start(twin)
 
-    async def told() -> None:
-        while "fleet: another process lives as n3" not in ground.log("twin"):
+    async def reported() -> None:
+        while "fleet: another process uses id n3" not in ground.log("twin"):
             await asyncio.sleep(0.02)
 
-    await soon(told())
+    await soon(reported())
     await ground.wait_settled(*NAMES)
     tables = await ground.wait_settled(*NAMES)
     assert {table["members"]["n3"]["life"] for table in tables.values()} == {1}
@@ -216,7 +216,7 @@
     await ground.wait_until(lambda found: states_held(found, "n2") == {"dead"}, "n0", "n1")
     console = f"127.0.0.1:{ground.nodes['n0'].console}"
 
-    async def said(*words: str) -> tuple[int, str]:
+    async def run_command(*words: str) -> tuple[int, str]:
         process = await asyncio.create_subprocess_exec(
             sys.executable, "-m", "mallowlug", "fleet", *words, "--console", console,
             cwd=ROOT, stdout=asyncio.subprocess.PIPE, stderr=asyncio.subprocess.STDOUT,
@@ -224,16 +224,16 @@
         text, _ = await soon(process.communicate())
         return process.returncode or 0, text.decode()
 
-    code, text = await said("show")
+    code, text = await run_command("show")
     assert code == 0 and "n0: view" in text and "n2  dead" in text and "n1  alive" in text
-    code, text = await said("why", "n2")
+    code, text = await run_command("why", "n2")
     assert code == 0 and "n2 is dead" in text and "said by n" in text
-    assert (await said("watch", "--times", "1"))[0] == 0
-    code, text = await said("why", "nobody")
+    assert (await run_command("watch", "--times", "1"))[0] == 0
+    code, text = await run_command("why", "nobody")
     assert code == 1 and "not known here" in text
     ground.nodes["n0"].signal(signal.SIGKILL)
     await ground.nodes["n0"].kill()
-    code, text = await said("show")
+    code, text = await run_command("show")
     assert code == 1 and "does not answer" in text
 
 
--- a/tests/members/test_protocol.py
+++ b/tests/members/test_protocol.py
@@ -1,4 +1,4 @@
-"""The protocol in drawn time: joins, deaths, cuts, bad links, standstills; each plant is found."""
+"""The fleet protocol in simulated time: joins, deaths, partitions, lossy links, pauses, seeded faults."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 def settled_net(size: int, seed: int = 1, **plain: Any) -> Net:
-    """A fleet that has settled."""
+    """Run a fleet until all views agree."""
     net = Net(seed)
     net.plain = Link(**plain)
     net.fleet(size)
@@ -29,7 +29,7 @@
 
 
 def falsely_dead(net: Net) -> set[str]:
-    """Who was held dead by anybody, of those who live."""
+    """Return the running relays that any relay declared dead."""
     living = {side.own_update.relay for side in net.sides.values()}
     return {event.relay for _, event in net.events if event.change == "dead"} & living
 
@@ -55,7 +55,7 @@
 
 @pytest.mark.parametrize("groups", [2, 3])
 def test_views_converge_on_each_side_of_a_partition_and_after_it(groups: int) -> None:
-    """For longer than the dead are remembered: seeds from the file are asked all the while."""
+    """The partition outlasts the retention of departed members, so only seeds from the file can heal it."""
     net = Net(5)
     net.times = ProtocolTimes(retain_departed_us=40 * SECOND)
     for at in range(9):
@@ -134,7 +134,7 @@
     assert all(not side._gossip_queue for side in net.sides.values())
 
 
-# The view's laws, and what is on the wire.
+# Properties of the view and of the wire format.
 
 UPDATES = st.builds(
     MemberUpdate, relay=st.sampled_from(["a", "b"]), life=st.integers(1, 3), mark=st.just(1),
@@ -145,7 +145,7 @@
 
 
 def view_after(said: list[MemberUpdate]) -> tuple[int, dict[str, MemberUpdate]]:
-    """A view after these."""
+    """Return the digest and updates of a view after these updates."""
     view = View(OWN, 0)
     for one in said:
         view.apply(one, 0, "rumour")
@@ -156,7 +156,7 @@
 def test_view_is_independent_of_update_order_and_repetition(
     said: list[MemberUpdate], rng: random.Random
 ) -> None:
-    """But for a life that has left: its last word ends what is said of it."""
+    """Leaves are excluded: a leave is final for its lifetime."""
     stays = [one for one in said if one.state != "left"]
     again = stays + rng.sample(stays, len(stays) // 2)
     rng.shuffle(again)
@@ -173,7 +173,7 @@
 
 
 def frame_with(body: rec.Body) -> Frame:
-    """A frame with that in it."""
+    """Return a frame with this body."""
     return Frame(rec.VERSION, "f", "a", 1, 1, "a:1", 0, body)
 
 
@@ -195,8 +195,8 @@
     for other, fleet in ((msgspec.structs.replace(frame, version=2), "f"), (frame, "g")):
         with pytest.raises(rec.ForeignDatagramError):
             rec.decode(rec.encode(other), fleet)
-    told = msgspec.msgpack.decode(rec.encode(frame))
-    later = msgspec.msgpack.encode(told | {"new": [1, 2], "body": told["body"] | {"more": "x"}})
+    fields = msgspec.msgpack.decode(rec.encode(frame))
+    later = msgspec.msgpack.encode(fields | {"new": [1, 2], "body": fields["body"] | {"more": "x"}})
     assert rec.decode(later, "f") == frame
     long = msgspec.structs.replace(OWN, zone="z" * 64, by="y" * 64)
     assert len(rec.encode(msgspec.structs.replace(frame, rumours=(long,) * 12))) <= rec.MAX_DATAGRAM_BYTES
@@ -215,12 +215,12 @@
 
 
 def test_more_confirmations_shorten_the_suspicion() -> None:
-    """The word of others counts: without it every death took the longest time."""
+    """Without counting confirmations, every death would take the maximum time."""
     net = settled_net(10, 2)
     net.kill("r4:1")
     net.run(10, lambda: net.states("r4")["alive"] < 9)
     took_s = net.run(60, lambda: net.states("r4")["dead"] == 9)
-    assert took_s < 20  # 4 to 24 periods, by how many say so
+    assert took_s < 20  # 4 to 24 probe intervals, depending on confirmations
     words = {
         event.by for _, event in net.events if event.relay == "r4" and event.change in ("suspect", "dead")
     }
@@ -228,7 +228,7 @@
 
 
 def test_longest_suspicion_matches_the_documented_bound() -> None:
-    """Stated on the operators' page: with nobody else's word, in periods."""
+    """The bound that the operators' documentation states, in probe intervals, without confirmations."""
     net = settled_net(3)
     swim = net.sides["r0:1"]
     swim._start_suspicion(net.now_us, swim.view.members["r1"].update)
@@ -236,16 +236,16 @@
     assert found.end_us - net.now_us == int(4.0 * max(1.0, math.log10(3)) * 6 * SECOND)
 
 
-# Plants: small changes of the real code, each seen by one of the checks above.
+# Seeded faults: small changes of the real code, each detected by one of the tests above.
 
 
 def refutation_ignored(monkey: pytest.MonkeyPatch) -> None:
-    """A refuted suspicion is ignored."""
+    """A relay does not refute a suspicion of itself."""
     monkey.setattr(Swim, "_refute", lambda self, now_us, said: None)
 
 
 def refutation_reuses_incarnation(monkey: pytest.MonkeyPatch) -> None:
-    """Who answers a suspicion does so in the same incarnation."""
+    """A relay refutes a suspicion without raising its incarnation."""
     real = Swim._reassert_alive
     monkey.setattr(
         Swim, "_reassert_alive", lambda self, now_us, life=None, incarnation=0: real(self, now_us, life, 0)
@@ -253,20 +253,20 @@
 
 
 def old_lifetime_accepted(monkey: pytest.MonkeyPatch) -> None:
-    """Whatever comes last counts."""
+    """The last received update wins, whatever its lifetime or incarnation."""
     monkey.setattr(View, "supersedes", lambda self, said: self.members.get(said.relay) is None
                    or self.members[said.relay].update != said)  # fmt: skip
 
 
 def unbounded_retransmission(monkey: pytest.MonkeyPatch) -> None:
-    """Rumours go on for ever."""
+    """Updates are retransmitted without a bound."""
     monkey.setattr(
         Swim, "_select_updates", lambda self: [said for said, _ in self._gossip_queue.values()][:8]
     )
 
 
 def absent_members_not_contacted(monkey: pytest.MonkeyPatch) -> None:
-    """The gone and the seeds are not asked once this relay has met anybody."""
+    """Departed members and absent seeds are not pinged once this relay knows another member."""
     real = Swim._contact_absent
     monkey.setattr(
         Swim, "_contact_absent",
@@ -276,7 +276,7 @@
 
 
 @pytest.mark.parametrize(
-    ("plant", "check"),
+    ("inject_fault", "check"),
     [
         (refutation_ignored, lambda: test_twenty_percent_loss_causes_no_false_death(1)),
         (refutation_reuses_incarnation, test_paused_relay_declares_no_relay_dead_and_stays_in_its_lifetime),
@@ -289,7 +289,7 @@
     ],
     ids=lambda value: getattr(value, "__name__", ""),
 )
-def test_seeded_fault_is_detected(plant: Any, check: Any, monkeypatch: pytest.MonkeyPatch) -> None:
-    plant(monkeypatch)
+def test_seeded_fault_is_detected(inject_fault: Any, check: Any, monkeypatch: pytest.MonkeyPatch) -> None:
+    inject_fault(monkeypatch)
     with pytest.raises(AssertionError):
         check()
