--- a/bench/__main__.py
+++ b/bench/__main__.py
@@ -290,7 +290,7 @@
 def member_views(sizes: str, seeds: int, jobs: int, out: Path | None) -> None:
     """The view of the fleet in drawn time: how soon it settles, sees a crash, heals; what it costs."""
     wanted = [int(size) for size in sizes.split(",")]
-    found = members.measured(wanted, range(1, seeds + 1), jobs)
+    found = members.run_all(wanted, range(1, seeds + 1), jobs)
     rows = []
     for name in members.NAMES:
         each = [[float(getattr(one, name)) for one in found if one.size == size] for size in wanted]
--- a/bench/members.py
+++ b/bench/members.py
@@ -10,7 +10,7 @@
 from mallowlug.rig.sim.members import SECOND, Link, Net
 
 # s at rest that are counted; of a cut into halves; of faults that evict nobody.
-REST_S, CUT_S, LONG_S = 30.0, 60.0, 120.0
+IDLE_S, PARTITION_S, OBSERVATION_S = 30.0, 60.0, 120.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -38,30 +38,30 @@
     return sum(event.change == "dead" and event.relay in living for _, event in net.events)
 
 
-def slowed(net: Net, size: int) -> None:
+def pause_periodically(net: Net, size: int) -> None:
     """A tenth of all stand still for 0.3 s of each second."""
     for at in range(0, size, 10):
         net.still[f"r{at}:1"] = net.now_us + 300_000
-    net.after(SECOND, lambda: slowed(net, size))
+    net.after(SECOND, lambda: pause_periodically(net, size))
 
 
-def one(told: tuple[int, int]) -> Run:
+def run_fleet(size_and_seed: tuple[int, int]) -> Run:
     """Play one fleet through all of it."""
-    size, seed = told
+    size, seed = size_and_seed
     net = Net(seed)
     net.fleet(size)
     settled_s = net.run(300, net.agree)
-    net.run(REST_S)  # what the start still passes on is no rest
-    sent, taken = sum(net.sent.values()), sum(net.bytes.values())
-    net.run(REST_S)
-    sent, taken = sum(net.sent.values()) - sent, sum(net.bytes.values()) - taken
-    gone = f"r{size // 2}"
-    net.kill(f"{gone}:1")
-    suspected_s = net.run(120, lambda: net.states(gone)["alive"] < size - 1)
-    dead_s = suspected_s + net.run(300, lambda: net.states(gone)["dead"] == size - 1)
+    net.run(IDLE_S)  # what the start still passes on is no rest
+    sent, bytes_sent = sum(net.sent.values()), sum(net.bytes.values())
+    net.run(IDLE_S)
+    sent, bytes_sent = sum(net.sent.values()) - sent, sum(net.bytes.values()) - bytes_sent
+    killed = f"r{size // 2}"
+    net.kill(f"{killed}:1")
+    suspected_s = net.run(120, lambda: net.states(killed)["alive"] < size - 1)
+    dead_s = suspected_s + net.run(300, lambda: net.states(killed)["dead"] == size - 1)
     sides = list(net.sides)
     net.cut(sides[::2], sides[1::2])
-    net.run(CUT_S)
+    net.run(PARTITION_S)
     net.heal()
     healed_s = net.run(300, net.agree)
     slow, lossy = Net(seed), Net(seed)
@@ -70,17 +70,18 @@
         other.fleet(size)
         other.run(300, other.agree)
         other.events.clear()
-    slowed(slow, size)
+    pause_periodically(slow, size)
     for other in (slow, lossy):
-        other.run(LONG_S)
-    each = size * REST_S
+        other.run(OBSERVATION_S)
+    relay_seconds = size * IDLE_S
     return Run(
-        size, seed, settled_s, taken / each, sent / each, suspected_s, dead_s, healed_s,
+        size, seed, settled_s, bytes_sent / relay_seconds, sent / relay_seconds,
+        suspected_s, dead_s, healed_s,
         false_deaths(slow), false_deaths(lossy),
     )  # fmt: skip
 
 
-def measured(sizes: Sequence[int], seeds: Iterable[int], jobs: int = 2) -> list[Run]:
+def run_all(sizes: Sequence[int], seeds: Iterable[int], jobs: int = 2) -> list[Run]:
     """Every size with every seed; ``jobs`` processes work on them side by side."""
     with ProcessPoolExecutor(jobs) as pool:
-        return list(pool.map(one, product(sizes, seeds)))
+        return list(pool.map(run_fleet, product(sizes, seeds)))
--- a/tests/slow_start/outages.py
+++ b/tests/slow_start/outages.py
@@ -250,7 +250,7 @@
         shares = [draw.relay_weights[number % len(draw.relay_weights)] for number in range(draw.relays)]
         if draw.one_relay_has_half and draw.relays > 1:
             shares[0] = sum(shares[1:])
-        self.parts = shares
+        self.relay_weights = shares
         failing_hosts = [host.name for host in hosts[: draw.failing_endpoints]]
         self.calls: dict[str, list[Call]] = {name: [] for name in failing_hosts}
         # By endpoint: relay, and when its first call was sent that failed there in an outage.
@@ -271,7 +271,7 @@
         last_us = max(
             end for number in range(self.draw.failing_endpoints) for _, end in self.draw.outages(number)
         )
-        self.play(last_us / 1e6 + TRAFFIC_AFTER_RETURN_S)
+        self.simulate(last_us / 1e6 + TRAFFIC_AFTER_RETURN_S)
 
     def _relist(self) -> None:
         """Send list updates to all relays at one time: all endpoints gone, and later all ready again."""
@@ -281,40 +281,40 @@
                 api.EndpointEntry(h.name, h.dest, "a", h.kind, listing) for h in self.hosts.values()
             )
             for relay in range(self.draw.relays):
-                self._put(at_us, relay, api.EndpointUpdate(api.EndpointUpdateKind.CHANGES, entries))
+                self._schedule(at_us, relay, api.EndpointUpdate(api.EndpointUpdateKind.CHANGES, entries))
 
-    def _arrivals(self, until_us: int) -> None:
+    def _schedule_arrivals(self, until_us: int) -> None:
         rate = self.demand[1] / self.draw.burst_size
         at_s = 0.0
         while (at_s := at_s + self.rng.expovariate(rate)) * 1e6 < until_us:
-            relay = self.rng.choices(range(len(self.parts)), self.parts)[0]
+            relay = self.rng.choices(range(len(self.relay_weights)), self.relay_weights)[0]
             for _ in range(self.draw.burst_size):
                 cls = STATUS if self.rng.random() < 0.3 else POSTING
                 message = api.Arrival(f"m{self.serial}", 1, cls.name, cls.deadline_us, "all")
-                self._put(int(at_s * 1e6), relay, message)
+                self._schedule(int(at_s * 1e6), relay, message)
 
-    def _feed(self, at_us: int, relay: int, event: api.Event) -> None:
+    def _process(self, at_us: int, relay: int, event: api.Event) -> None:
         if self._pause_start_us <= at_us < self._pause_end_us:
-            self._put(self._pause_end_us, relay, event)
+            self._schedule(self._pause_end_us, relay, event)
             return
         if at_us >= self.restart_at_us and not self._restarted:
             self._restarted = True
             for number in range(self.restarted_relays):
                 self._restart(at_us, number)
-        super()._feed(at_us, relay, event)
+        super()._process(at_us, relay, event)
 
     def _restart(self, at_us: int, number: int) -> None:
         """Kill and start a relay: it recovers its open messages and its outage records."""
         old_engine = self.relays[number]
-        self.relays[number] = self.make(self.set, self.seed * 1000 + number + len(self.relays))
-        self._listed(number, at_us)
+        self.relays[number] = self.make(self.settings, self.seed * 1000 + number + len(self.relays))
+        self._schedule_listing(number, at_us)
         for host, endpoint in old_engine.endpoints.items():
             if endpoint.outage_record_until_us > at_us:
                 served = endpoint.own_limiter.slow_start.served_share
                 outage_record = api.OutageRecord(
                     host, endpoint.outage_record_until_us - at_us, endpoint.outage_record_kind, served
                 )
-                self._put(at_us, number, outage_record)
+                self._schedule(at_us, number, outage_record)
         for message in old_engine.messages.values():
             if message.done or message.deadline_us <= at_us:
                 continue
@@ -330,7 +330,7 @@
                 in_doubt_age_us=at_us - in_doubt_since_us if in_doubt_since_us >= 0 else -1,
                 in_doubt_zone="a" if in_doubt_since_us >= 0 else "", recovered_untried=message.attempts == 0,
             )  # fmt: skip
-            self._put(at_us, number, recovered)
+            self._schedule(at_us, number, recovered)
 
     def _receives_outcome(self, relay: int, sent_us: int, ended_us: int) -> bool:
         """Whether the relay that made a call still ran when it ended."""
@@ -356,9 +356,9 @@
                     self.notified_at_us[host.name].setdefault(relay, at_us)
             limit_remaining, limit_per_s = host.report(at_us)
             for send in carried:
-                attempt = self.tries[send.id]
-                self.tries[send.id] += 1
-                self._put(
+                attempt = self.attempts[send.id]
+                self.attempts[send.id] += 1
+                self._schedule(
                     at_us + elapsed_us, relay,
                     api.Outcome(send.id, attempt, host.name, verdict, elapsed_us, verdict is api.Verdict.OK,
                                 retry_after_us, limit_remaining, limit_per_s),
--- a/tests/test_group.py
+++ b/tests/test_group.py
@@ -115,7 +115,7 @@
     """Run forty low-traffic relays, with endpoints that take 9, 26 and 20 calls/s."""
     hosts = [Host("small", 1, 9.0), Host("large", 1, 26.0), Host("bank", 2, 20.0, "bank")]
     make = WholeLimitEngine if use_whole_limit else DecisionEngine
-    return Fleet(hosts, {1: 33.0, 2: 45.0}, make=make, seed=3).play(20.0)
+    return Fleet(hosts, {1: 33.0, 2: 45.0}, make=make, seed=3).simulate(20.0)
 
 
 class WholeLimitEngine(DecisionEngine):
--- a/tests/test_returns.py
+++ b/tests/test_returns.py
@@ -72,7 +72,7 @@
     host = RecoveringHost("h", 1, 6.0, kind, until_us=until_us, verdict=verdict, limited=kind == "bank")
     group = RecoveryGroup([host], {1: 6.0 * load}, relays=relays, seed=seed, make=make)
     group.calls, group.notified = [], set()
-    group.play(until_us / 1e6 + 12)
+    group.simulate(until_us / 1e6 + 12)
     return group, cold.Return(until_us, host.rate, COLD_FROM, WARM_UP_US)
 
 
