--- a/bench/members.py
+++ b/bench/members.py
@@ -1,4 +1,4 @@
-"""The view of the fleet in drawn time: the protocol's own code, links of 100 to 500 us, times as shipped."""
+"""Fleet membership in simulated time: the real protocol code, link delays of 100 to 500 us, default times."""
 
 from __future__ import annotations
 
@@ -9,23 +9,23 @@
 
 from mallowlug.rig.sim.members import SECOND, Link, Net
 
-# s at rest that are counted; of a cut into halves; of faults that evict nobody.
+# Seconds: idle traffic measured; partition into halves; observation for false deaths under faults.
 IDLE_S, PARTITION_S, OBSERVATION_S = 30.0, 60.0, 120.0
 
 
 @dataclass(frozen=True, slots=True)
 class Run:
-    """One fleet. Times in seconds (``inf``: never within the time given), rates for one relay."""
+    """Results for one fleet. Times in seconds (``inf``: not within the time limit), rates per relay."""
 
     size: int
     seed: int
-    settled_s: float  # from a start of all at once
+    settled_s: float  # from a simultaneous start of all relays until all views agree
     bytes_per_s: float
     datagrams_per_s: float
     suspected_s: float  # from a crash to the first suspicion
     dead_s: float  # from a crash until all hold it dead
     healed_s: float  # from a heal until all views are equal again
-    false_deaths_slow: int  # with a tenth standing still for 0.3 s in each second
+    false_deaths_slow: int  # with a tenth of the relays paused for 0.3 s of each second
     false_deaths_lossy: int  # with a fifth of all datagrams lost
 
 
@@ -33,25 +33,25 @@
 
 
 def false_deaths(net: Net) -> int:
-    """How often somebody who lives was held dead."""
+    """Count how often a running relay was declared dead."""
     living = {side.own_update.relay for side in net.sides.values()}
     return sum(event.change == "dead" and event.relay in living for _, event in net.events)
 
 
 def pause_periodically(net: Net, size: int) -> None:
-    """A tenth of all stand still for 0.3 s of each second."""
+    """Pause a tenth of the relays for 0.3 s of each second."""
     for at in range(0, size, 10):
         net.still[f"r{at}:1"] = net.now_us + 300_000
     net.after(SECOND, lambda: pause_periodically(net, size))
 
 
 def run_fleet(size_and_seed: tuple[int, int]) -> Run:
-    """Play one fleet through all of it."""
+    """Run one fleet through start, idle time, crash, partition, pauses and loss."""
     size, seed = size_and_seed
     net = Net(seed)
     net.fleet(size)
     settled_s = net.run(300, net.agree)
-    net.run(IDLE_S)  # what the start still passes on is no rest
+    net.run(IDLE_S)  # wait until the gossip of the start has ended
     sent, bytes_sent = sum(net.sent.values()), sum(net.bytes.values())
     net.run(IDLE_S)
     sent, bytes_sent = sum(net.sent.values()) - sent, sum(net.bytes.values()) - bytes_sent
@@ -82,6 +82,6 @@
 
 
 def run_all(sizes: Sequence[int], seeds: Iterable[int], jobs: int = 2) -> list[Run]:
-    """Every size with every seed; ``jobs`` processes work on them side by side."""
+    """Run every size with every seed in ``jobs`` parallel processes."""
     with ProcessPoolExecutor(jobs) as pool:
         return list(pool.map(run_fleet, product(sizes, seeds)))
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -1,7 +1,7 @@
-"""A fleet in plain simulated time: many modules, destinations whose limit counts what it refuses, no sockets.
+"""A fleet in simulated time: many decision engines, endpoints whose rate limit counts refused calls too.
 
-Only what pacing depends on is here: the limit (a bucket, or a count for each span), reports that are old when
-they are told, waits, and a load of Poisson arrivals of which each relay sees its part.
+Models only what send rates depend on: the limit (a token bucket, or a count per time window), delayed load
+reports, Retry-After waits, and Poisson arrivals that are distributed over the relays. No sockets.
 """
 
 from __future__ import annotations
@@ -31,24 +31,26 @@
 
 @dataclass
 class Host:
-    """One endpoint: what it takes from all relays together, and what it tells of that."""
+    """One endpoint: its rate limit over all relays together, and what it reports about it."""
 
     name: str
     dest: int
-    rate: float  # calls a second that it takes; refused ones use it up too
+    rate: float  # calls a second; refused calls consume it too
     kind: str = "lot"
-    bucket_s: float = 0.7  # of its rate that it takes at once
-    window_us: int = 0  # where set: a plain count for each span of this length, and no bucket
-    report_us: int = 500_000  # how often it looks at what is left
-    report_delay_us: int = 150_000  # how old that is when it is told
-    wait_us: int = 700_000  # the wait that most refusals tell
-    lowered: tuple[int, int, float] = (0, 0, 1.0)  # from, until (us), to which share of the rate
+    bucket_s: float = 0.7  # bucket size, in seconds of its rate
+    window_us: int = 0  # if set: a count per window of this length instead of a bucket
+    report_us: int = 500_000  # interval of its load reports
+    report_delay_us: int = 150_000  # age of a report when it is sent
+    wait_us: int = 700_000  # Retry-After wait of most refusals
+    lowered: tuple[int, int, float] = (0, 0, 1.0)  # start, end (us), share of the rate meanwhile
     refilled_at_us: int = -1
     tokens: float = 0.0
-    reports: list[tuple[int, float, float]] = field(default_factory=list)  # when it may be told, left, rate
+    reports: list[tuple[int, float, float]] = field(
+        default_factory=list
+    )  # time of the report, share left, rate
 
     def current_rate(self, now_us: int) -> float:
-        """Calls a second just now."""
+        """Return the current rate limit in calls a second."""
         start, end, share = self.lowered
         return self.rate * (share if start <= now_us < end else 1.0)
 
@@ -69,10 +71,10 @@
         self.refilled_at_us = now_us
 
     def call(self, now_us: int, rng: random.Random) -> tuple[api.Verdict, int]:
-        """One call: how it ends, and the wait that it tells."""
+        """Handle one call; return its verdict and the Retry-After wait (us, 0 for none)."""
         self._refill(now_us)
         accepted = self.tokens >= 1
-        # What is refused uses the limit up too, and leaves a debt: a host that is pressed on serves nobody.
+        # Refused calls consume tokens too and leave a debt: under constant pressure no call is served.
         self.tokens = max(-self._capacity(now_us) / 2, self.tokens - 1)
         if not self.reports or now_us - self.reports[-1][0] >= self.report_us:
             self.reports.append(
@@ -84,7 +86,7 @@
         return api.Verdict.FULL, wait_us if rng.random() < 0.8 else 0
 
     def report(self, now_us: int) -> tuple[float | None, float | None]:
-        """Share left and rate as an answer tells them now."""
+        """Return the share left and the rate that a response reports now; None before the first report."""
         visible = [
             (left, rate) for at_us, left, rate in self.reports[-9:] if at_us + self.report_delay_us <= now_us
         ]
@@ -93,9 +95,9 @@
 
 @dataclass
 class Tallies:
-    """What a run came to."""
+    """Totals of a run."""
 
-    calls: Counter[str] = field(default_factory=Counter)  # by how they ended
+    calls: Counter[str] = field(default_factory=Counter)  # by verdict
     results: Counter[str] = field(default_factory=Counter)  # messages: in time, late, refused, failed
 
     @property
@@ -105,12 +107,12 @@
 
     @property
     def refused(self) -> float:
-        """Share of the calls that were turned away."""
+        """Share of the calls that were refused."""
         return self.calls["full"] / max(1, sum(self.calls.values()))
 
 
 class Fleet:
-    """So many relays of one group and their hosts; ``play`` runs them for a while."""
+    """The relays of one group and their endpoints."""
 
     def __init__(
         self,
@@ -122,7 +124,7 @@
         make: Callable[[api.Settings, int], DecisionEngine] = DecisionEngine,
         **changes: object,
     ) -> None:
-        """``demand``: messages a second by destination, over all relays."""
+        """Create the relays. ``demand``: messages a second by destination, over all relays."""
         quota = sum(demand.values())
         changes = {
             "classes": (STATUS, POSTING),
@@ -145,7 +147,7 @@
         self.relays = [make(self.settings, seed * 1000 + i) for i in range(relays)]
         self.event_queue: list[tuple[int, int, int, api.Event]] = []
         self.serial = 0
-        self.target_us: dict[str, int] = {}  # open messages, and when they are wanted
+        self.target_us: dict[str, int] = {}  # open messages and their target times (us)
         self.attempts: Counter[str] = Counter()
         self.tallies = Tallies()
 
@@ -171,7 +173,7 @@
                 )
 
     def simulate(self, length_s: float) -> Tallies:
-        """Run for so long and until all is answered."""
+        """Submit messages for this long, then run until each has its final result."""
         until_us = int(length_s * 1e6)
         for relay in range(len(self.relays)):
             self._schedule_listing(relay, 0)
