--- a/bench/__main__.py
+++ b/bench/__main__.py
@@ -236,7 +236,7 @@
 def tails_of_batches(seeds: int, loads: tuple[float, ...], jobs: int, world: Path) -> None:
     """p50, p99 and p99.9 with batches and without, in simulated time, at slow partners."""
     print("ms from when the client wanted it out: median over seeds (least to most)")
-    for name, load, on, found in tails.all_played(scenario.load(world), loads, range(1, seeds + 1), jobs):
+    for name, load, on, found in tails.play_all(scenario.load(world), loads, range(1, seeds + 1), jobs):
         accept = [run.tail.accept_ms for run in found]
         deliver = [run.tail.deliver_ms for run in found]
         print(f"{name}, load {load}, {'batches' if on else 'one message a call'}:")
--- a/bench/hop.py
+++ b/bench/hop.py
@@ -12,10 +12,10 @@
 from bench.standins import Wired
 
 CONNECTIONS = 16  # to the sink, as many as the relay's slots keep busy
-ENDS = b"\r\n"
+CRLF = b"\r\n"
 
 
-class Out(Wired):
+class SinkConnection(Wired):
     """A connection to the sink: one call at a time."""
 
     def __init__(self, hop: Hop) -> None:
@@ -23,7 +23,7 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         super().connection_made(transport)
-        self._hop.free(self)
+        self._hop.release(self)
 
     def call(self, body: bytes) -> None:
         """One call."""
@@ -31,10 +31,10 @@
 
     def data_received(self, data: bytes) -> None:
         if data.endswith(b"\r\n\r\n"):
-            self._hop.free(self)
+            self._hop.release(self)
 
 
-class In(Wired):
+class ClientConnection(Wired):
     """A client's connection; what it sends is well-formed."""
 
     def __init__(self, hop: Hop) -> None:
@@ -42,20 +42,20 @@
 
     def data_received(self, data: bytes) -> None:
         self._buffer += data
-        while (request := self._next()) is not None:
+        while (request := self._next_request()) is not None:
             if len(request) == 1:
                 self.transport.write(b"+PONG\r\n")
                 continue
-            self._hop.hand(request[-1])
+            self._hop.submit(request[-1])
             self.transport.write(b"+OK\r\n")
 
-    def _next(self) -> list[bytes] | None:
+    def _next_request(self) -> list[bytes] | None:
         """The next whole request."""
-        if (end := self._buffer.find(ENDS)) < 0:
+        if (end := self._buffer.find(CRLF)) < 0:
             return None
         count, at, parts = int(self._buffer[1:end]), end + 2, list[bytes]()
         for _ in range(count):
-            if (end := self._buffer.find(ENDS, at)) < 0:
+            if (end := self._buffer.find(CRLF, at)) < 0:
                 return None
             start, size = end + 2, int(self._buffer[at + 1 : end])
             if len(self._buffer) < start + size + 2:
@@ -70,29 +70,29 @@
     """Messages wait for a free connection, in order."""
 
     def __init__(self) -> None:
-        self._waiting, self._free = deque[bytes](), deque[Out]()
+        self._waiting_messages, self._idle_connections = deque[bytes](), deque[SinkConnection]()
 
-    def hand(self, body: bytes) -> None:
+    def submit(self, body: bytes) -> None:
         """A message has come."""
-        if self._free:
-            self._free.popleft().call(body)
+        if self._idle_connections:
+            self._idle_connections.popleft().call(body)
         else:
-            self._waiting.append(body)
+            self._waiting_messages.append(body)
 
-    def free(self, out: Out) -> None:
+    def release(self, connection: SinkConnection) -> None:
         """A connection has its answer."""
-        if self._waiting:
-            out.call(self._waiting.popleft())
+        if self._waiting_messages:
+            connection.call(self._waiting_messages.popleft())
         else:
-            self._free.append(out)
+            self._idle_connections.append(connection)
 
 
 async def main(listen: int, sink: int) -> None:
     """Serve until it is killed."""
     loop, hop = asyncio.get_running_loop(), Hop()
     for _ in range(CONNECTIONS):
-        await loop.create_connection(lambda: Out(hop), "127.0.0.1", sink)
-    server = await loop.create_server(lambda: In(hop), "127.0.0.1", listen)
+        await loop.create_connection(lambda: SinkConnection(hop), "127.0.0.1", sink)
+    server = await loop.create_server(lambda: ClientConnection(hop), "127.0.0.1", listen)
     await server.serve_forever()
 
 
--- a/bench/process.py
+++ b/bench/process.py
@@ -16,7 +16,7 @@
 import psutil
 
 ROOT = Path(__file__).resolve().parent.parent
-READY_S = 60.0
+READY_TIMEOUT_S = 60.0
 PING = b"*1\r\n$4\r\nPING\r\n"
 TIMES = {"aim_us": 30_000_000, "deadline_us": 60_000_000, "worth": 1.0, "late_worth": 0.5, "stream": False}
 
@@ -49,7 +49,7 @@
 
 
 @dataclass(slots=True)
-class Used:
+class ResourceUsage:
     """What a span took: CPU seconds of the process, and what it held at the end (kB, anonymous memory)."""
 
     cpu_s: float = 0.0
@@ -77,21 +77,21 @@
         return int(self._ps.memory_full_info().uss // 1024)
 
     @contextmanager
-    def used(self) -> Iterator[Used]:
+    def measure_usage(self) -> Iterator[ResourceUsage]:
         """What it uses within the block."""
-        found, before_s = Used(), self.cpu_s
+        found, before_s = ResourceUsage(), self.cpu_s
         yield found
         found.cpu_s, found.memory_kb = self.cpu_s - before_s, self.memory_kb
 
-    async def ready(self) -> None:
+    async def wait_ready(self) -> None:
         """Wait until it answers; ``RuntimeError`` where it ends or hangs."""
         loop = asyncio.get_running_loop()
         began_s = loop.time()
-        while loop.time() < began_s + READY_S and self._process.returncode is None:
+        while loop.time() < began_s + READY_TIMEOUT_S and self._process.returncode is None:
             try:
                 reader, writer = await asyncio.open_connection("127.0.0.1", self.port)
                 writer.write(PING)
-                async with asyncio.timeout(READY_S):
+                async with asyncio.timeout(READY_TIMEOUT_S):
                     if await reader.readline() == b"+PONG\r\n":
                         self.start_s, self.start_cpu_s = loop.time() - began_s, self.cpu_s
                         writer.close()
@@ -100,7 +100,7 @@
                 await asyncio.sleep(0.005)
         raise RuntimeError(f"it did not come up; see {self.log}")
 
-    async def end(self, kill: bool = False) -> None:
+    async def stop(self, kill: bool = False) -> None:
         """End it."""
         if self._process.returncode is None:
             (self._process.kill if kill else self._process.terminate)()
@@ -120,13 +120,13 @@
     found = Process(process, port, folder / "log")
     psutil.Process(process.pid).cpu_affinity([core])
     try:
-        await found.ready()
+        await found.wait_ready()
         yield found
     finally:
-        await found.end(kill=True)
+        await found.stop(kill=True)
 
 
-def beside(environ: dict[str, str]) -> dict[str, str]:
+def sibling_environment(environ: dict[str, str]) -> dict[str, str]:
     """The environment of one more process of a relay: all the same, but for its console."""
     return environ | {"ROUTER_CONSOLE": f"127.0.0.1:{free_port()}"}
 
@@ -137,10 +137,10 @@
     """The relay's file and folder; its port and its environment."""
     port, state = free_port(), folder / "state"
     state.mkdir(parents=True, exist_ok=True)
-    told = {
+    config = {
         "name": "bench", "listen": f"127.0.0.1:{port}", "discovery": f"127.0.0.1:{discovery}", "seed": "1",
         "limits": {"cores": 1.0, "memory_mb": 2048, "sockets": 1024, "disk_mb": 400}, "known": known,
         "settings": settings(slots, held),
     }  # fmt: skip
-    (folder / "config.json").write_text(json.dumps(told), encoding="utf-8")
+    (folder / "config.json").write_text(json.dumps(config), encoding="utf-8")
     return port, {"ROUTER_CONFIG": str(folder / "config.json"), "ROUTER_STATE": str(state)}
--- a/bench/runs.py
+++ b/bench/runs.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from bench.process import Process, beside, free_port, relay_config, running
+from bench.process import Process, free_port, relay_config, running, sibling_environment
 from bench.standins import Client, Directory, Sink, requests, serve
 from mallowlug.config import address_of
 from mallowlug.rig.run.relays import asked
@@ -79,13 +79,13 @@
         port, environ = relay_config(Path(name), directory.whole(), face_port, SLOTS, held)
         command = ["-m", "mallowlug"]
         if console:
-            environ = beside(environ)
+            environ = sibling_environment(environ)
         if profile is not None:
             command = ["-m", "bench.profiled", str(profile)]
         async with running(Path(name), port, command, environ) as process:
             yield World(process, sink, directory, destinations)
             if profile is not None:
-                await process.end()
+                await process.stop()
     beat.cancel()
     sinks.close()
     faces.close()
@@ -113,10 +113,12 @@
         load = Load(port, sink, per_s)
         found = list[Upgraded]()
         async with AsyncExitStack() as stack:
-            old = await stack.enter_async_context(running(folder, port, ["-m", "mallowlug"], beside(environ)))
+            old = await stack.enter_async_context(
+                running(folder, port, ["-m", "mallowlug"], sibling_environment(environ))
+            )
             task = asyncio.create_task(load.run())
             for _ in range(count):
-                told = beside(environ)
+                told = sibling_environment(environ)
                 console = address_of(told["ROUTER_CONSOLE"])
                 load.fresh()
                 began_s = asyncio.get_running_loop().time()
@@ -124,7 +126,7 @@
                 while await asked(console, "GET", "/ready") != 200:
                     await asyncio.sleep(0.01)
                 yes_s = asyncio.get_running_loop().time() - began_s
-                await old.end()
+                await old.stop()
                 await asyncio.sleep(0.5)
                 found.append(Upgraded(yes_s, load.gap_s, load.met))
                 old = new
@@ -230,7 +232,7 @@
     await world.sink.until(warm, 10.0)
     before = world.sink.delivered
     began_s = loop.time()
-    with world.process.used() as used:
+    with world.process.measure_usage() as used:
         clients = await feed(world, count, held, prefix, per_s)
         await world.sink.until(before + count, 90.0)
     took = sorted(itertools.chain.from_iterable(client.took_s for client in clients))
--- a/bench/tails.py
+++ b/bench/tails.py
@@ -16,7 +16,7 @@
 from mallowlug.rig.world.scenario import EventTable, Scenario
 
 # Shares of each class's messages, and how many times as long they take.
-SERVICES = {"as drawn": (0.0, 1.0), "heavy tail": (0.05, 8.0), "one in a hundred stalls": (0.01, 25.0)}
+SERVICE_TIMES = {"as drawn": (0.0, 1.0), "heavy tail": (0.05, 8.0), "one in a hundred stalls": (0.01, 25.0)}
 
 
 @dataclass(frozen=True, slots=True)
@@ -33,7 +33,7 @@
 
     A partner's rate is drawn as a multiple of its traffic, so that multiple falls as the traffic rises.
     """
-    part, size = SERVICES[service]
+    part, size = SERVICE_TIMES[service]
     kinds = tuple(
         kind.model_copy(update={
             "batch": kind.batch if batches else 1,
@@ -52,20 +52,20 @@
     return world.model_copy(update={"kinds": kinds, "load": traffic, "events": (*world.events, *slow)})
 
 
-def played(world: Scenario) -> Played:
+def play(world: Scenario) -> Played:
     """Play it in simulated time and judge it."""
     with tempfile.TemporaryDirectory(prefix="tails-") as folder:
         record = rec.read(simulate(world, Path(folder)).path)
     return Played(tail_of(record), service_of(record).total, judge(record).state == "kept")
 
 
-def all_played(
+def play_all(
     world: Scenario, loads: Sequence[float], seeds: Sequence[int], jobs: int
 ) -> Iterator[tuple[str, float, bool, list[Played]]]:
     """Each service, load and way of calling, with one run for each seed."""
-    cases = [(name, load, on) for name in SERVICES for load in loads for on in (False, True)]
+    cases = [(name, load, on) for name in SERVICE_TIMES for load in loads for on in (False, True)]
     with ProcessPoolExecutor(jobs) as pool:
-        found = pool.map(played, [
+        found = pool.map(play, [
             variant(world, on, load, name).model_copy(update={"seed": seed})
             for name, load, on in cases for seed in seeds
         ])  # fmt: skip
--- a/tests/rig/test_tail.py
+++ b/tests/rig/test_tail.py
@@ -71,7 +71,7 @@
 
 def test_a_short_run_of_slow_partners_is_judged_and_measured() -> None:
     world = scenario.load(ROOT / "scenarios" / "tails.toml").model_copy(update={"length_s": 3.0})
-    found = tails.played(tails.variant(world, True, 1.0, "one in a hundred stalls"))
+    found = tails.play(tails.variant(world, True, 1.0, "one in a hundred stalls"))
     assert found.kept and found.tail.messages > 100 and found.tail.calls <= found.tail.carried
     p50, p99, most = found.tail.deliver_ms
     assert 50 < p50 <= p99 <= most
