--- a/bench/hop.py
+++ b/bench/hop.py
@@ -1,6 +1,6 @@
-"""The bare hop: RESP2 in, one HTTP call out, nothing kept, nothing decided: what loop and kernel cost.
+"""Baseline hop: RESP2 in, one HTTP call out, no journal and no decisions; costs only event loop and kernel.
 
-Run as a process of its own: ``python -m bench.hop LISTEN_PORT SINK_PORT``. It trusts both sides.
+Runs as a separate process: ``python -m bench.hop LISTEN_PORT SINK_PORT``. Does not validate its input.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 from bench.standins import Wired
 
-CONNECTIONS = 16  # to the sink, as many as the relay's slots keep busy
+CONNECTIONS = 16  # to the sink, as many as the relay uses
 CRLF = b"\r\n"
 
 
@@ -26,7 +26,7 @@
         self._hop.release(self)
 
     def call(self, body: bytes) -> None:
-        """One call."""
+        """Send one call."""
         self.transport.write(b"POST /hook HTTP/1.1\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body))
 
     def data_received(self, data: bytes) -> None:
@@ -35,7 +35,7 @@
 
 
 class ClientConnection(Wired):
-    """A client's connection; what it sends is well-formed."""
+    """A client's connection; requests are assumed to be well-formed."""
 
     def __init__(self, hop: Hop) -> None:
         self._hop, self._buffer = hop, bytearray()
@@ -50,7 +50,7 @@
             self.transport.write(b"+OK\r\n")
 
     def _next_request(self) -> list[bytes] | None:
-        """The next whole request."""
+        """Take the next complete request from the buffer; None if there is none."""
         if (end := self._buffer.find(CRLF)) < 0:
             return None
         count, at, parts = int(self._buffer[1:end]), end + 2, list[bytes]()
@@ -67,20 +67,20 @@
 
 
 class Hop:
-    """Messages wait for a free connection, in order."""
+    """Forwards messages in order, each on the next idle connection."""
 
     def __init__(self) -> None:
         self._waiting_messages, self._idle_connections = deque[bytes](), deque[SinkConnection]()
 
     def submit(self, body: bytes) -> None:
-        """A message has come."""
+        """Send a message, or queue it if no connection is idle."""
         if self._idle_connections:
             self._idle_connections.popleft().call(body)
         else:
             self._waiting_messages.append(body)
 
     def release(self, connection: SinkConnection) -> None:
-        """A connection has its answer."""
+        """Reuse a connection whose call has been answered."""
         if self._waiting_messages:
             connection.call(self._waiting_messages.popleft())
         else:
--- a/bench/process.py
+++ b/bench/process.py
@@ -1,4 +1,4 @@
-"""A process under test on one core, and what it used."""
+"""Starts a process under test on one core and measures its resource usage."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 def settings(slots: int, held: int) -> dict[str, Any]:
-    """What the relay is told: one keyed class, wide limits."""
+    """Return relay settings with one keyed class and limits that do not constrain the run."""
     return {
         "allowed": {"cancel": True, "connect_timeout_us": 1_000_000, "keepalive_us": 60_000_000,
                     "max_retry_after_us": 2_000_000, "may_duplicate": True, "most_tries": 6, "open_cap": held,
@@ -42,7 +42,7 @@
 
 
 def free_port() -> int:
-    """A port for a process that binds it by itself."""
+    """Return a free port for a process to bind."""
     with socket.socket() as sock:
         sock.bind(("127.0.0.1", 0))
         return int(sock.getsockname()[1])
@@ -50,7 +50,7 @@
 
 @dataclass(slots=True)
 class ResourceUsage:
-    """What a span took: CPU seconds of the process, and what it held at the end (kB, anonymous memory)."""
+    """CPU seconds used by the process, and its memory at the end (USS, kB)."""
 
     cpu_s: float = 0.0
     memory_kb: int = 0
@@ -62,29 +62,29 @@
     def __init__(self, process: asyncio.subprocess.Process, port: int, log: Path) -> None:
         self.port, self.log, self._process = port, log, process
         self._ps = psutil.Process(process.pid)
-        self.start_s = 0.0  # from its start until it answered
+        self.start_s = 0.0  # from start to the first answer
         self.start_cpu_s = 0.0
 
     @property
     def cpu_s(self) -> float:
-        """CPU seconds so far."""
+        """CPU seconds since the start."""
         times = self._ps.cpu_times()
         return float(times.user + times.system)
 
     @property
     def memory_kb(self) -> int:
-        """Its own memory (USS) now."""
+        """Current memory (USS, kB)."""
         return int(self._ps.memory_full_info().uss // 1024)
 
     @contextmanager
     def measure_usage(self) -> Iterator[ResourceUsage]:
-        """What it uses within the block."""
+        """Measure usage within the block; the result is filled in at its end."""
         found, before_s = ResourceUsage(), self.cpu_s
         yield found
         found.cpu_s, found.memory_kb = self.cpu_s - before_s, self.memory_kb
 
     async def wait_ready(self) -> None:
-        """Wait until it answers; ``RuntimeError`` where it ends or hangs."""
+        """Wait until it answers PING; raise ``RuntimeError`` if it exits or does not answer in time."""
         loop = asyncio.get_running_loop()
         began_s = loop.time()
         while loop.time() < began_s + READY_TIMEOUT_S and self._process.returncode is None:
@@ -98,10 +98,10 @@
                         return
             except (OSError, TimeoutError):
                 await asyncio.sleep(0.005)
-        raise RuntimeError(f"it did not come up; see {self.log}")
+        raise RuntimeError(f"process did not become ready; see {self.log}")
 
     async def stop(self, kill: bool = False) -> None:
-        """End it."""
+        """Stop the process and wait for its exit."""
         if self._process.returncode is None:
             (self._process.kill if kill else self._process.terminate)()
         await self._process.wait()
@@ -111,7 +111,7 @@
 async def running(
     folder: Path, port: int, command: list[str], environ: dict[str, str] | None = None
 ) -> AsyncIterator[Process]:
-    """A process on the last core, from its start to its end."""
+    """Run a process pinned to the last core; kill it at the end of the block."""
     core = max(os.sched_getaffinity(0))
     with (folder / "log").open("ab") as log:
         process = await asyncio.create_subprocess_exec(
@@ -127,14 +127,14 @@
 
 
 def sibling_environment(environ: dict[str, str]) -> dict[str, str]:
-    """The environment of one more process of a relay: all the same, but for its console."""
+    """Return the environment for another process of the same relay, with a console port of its own."""
     return environ | {"ROUTER_CONSOLE": f"127.0.0.1:{free_port()}"}
 
 
 def relay_config(
     folder: Path, known: dict[str, Any], discovery: int, slots: int, held: int
 ) -> tuple[int, dict[str, str]]:
-    """The relay's file and folder; its port and its environment."""
+    """Write the relay's configuration and create its state folder; return port and environment."""
     port, state = free_port(), folder / "state"
     state.mkdir(parents=True, exist_ok=True)
     config = {
--- a/bench/profiled.py
+++ b/bench/profiled.py
@@ -1,4 +1,4 @@
-"""The relay under a profiler that counts function calls: ``python -m bench.profiled OUT`` (pstats)."""
+"""Runs the relay under cProfile: ``python -m bench.profiled OUT`` (pstats)."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def run(out: Path) -> int:
-    """Run the relay until SIGTERM, then leave the figures."""
+    """Run the relay until SIGTERM, then write the profile."""
     profile = cProfile.Profile()
     try:
         return profile.runcall(serve)
--- a/bench/tails.py
+++ b/bench/tails.py
@@ -1,4 +1,4 @@
-"""What batches do to the tail: the relay in simulated time, without a machine's noise, over seeds."""
+"""Effect of batches on tail latency, over seeds, in simulated time to exclude the machine's noise."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 from mallowlug.rig.sim.ground import simulate
 from mallowlug.rig.world.scenario import EventTable, Scenario
 
-# Shares of each class's messages, and how many times as long they take.
+# By name: share of each class's messages that are slow, and the factor on their service time.
 SERVICE_TIMES = {"as drawn": (0.0, 1.0), "heavy tail": (0.05, 8.0), "one in a hundred stalls": (0.01, 25.0)}
 
 
 @dataclass(frozen=True, slots=True)
 class Played:
-    """One run's figures, and whether all six rules were kept."""
+    """Results of one run, and whether the judge found all six rules kept."""
 
     tail: Tail
     service: float
@@ -29,9 +29,9 @@
 
 
 def variant(world: Scenario, batches: bool, load: float, service: str) -> Scenario:
-    """The same partners under ``load`` times the traffic, with or without batches.
+    """Return the scenario with ``load`` times the traffic at the same partners, with or without batches.
 
-    A partner's rate is drawn as a multiple of its traffic, so that multiple falls as the traffic rises.
+    A partner's rate is drawn as a multiple of its traffic (headroom), so headroom is divided by ``load``.
     """
     part, size = SERVICE_TIMES[service]
     kinds = tuple(
@@ -53,7 +53,7 @@
 
 
 def play(world: Scenario) -> Played:
-    """Play it in simulated time and judge it."""
+    """Run a scenario in simulated time and judge it."""
     with tempfile.TemporaryDirectory(prefix="tails-") as folder:
         record = rec.read(simulate(world, Path(folder)).path)
     return Played(tail_of(record), service_of(record).total, judge(record).state == "kept")
@@ -62,7 +62,7 @@
 def play_all(
     world: Scenario, loads: Sequence[float], seeds: Sequence[int], jobs: int
 ) -> Iterator[tuple[str, float, bool, list[Played]]]:
-    """Each service, load and way of calling, with one run for each seed."""
+    """Yield service times, load, whether batches are on, and one run for each seed."""
     cases = [(name, load, on) for name in SERVICE_TIMES for load in loads for on in (False, True)]
     with ProcessPoolExecutor(jobs) as pool:
         found = pool.map(play, [
