--- a/bench/hop.py
+++ b/bench/hop.py
@@ -9,13 +9,13 @@
 import sys
 from collections import deque
 
-from bench.standins import Wired
+from bench.standins import ConnectionProtocol
 
 CONNECTIONS = 16  # to the sink, as many as the relay uses
 CRLF = b"\r\n"
 
 
-class SinkConnection(Wired):
+class SinkConnection(ConnectionProtocol):
     """A connection to the sink: one call at a time."""
 
     def __init__(self, hop: Hop) -> None:
@@ -34,7 +34,7 @@
             self._hop.release(self)
 
 
-class ClientConnection(Wired):
+class ClientConnection(ConnectionProtocol):
     """A client's connection; requests are assumed to be well-formed."""
 
     def __init__(self, hop: Hop) -> None:
--- a/bench/runs.py
+++ b/bench/runs.py
@@ -49,14 +49,14 @@
     """Keep watches alive."""
     while True:
         await asyncio.sleep(BEAT_S)
-        directory.beat()
+        directory.send_heartbeat()
 
 
 async def churned(directory: Directory, per_s: float) -> None:
     """Replace endpoints at a rate."""
     for number in itertools.count():
         await asyncio.sleep(1 / per_s)
-        directory.churn(number)
+        directory.replace_endpoint(number)
 
 
 @asynccontextmanager
@@ -71,12 +71,12 @@
 ) -> AsyncIterator[World]:
     """A relay with its world."""
     sink = Sink(work_s)
-    sinks, sink_port = await serve(sink.asked)
+    sinks, sink_port = await serve(sink.handle_request)
     directory = Directory(destinations, endpoints, f"127.0.0.1:{sink_port}")
-    faces, face_port = await serve(directory.asked)
+    faces, face_port = await serve(directory.handle_request)
     beat = asyncio.create_task(beats(directory))
     with tempfile.TemporaryDirectory(prefix="bench-") as name:
-        port, environ = relay_config(Path(name), directory.whole(), face_port, SLOTS, held)
+        port, environ = relay_config(Path(name), directory.full_list(), face_port, SLOTS, held)
         command = ["-m", "mallowlug"]
         if console:
             environ = sibling_environment(environ)
@@ -103,13 +103,13 @@
 async def upgrades(count: int, per_s: float) -> tuple[list[Upgraded], int, int]:
     """Upgrade a relay so often while messages come; with how many were handed in and how many delivered."""
     sink = Sink(0.02)
-    sinks, sink_port = await serve(sink.asked)
+    sinks, sink_port = await serve(sink.handle_request)
     directory = Directory(24, 1, f"127.0.0.1:{sink_port}")
-    faces, face_port = await serve(directory.asked)
+    faces, face_port = await serve(directory.handle_request)
     beat = asyncio.create_task(beats(directory))
     with tempfile.TemporaryDirectory(prefix="bench-") as name:
         folder = Path(name)
-        port, environ = relay_config(folder, directory.whole(), face_port, SLOTS, 5000)
+        port, environ = relay_config(folder, directory.full_list(), face_port, SLOTS, 5000)
         load = Load(port, sink, per_s)
         found = list[Upgraded]()
         async with AsyncExitStack() as stack:
@@ -132,7 +132,7 @@
                 old = new
             load.stopped = True
             await task
-            await sink.until(load.taken, 30.0)
+            await sink.wait_delivered(load.taken, 30.0)
     beat.cancel()
     sinks.close()
     faces.close()
@@ -190,7 +190,7 @@
 async def hop() -> AsyncIterator[World]:
     """The bare hop."""
     sink = Sink(0.0)
-    sinks, sink_port = await serve(sink.asked)
+    sinks, sink_port = await serve(sink.handle_request)
     with tempfile.TemporaryDirectory(prefix="bench-") as name:
         port = free_port()
         async with running(Path(name), port, ["-m", "bench.hop", str(port), str(sink_port)]) as process:
@@ -212,14 +212,14 @@
     before, began_s = world.sink.delivered, loop.time()
     for number in range(count):
         client = clients[number % CLIENTS]
-        await client.fewer_out(WINDOW - 1)
+        await client.wait_pending(WINDOW - 1)
         if per_s and (early_s := began_s + number / per_s - loop.time()) > 0:
             await asyncio.sleep(early_s)
         if number - held >= world.sink.delivered - before:
-            await world.sink.until(before + number - held + 1, WITHIN_S)
-        client.hand_in(next(source))
+            await world.sink.wait_delivered(before + number - held + 1, WITHIN_S)
+        client.submit(next(source))
     for client in clients:
-        await client.fewer_out(0)
+        await client.wait_pending(0)
         client.close()
     return clients
 
@@ -229,13 +229,13 @@
     loop = asyncio.get_running_loop()
     warm = world.sink.delivered + 10 * SLOTS
     await feed(world, 10 * SLOTS, SLOTS, f"w{prefix}")  # connections, records of what calls take
-    await world.sink.until(warm, 10.0)
+    await world.sink.wait_delivered(warm, 10.0)
     before = world.sink.delivered
     began_s = loop.time()
     with world.process.measure_usage() as used:
         clients = await feed(world, count, held, prefix, per_s)
-        await world.sink.until(before + count, 90.0)
-    took = sorted(itertools.chain.from_iterable(client.took_s for client in clients))
+        await world.sink.wait_delivered(before + count, 90.0)
+    took = sorted(itertools.chain.from_iterable(client.latencies_s for client in clients))
     delivered = world.sink.delivered - before
     return Cost(
         cpu_ms=1e3 * used.cpu_s / count,
--- a/bench/standins.py
+++ b/bench/standins.py
@@ -11,13 +11,13 @@
 from collections.abc import Callable, Iterator
 from typing import Any
 
-HEAD, SIZE = b"\r\n\r\n", b"content-length:"
+HEADER_END, CONTENT_LENGTH = b"\r\n\r\n", b"content-length:"
 OK = b"HTTP/1.1 200 X\r\nContent-Length: 0\r\n\r\n"
 NO_CONTENT = b"HTTP/1.1 204 X\r\n\r\n"
-Asked = Callable[["Peer", bytes, bytes], None]
+RequestHandler = Callable[["Peer", bytes, bytes], None]
 
 
-class Wired(asyncio.Protocol):
+class ConnectionProtocol(asyncio.Protocol):
     """A connection that knows its transport."""
 
     transport: asyncio.Transport
@@ -27,29 +27,29 @@
         self.transport = transport
 
 
-class Peer(Wired):
+class Peer(ConnectionProtocol):
     """One connection of a server: cuts requests out of the stream."""
 
-    def __init__(self, asked: Asked) -> None:
-        self._asked, self._buffer = asked, bytearray()
+    def __init__(self, handler: RequestHandler) -> None:
+        self._handler, self._buffer = handler, bytearray()
 
     def data_received(self, data: bytes) -> None:
         self._buffer += data
-        while (end := self._buffer.find(HEAD)) >= 0:
+        while (end := self._buffer.find(HEADER_END)) >= 0:
             head = bytes(self._buffer[:end])
-            at = head.lower().find(SIZE)
-            size = int(head[at + len(SIZE) :].split(b"\r\n", 1)[0]) if at >= 0 else 0
+            at = head.lower().find(CONTENT_LENGTH)
+            size = int(head[at + len(CONTENT_LENGTH) :].split(b"\r\n", 1)[0]) if at >= 0 else 0
             if len(self._buffer) < end + 4 + size:
                 return
             body = bytes(self._buffer[end + 4 : end + 4 + size])
             del self._buffer[: end + 4 + size]
-            self._asked(self, head, body)
+            self._handler(self, head, body)
 
 
-async def serve(asked: Asked) -> tuple[asyncio.Server, int]:
+async def serve(handler: RequestHandler) -> tuple[asyncio.Server, int]:
     """A server on a port of its own."""
     loop = asyncio.get_running_loop()
-    server = await loop.create_server(lambda: Peer(asked), "127.0.0.1", 0, backlog=1024)
+    server = await loop.create_server(lambda: Peer(handler), "127.0.0.1", 0, backlog=1024)
     return server, server.sockets[0].getsockname()[1]
 
 
@@ -58,30 +58,30 @@
 
     def __init__(self, work_s: float) -> None:
         self.work_s, self.delivered = work_s, 0
-        self._reached: tuple[int, asyncio.Event] = (1 << 60, asyncio.Event())
+        self._delivery_target: tuple[int, asyncio.Event] = (1 << 60, asyncio.Event())
 
-    def asked(self, peer: Peer, head: bytes, body: bytes) -> None:
+    def handle_request(self, peer: Peer, head: bytes, body: bytes) -> None:
         """One call."""
         if self.work_s:
-            asyncio.get_running_loop().call_later(self.work_s, self._answer, peer)
+            asyncio.get_running_loop().call_later(self.work_s, self._respond, peer)
         else:
-            self._answer(peer)
+            self._respond(peer)
 
-    def _answer(self, peer: Peer) -> None:
+    def _respond(self, peer: Peer) -> None:
         if not peer.transport.is_closing():
             peer.transport.write(OK)
             self.delivered += 1
-            if self.delivered >= self._reached[0]:
-                self._reached[1].set()
+            if self.delivered >= self._delivery_target[0]:
+                self._delivery_target[1].set()
 
-    async def until(self, count: int, within_s: float) -> bool:
+    async def wait_delivered(self, count: int, within_s: float) -> bool:
         """Wait until so many were delivered; False where that did not come in time."""
-        self._reached = (count, asyncio.Event())
+        self._delivery_target = (count, asyncio.Event())
         if self.delivered >= count:
             return True
         try:
             async with asyncio.timeout(within_s):
-                await self._reached[1].wait()
+                await self._delivery_target[1].wait()
         except TimeoutError:
             return False
         return True
@@ -99,11 +99,11 @@
             for d in range(destinations) for e in range(endpoints)
         ]  # fmt: skip
 
-    def whole(self) -> dict[str, Any]:
+    def full_list(self) -> dict[str, Any]:
         """The list as it stands."""
         return {"seq": self.seq, "whole": True, "hosts": self.hosts}
 
-    def asked(self, peer: Peer, head: bytes, body: bytes) -> None:
+    def handle_request(self, peer: Peer, head: bytes, body: bytes) -> None:
         """A watch, or notices."""
         if head.startswith(b"POST"):
             self.notices += body.count(b"\n") + (not body.endswith(b"\n"))
@@ -111,36 +111,36 @@
             return
         peer.transport.write(b"HTTP/1.1 200 X\r\nTransfer-Encoding: chunked\r\n\r\n")
         self._watches.append(peer)
-        self._tell(peer, {"seq": self.seq, "whole": False, "hosts": []})
+        self._send(peer, {"seq": self.seq, "whole": False, "hosts": []})
 
     @staticmethod
-    def _tell(peer: Peer, news: dict[str, Any]) -> None:
+    def _send(peer: Peer, news: dict[str, Any]) -> None:
         data = json.dumps(news).encode() + b"\n"
         if not peer.transport.is_closing():
             peer.transport.write(b"%x\r\n%s\r\n" % (len(data), data))
 
-    def beat(self) -> None:
+    def send_heartbeat(self) -> None:
         """An empty line, so that the watch is not taken for broken."""
         for peer in self._watches:
             if not peer.transport.is_closing():
                 peer.transport.write(b"1\r\n\n\r\n")
 
-    def churn(self, number: int) -> None:
+    def replace_endpoint(self, number: int) -> None:
         """One endpoint is replaced by another under a new id: two changes."""
         at = number % len(self.hosts)
         former, self.seq = self.hosts[at], self.seq + 1
         self.hosts[at] = new = former | {"host": f"{former['host'].partition('+')[0]}+{number}"}
         news = {"seq": self.seq, "whole": False, "hosts": [former | {"health": "DELETED"}, new]}
         for peer in self._watches:
-            self._tell(peer, news)
+            self._send(peer, news)
 
 
-class Client(Wired):
+class Client(ConnectionProtocol):
     """One pipelining client: it counts answers and times each from its request's last byte."""
 
     def __init__(self) -> None:
-        self._buffer, self._out = bytearray(), deque[float]()
-        self.taken, self.refused, self.took_s = 0, 0, list[float]()
+        self._buffer, self._pending_since_s = bytearray(), deque[float]()
+        self.accepted, self.refused, self.latencies_s = 0, 0, list[float]()
         self.answered = asyncio.Event()
 
     def data_received(self, data: bytes) -> None:
@@ -149,19 +149,19 @@
         *lines, rest = bytes(self._buffer).split(b"\r\n")
         self._buffer = bytearray(rest)
         for line in lines:
-            self.took_s.append(now_s - self._out.popleft())
-            self.taken += line.startswith(b"+OK")
+            self.latencies_s.append(now_s - self._pending_since_s.popleft())
+            self.accepted += line.startswith(b"+OK")
             self.refused += not line.startswith(b"+OK")
         self.answered.set()
 
-    def hand_in(self, data: bytes) -> None:
+    def submit(self, data: bytes) -> None:
         """One request."""
-        self._out.append(asyncio.get_running_loop().time())
+        self._pending_since_s.append(asyncio.get_running_loop().time())
         self.transport.write(data)
 
-    async def fewer_out(self, most: int) -> None:
+    async def wait_pending(self, most: int) -> None:
         """Wait until so few of its requests have no answer."""
-        while len(self._out) > most:
+        while len(self._pending_since_s) > most:
             self.answered.clear()
             await self.answered.wait()
 
