--- a/bench/standins.py
+++ b/bench/standins.py
@@ -1,6 +1,6 @@
-"""The world of a benchmark: a sink for calls, a directory with churn, clients that pipeline; all lean.
+"""Lightweight peers for benchmarks: a sink for calls, a directory with churn, and pipelining clients.
 
-They share nothing with the relay, and they judge nothing: what a rule says is the rig's and the simulation's.
+They share no code with the relay and check no rules; the rig and the simulation do that.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 
 class ConnectionProtocol(asyncio.Protocol):
-    """A connection that knows its transport."""
+    """A protocol that keeps its transport."""
 
     transport: asyncio.Transport
 
@@ -28,7 +28,7 @@
 
 
 class Peer(ConnectionProtocol):
-    """One connection of a server: cuts requests out of the stream."""
+    """One server connection: splits the stream into requests."""
 
     def __init__(self, handler: RequestHandler) -> None:
         self._handler, self._buffer = handler, bytearray()
@@ -47,21 +47,21 @@
 
 
 async def serve(handler: RequestHandler) -> tuple[asyncio.Server, int]:
-    """A server on a port of its own."""
+    """Start a server on a free port; return it and its port."""
     loop = asyncio.get_running_loop()
     server = await loop.create_server(lambda: Peer(handler), "127.0.0.1", 0, backlog=1024)
     return server, server.sockets[0].getsockname()[1]
 
 
 class Sink:
-    """Takes every call, answers after a work time, and counts."""
+    """Accepts every call, responds after ``work_s``, and counts the deliveries."""
 
     def __init__(self, work_s: float) -> None:
         self.work_s, self.delivered = work_s, 0
         self._delivery_target: tuple[int, asyncio.Event] = (1 << 60, asyncio.Event())
 
     def handle_request(self, peer: Peer, head: bytes, body: bytes) -> None:
-        """One call."""
+        """Respond to one call after the work time."""
         if self.work_s:
             asyncio.get_running_loop().call_later(self.work_s, self._respond, peer)
         else:
@@ -75,7 +75,7 @@
                 self._delivery_target[1].set()
 
     async def wait_delivered(self, count: int, within_s: float) -> bool:
-        """Wait until so many were delivered; False where that did not come in time."""
+        """Wait until ``count`` calls were delivered; return False on timeout."""
         self._delivery_target = (count, asyncio.Event())
         if self.delivered >= count:
             return True
@@ -88,7 +88,7 @@
 
 
 class Directory:
-    """The list of endpoints, told whole to each watch, then by changes; notices are counted."""
+    """Discovery service: sends endpoint changes to each watch, and counts notices."""
 
     def __init__(self, destinations: int, endpoints: int, dial: str) -> None:
         self.seq, self.notices = 1, 0
@@ -100,11 +100,11 @@
         ]  # fmt: skip
 
     def full_list(self) -> dict[str, Any]:
-        """The list as it stands."""
+        """Return the current full list."""
         return {"seq": self.seq, "whole": True, "hosts": self.hosts}
 
     def handle_request(self, peer: Peer, head: bytes, body: bytes) -> None:
-        """A watch, or notices."""
+        """Handle a watch request or a POST of notices."""
         if head.startswith(b"POST"):
             self.notices += body.count(b"\n") + (not body.endswith(b"\n"))
             peer.transport.write(NO_CONTENT)
@@ -120,13 +120,13 @@
             peer.transport.write(b"%x\r\n%s\r\n" % (len(data), data))
 
     def send_heartbeat(self) -> None:
-        """An empty line, so that the watch is not taken for broken."""
+        """Send an empty line to each watch, so that the relay does not consider it broken."""
         for peer in self._watches:
             if not peer.transport.is_closing():
                 peer.transport.write(b"1\r\n\n\r\n")
 
     def replace_endpoint(self, number: int) -> None:
-        """One endpoint is replaced by another under a new id: two changes."""
+        """Replace one endpoint by another with a new id, sent as two changes."""
         at = number % len(self.hosts)
         former, self.seq = self.hosts[at], self.seq + 1
         self.hosts[at] = new = former | {"host": f"{former['host'].partition('+')[0]}+{number}"}
@@ -136,7 +136,7 @@
 
 
 class Client(ConnectionProtocol):
-    """One pipelining client: it counts answers and times each from its request's last byte."""
+    """A pipelining client that counts answers and measures latencies from when a request is written."""
 
     def __init__(self) -> None:
         self._buffer, self._pending_since_s = bytearray(), deque[float]()
@@ -155,23 +155,23 @@
         self.answered.set()
 
     def submit(self, data: bytes) -> None:
-        """One request."""
+        """Send one request."""
         self._pending_since_s.append(asyncio.get_running_loop().time())
         self.transport.write(data)
 
-    async def wait_pending(self, most: int) -> None:
-        """Wait until so few of its requests have no answer."""
-        while len(self._pending_since_s) > most:
+    async def wait_pending(self, max_pending: int) -> None:
+        """Wait until at most ``max_pending`` requests are unanswered."""
+        while len(self._pending_since_s) > max_pending:
             self.answered.clear()
             await self.answered.wait()
 
     def close(self) -> None:
-        """Leave."""
+        """Close the connection."""
         self.transport.close()
 
 
 def requests(prefix: str, destinations: int, size: int, deadline_ms: int) -> Iterator[bytes]:
-    """ENQUEUE requests without end, over all destinations in turn."""
+    """Yield ENQUEUE requests without end, for all destinations in turn."""
     number, body = 0, b"b" * size
     while True:
         ref = prefix.encode() + b"%0*x" % (16 - len(prefix), number)
