--- a/bench/__main__.py
+++ b/bench/__main__.py
@@ -236,7 +236,7 @@
 def tails_of_batches(seeds: int, loads: tuple[float, ...], jobs: int, world: Path) -> None:
     """p50, p99 and p99.9 with batches and without, in simulated time, at slow partners."""
     print("ms from when the client wanted it out: median over seeds (least to most)")
-    for name, load, on, found in tails.all_played(scenario.load(world), loads, range(1, seeds + 1), jobs):
+    for name, load, on, found in tails.play_all(scenario.load(world), loads, range(1, seeds + 1), jobs):
         accept = [run.tail.accept_ms for run in found]
         deliver = [run.tail.deliver_ms for run in found]
         print(f"{name}, load {load}, {'batches' if on else 'one message a call'}:")
@@ -290,7 +290,7 @@
 def member_views(sizes: str, seeds: int, jobs: int, out: Path | None) -> None:
     """The view of the fleet in drawn time: how soon it settles, sees a crash, heals; what it costs."""
     wanted = [int(size) for size in sizes.split(",")]
-    found = members.measured(wanted, range(1, seeds + 1), jobs)
+    found = members.run_all(wanted, range(1, seeds + 1), jobs)
     rows = []
     for name in members.NAMES:
         each = [[float(getattr(one, name)) for one in found if one.size == size] for size in wanted]
--- a/bench/hop.py
+++ b/bench/hop.py
@@ -1,6 +1,6 @@
-"""The bare hop: RESP2 in, one HTTP call out, nothing kept, nothing decided: what loop and kernel cost.
+"""Baseline hop: RESP2 in, one HTTP call out, no journal and no decisions; costs only event loop and kernel.
 
-Run as a process of its own: ``python -m bench.hop LISTEN_PORT SINK_PORT``. It trusts both sides.
+Runs as a separate process: ``python -m bench.hop LISTEN_PORT SINK_PORT``. Does not validate its input.
 """
 
 from __future__ import annotations
@@ -9,13 +9,13 @@
 import sys
 from collections import deque
 
-from bench.standins import Wired
+from bench.standins import ConnectionProtocol
 
-CONNECTIONS = 16  # to the sink, as many as the relay's slots keep busy
-ENDS = b"\r\n"
+CONNECTIONS = 16  # to the sink, as many as the relay uses
+CRLF = b"\r\n"
 
 
-class Out(Wired):
+class SinkConnection(ConnectionProtocol):
     """A connection to the sink: one call at a time."""
 
     def __init__(self, hop: Hop) -> None:
@@ -23,39 +23,39 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         super().connection_made(transport)
-        self._hop.free(self)
+        self._hop.release(self)
 
     def call(self, body: bytes) -> None:
-        """One call."""
+        """Send one call."""
         self.transport.write(b"POST /hook HTTP/1.1\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body))
 
     def data_received(self, data: bytes) -> None:
         if data.endswith(b"\r\n\r\n"):
-            self._hop.free(self)
+            self._hop.release(self)
 
 
-class In(Wired):
-    """A client's connection; what it sends is well-formed."""
+class ClientConnection(ConnectionProtocol):
+    """A client's connection; requests are assumed to be well-formed."""
 
     def __init__(self, hop: Hop) -> None:
         self._hop, self._buffer = hop, bytearray()
 
     def data_received(self, data: bytes) -> None:
         self._buffer += data
-        while (request := self._next()) is not None:
+        while (request := self._next_request()) is not None:
             if len(request) == 1:
                 self.transport.write(b"+PONG\r\n")
                 continue
-            self._hop.hand(request[-1])
+            self._hop.submit(request[-1])
             self.transport.write(b"+OK\r\n")
 
-    def _next(self) -> list[bytes] | None:
-        """The next whole request."""
-        if (end := self._buffer.find(ENDS)) < 0:
+    def _next_request(self) -> list[bytes] | None:
+        """Take the next complete request from the buffer; None if there is none."""
+        if (end := self._buffer.find(CRLF)) < 0:
             return None
         count, at, parts = int(self._buffer[1:end]), end + 2, list[bytes]()
         for _ in range(count):
-            if (end := self._buffer.find(ENDS, at)) < 0:
+            if (end := self._buffer.find(CRLF, at)) < 0:
                 return None
             start, size = end + 2, int(self._buffer[at + 1 : end])
             if len(self._buffer) < start + size + 2:
@@ -67,32 +67,32 @@
 
 
 class Hop:
-    """Messages wait for a free connection, in order."""
+    """Forwards messages in order, each on the next idle connection."""
 
     def __init__(self) -> None:
-        self._waiting, self._free = deque[bytes](), deque[Out]()
+        self._waiting_messages, self._idle_connections = deque[bytes](), deque[SinkConnection]()
 
-    def hand(self, body: bytes) -> None:
-        """A message has come."""
-        if self._free:
-            self._free.popleft().call(body)
+    def submit(self, body: bytes) -> None:
+        """Send a message, or queue it if no connection is idle."""
+        if self._idle_connections:
+            self._idle_connections.popleft().call(body)
         else:
-            self._waiting.append(body)
+            self._waiting_messages.append(body)
 
-    def free(self, out: Out) -> None:
-        """A connection has its answer."""
-        if self._waiting:
-            out.call(self._waiting.popleft())
+    def release(self, connection: SinkConnection) -> None:
+        """Reuse a connection whose call has been answered."""
+        if self._waiting_messages:
+            connection.call(self._waiting_messages.popleft())
         else:
-            self._free.append(out)
+            self._idle_connections.append(connection)
 
 
 async def main(listen: int, sink: int) -> None:
     """Serve until it is killed."""
     loop, hop = asyncio.get_running_loop(), Hop()
     for _ in range(CONNECTIONS):
-        await loop.create_connection(lambda: Out(hop), "127.0.0.1", sink)
-    server = await loop.create_server(lambda: In(hop), "127.0.0.1", listen)
+        await loop.create_connection(lambda: SinkConnection(hop), "127.0.0.1", sink)
+    server = await loop.create_server(lambda: ClientConnection(hop), "127.0.0.1", listen)
     await server.serve_forever()
 
 
--- a/bench/runs.py
+++ b/bench/runs.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from bench.process import Process, beside, free_port, relay_config, running
+from bench.process import Process, free_port, relay_config, running, sibling_environment
 from bench.standins import Client, Directory, Sink, requests, serve
 from mallowlug.config import address_of
 from mallowlug.rig.run.relays import asked
@@ -49,14 +49,14 @@
     """Keep watches alive."""
     while True:
         await asyncio.sleep(BEAT_S)
-        directory.beat()
+        directory.send_heartbeat()
 
 
 async def churned(directory: Directory, per_s: float) -> None:
     """Replace endpoints at a rate."""
     for number in itertools.count():
         await asyncio.sleep(1 / per_s)
-        directory.churn(number)
+        directory.replace_endpoint(number)
 
 
 @asynccontextmanager
@@ -71,21 +71,21 @@
 ) -> AsyncIterator[World]:
     """A relay with its world."""
     sink = Sink(work_s)
-    sinks, sink_port = await serve(sink.asked)
+    sinks, sink_port = await serve(sink.handle_request)
     directory = Directory(destinations, endpoints, f"127.0.0.1:{sink_port}")
-    faces, face_port = await serve(directory.asked)
+    faces, face_port = await serve(directory.handle_request)
     beat = asyncio.create_task(beats(directory))
     with tempfile.TemporaryDirectory(prefix="bench-") as name:
-        port, environ = relay_config(Path(name), directory.whole(), face_port, SLOTS, held)
+        port, environ = relay_config(Path(name), directory.full_list(), face_port, SLOTS, held)
         command = ["-m", "mallowlug"]
         if console:
-            environ = beside(environ)
+            environ = sibling_environment(environ)
         if profile is not None:
             command = ["-m", "bench.profiled", str(profile)]
         async with running(Path(name), port, command, environ) as process:
             yield World(process, sink, directory, destinations)
             if profile is not None:
-                await process.end()
+                await process.stop()
     beat.cancel()
     sinks.close()
     faces.close()
@@ -103,20 +103,22 @@
 async def upgrades(count: int, per_s: float) -> tuple[list[Upgraded], int, int]:
     """Upgrade a relay so often while messages come; with how many were handed in and how many delivered."""
     sink = Sink(0.02)
-    sinks, sink_port = await serve(sink.asked)
+    sinks, sink_port = await serve(sink.handle_request)
     directory = Directory(24, 1, f"127.0.0.1:{sink_port}")
-    faces, face_port = await serve(directory.asked)
+    faces, face_port = await serve(directory.handle_request)
     beat = asyncio.create_task(beats(directory))
     with tempfile.TemporaryDirectory(prefix="bench-") as name:
         folder = Path(name)
-        port, environ = relay_config(folder, directory.whole(), face_port, SLOTS, 5000)
+        port, environ = relay_config(folder, directory.full_list(), face_port, SLOTS, 5000)
         load = Load(port, sink, per_s)
         found = list[Upgraded]()
         async with AsyncExitStack() as stack:
-            old = await stack.enter_async_context(running(folder, port, ["-m", "mallowlug"], beside(environ)))
+            old = await stack.enter_async_context(
+                running(folder, port, ["-m", "mallowlug"], sibling_environment(environ))
+            )
             task = asyncio.create_task(load.run())
             for _ in range(count):
-                told = beside(environ)
+                told = sibling_environment(environ)
                 console = address_of(told["ROUTER_CONSOLE"])
                 load.fresh()
                 began_s = asyncio.get_running_loop().time()
@@ -124,13 +126,13 @@
                 while await asked(console, "GET", "/ready") != 200:
                     await asyncio.sleep(0.01)
                 yes_s = asyncio.get_running_loop().time() - began_s
-                await old.end()
+                await old.stop()
                 await asyncio.sleep(0.5)
                 found.append(Upgraded(yes_s, load.gap_s, load.met))
                 old = new
             load.stopped = True
             await task
-            await sink.until(load.taken, 30.0)
+            await sink.wait_delivered(load.taken, 30.0)
     beat.cancel()
     sinks.close()
     faces.close()
@@ -188,7 +190,7 @@
 async def hop() -> AsyncIterator[World]:
     """The bare hop."""
     sink = Sink(0.0)
-    sinks, sink_port = await serve(sink.asked)
+    sinks, sink_port = await serve(sink.handle_request)
     with tempfile.TemporaryDirectory(prefix="bench-") as name:
         port = free_port()
         async with running(Path(name), port, ["-m", "bench.hop", str(port), str(sink_port)]) as process:
@@ -210,14 +212,14 @@
     before, began_s = world.sink.delivered, loop.time()
     for number in range(count):
         client = clients[number % CLIENTS]
-        await client.fewer_out(WINDOW - 1)
+        await client.wait_pending(WINDOW - 1)
         if per_s and (early_s := began_s + number / per_s - loop.time()) > 0:
             await asyncio.sleep(early_s)
         if number - held >= world.sink.delivered - before:
-            await world.sink.until(before + number - held + 1, WITHIN_S)
-        client.hand_in(next(source))
+            await world.sink.wait_delivered(before + number - held + 1, WITHIN_S)
+        client.submit(next(source))
     for client in clients:
-        await client.fewer_out(0)
+        await client.wait_pending(0)
         client.close()
     return clients
 
@@ -227,13 +229,13 @@
     loop = asyncio.get_running_loop()
     warm = world.sink.delivered + 10 * SLOTS
     await feed(world, 10 * SLOTS, SLOTS, f"w{prefix}")  # connections, records of what calls take
-    await world.sink.until(warm, 10.0)
+    await world.sink.wait_delivered(warm, 10.0)
     before = world.sink.delivered
     began_s = loop.time()
-    with world.process.used() as used:
+    with world.process.measure_usage() as used:
         clients = await feed(world, count, held, prefix, per_s)
-        await world.sink.until(before + count, 90.0)
-    took = sorted(itertools.chain.from_iterable(client.took_s for client in clients))
+        await world.sink.wait_delivered(before + count, 90.0)
+    took = sorted(itertools.chain.from_iterable(client.latencies_s for client in clients))
     delivered = world.sink.delivered - before
     return Cost(
         cpu_ms=1e3 * used.cpu_s / count,
--- a/mallowlug/rig/sim/members.py
+++ b/mallowlug/rig/sim/members.py
@@ -11,9 +11,9 @@
 from itertools import count
 
 from mallowlug.fleet import records as rec
-from mallowlug.fleet.records import Rumour
-from mallowlug.fleet.swim import Swim, Times
-from mallowlug.fleet.view import Event
+from mallowlug.fleet.records import MemberUpdate
+from mallowlug.fleet.swim import ProtocolTimes, Swim
+from mallowlug.fleet.view import ViewEvent
 
 SECOND = 1_000_000
 
@@ -33,7 +33,7 @@
     """The simulated network; protocol instances are known by their address."""
 
     seed: int = 1
-    times: Times = field(default_factory=Times)
+    times: ProtocolTimes = field(default_factory=ProtocolTimes)
     now_us: int = 10 * SECOND
 
     def __post_init__(self) -> None:
@@ -41,7 +41,7 @@
         self.instances: dict[str, Swim] = {}  # by address
         self.links: dict[tuple[str, str], Link] = {}
         self.default_link = Link()
-        self.events: list[tuple[str, Event]] = []  # with the address of the instance that saw it
+        self.events: list[tuple[str, ViewEvent]] = []  # with the address of the instance that saw it
         self.sent, self.bytes = Counter[str](), Counter[str]()
         self.suspended_until_us: dict[str, int] = {}  # by address: suspended until this time
         self._events_due: list[tuple[int, int, Callable[[], None]]] = []
@@ -50,9 +50,9 @@
     def start(self, relay: str, *, life: int = 1, seeds: Iterable[str] = (), address: str = "") -> Swim:
         """Start a process of a relay; it replaces an older one at its address."""
         address = address or f"{relay}:1"
-        me = Rumour(relay, life, self.rng.getrandbits(48), 0, "alive", address, "a", "1", relay)
+        own_update = MemberUpdate(relay, life, self.rng.getrandbits(48), 0, "alive", address, "a", "1", relay)
         instance = Swim(
-            "test", me, seeds=list(seeds), times=self.times,
+            "test", own_update, seeds=list(seeds), times=self.times,
             rng=random.Random(f"{self.seed} {address} {life}"), now_us=self.now_us,
         )  # fmt: skip
         self.instances[address] = instance
@@ -118,12 +118,12 @@
         self.after(due_us - self.now_us, lambda: self._run_timers(address, instance))
 
     def _send_pending(self, address: str, instance: Swim) -> None:
-        out, instance.out = instance.out, []
+        out, instance.outgoing = instance.outgoing, []
         events, instance.events = instance.events, []
         self.events += [(address, event) for event in events]
         for target, frame in out:
-            data = rec.encoded(frame)
-            assert len(data) <= rec.MOST_BYTES
+            data = rec.encode(frame)
+            assert len(data) <= rec.MAX_DATAGRAM_BYTES
             self.sent[address] += 1
             self.bytes[address] += len(data)
             link = self.links.get((address, target), self.default_link)
@@ -138,7 +138,7 @@
         if (until := self.suspended_until_us.get(address, 0)) > self.now_us:
             self.after(until - self.now_us, lambda: self._receive(address, data))
             return
-        instance.receive(self.now_us, rec.decoded(data, "test"))
+        instance.receive(self.now_us, rec.decode(data, "test"))
         self._send_pending(address, instance)
 
     # Queries
@@ -148,9 +148,9 @@
         sides = (
             [self.instances[a] for a in addresses] if addresses is not None else list(self.instances.values())
         )
-        ids = {instance.me.relay for instance in sides}
+        ids = {instance.own_update.relay for instance in sides}
         return len({instance.view.digest for instance in sides}) == 1 and all(
-            {r for r, m in instance.view.members.items() if m.said.state == "alive"} == ids
+            {r for r, m in instance.view.members.items() if m.update.state == "alive"} == ids
             for instance in sides
         )
 
@@ -159,6 +159,6 @@
         held = [
             instance.view.members.get(relay)
             for instance in self.instances.values()
-            if instance.me.relay != relay
+            if instance.own_update.relay != relay
         ]
-        return Counter(member.said.state if member is not None else "unknown" for member in held)
+        return Counter(member.update.state if member is not None else "unknown" for member in held)
--- a/tests/sim/test_members.py
+++ b/tests/sim/test_members.py
@@ -34,14 +34,14 @@
     real = Agent.open
 
     def opened(self: Agent) -> None:
-        agents[self.swim.me.relay] = self
+        agents[self.swim.own_update.relay] = self
         real(self)
 
     async def look(_world: World) -> None:
         await asyncio.sleep(AT_S)
         found.update(agents)
         for name, agent in found.items():
-            views[name] = agent.swim.view.digest, agent._size, frozenset(agent.swim.view.here())
+            views[name] = agent.swim.view.digest, agent._group_size, frozenset(agent.swim.view.live_members())
 
     views: dict[str, Any] = {}
     monkeypatch.setattr(Agent, "open", opened)
@@ -64,7 +64,7 @@
         {"at_s": 4.0, "what": "stall", "relay": 3, "len_s": 2.0},
         {"at_s": 6.0, "what": "upgrade", "relay": 4},
     )  # fmt: skip
-    lives = {name: agent.swim.me.life for name, agent in found.items()}
+    lives = {name: agent.swim.own_update.life for name, agent in found.items()}
     assert lives == {"n0": 1, "n1": 1, "n2": 2, "n3": 1, "n4": 2}
 
 
