--- a/bench/runs.py
+++ b/bench/runs.py
@@ -1,4 +1,4 @@
-"""The runs: each starts what it measures anew, and ends by itself."""
+"""Benchmark runs. Each starts fresh processes and stops by itself."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from mallowlug.config import address_of
 from mallowlug.rig.run.relays import asked
 
-CLIENTS, WINDOW = 16, 8  # clients, and requests of each without an answer
+CLIENTS, WINDOW = 16, 8  # connections, and max unanswered requests on each
 BODY = 200  # bytes
 SLOTS = 32
 BEAT_S = 1.0
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Cost:
-    """What messages cost: CPU milliseconds each, how many a second, and the share that was delivered."""
+    """Cost of messages: CPU ms per message, messages a second, share delivered, memory and accept latency."""
 
     cpu_ms: float
     per_s: float
@@ -37,7 +37,7 @@
 
 @dataclass(frozen=True, slots=True)
 class World:
-    """What stands around a process under test."""
+    """A process under test and the peers around it."""
 
     process: Process
     sink: Sink
@@ -46,14 +46,14 @@
 
 
 async def beats(directory: Directory) -> None:
-    """Keep watches alive."""
+    """Send heartbeats to all watches periodically."""
     while True:
         await asyncio.sleep(BEAT_S)
         directory.send_heartbeat()
 
 
 async def churned(directory: Directory, per_s: float) -> None:
-    """Replace endpoints at a rate."""
+    """Replace ``per_s`` endpoints a second."""
     for number in itertools.count():
         await asyncio.sleep(1 / per_s)
         directory.replace_endpoint(number)
@@ -69,14 +69,14 @@
     work_s: float = 0.0,
     profile: Path | None = None,
 ) -> AsyncIterator[World]:
-    """A relay with its world."""
+    """Run a relay with a sink and a discovery service. ``held``: the relay may hold this many messages."""
     sink = Sink(work_s)
-    sinks, sink_port = await serve(sink.handle_request)
+    sink_server, sink_port = await serve(sink.handle_request)
     directory = Directory(destinations, endpoints, f"127.0.0.1:{sink_port}")
-    faces, face_port = await serve(directory.handle_request)
-    beat = asyncio.create_task(beats(directory))
+    discovery_server, discovery_port = await serve(directory.handle_request)
+    heartbeats = asyncio.create_task(beats(directory))
     with tempfile.TemporaryDirectory(prefix="bench-") as name:
-        port, environ = relay_config(Path(name), directory.full_list(), face_port, SLOTS, held)
+        port, environ = relay_config(Path(name), directory.full_list(), discovery_port, SLOTS, held)
         command = ["-m", "mallowlug"]
         if console:
             environ = sibling_environment(environ)
@@ -86,14 +86,14 @@
             yield World(process, sink, directory, destinations)
             if profile is not None:
                 await process.stop()
-    beat.cancel()
-    sinks.close()
-    faces.close()
+    heartbeats.cancel()
+    sink_server.close()
+    discovery_server.close()
 
 
 @dataclass(frozen=True, slots=True)
 class Upgraded:
-    """One upgrade under load: s to the yes, most s without a delivery, messages that met a close."""
+    """One upgrade under load: s until ready, longest s without a delivery, requests that met a close."""
 
     yes_s: float
     gap_s: float
@@ -101,15 +101,15 @@
 
 
 async def upgrades(count: int, per_s: float) -> tuple[list[Upgraded], int, int]:
-    """Upgrade a relay so often while messages come; with how many were handed in and how many delivered."""
+    """Upgrade a relay ``count`` times under load; return the upgrades, messages accepted and delivered."""
     sink = Sink(0.02)
-    sinks, sink_port = await serve(sink.handle_request)
+    sink_server, sink_port = await serve(sink.handle_request)
     directory = Directory(24, 1, f"127.0.0.1:{sink_port}")
-    faces, face_port = await serve(directory.handle_request)
-    beat = asyncio.create_task(beats(directory))
+    discovery_server, discovery_port = await serve(directory.handle_request)
+    heartbeats = asyncio.create_task(beats(directory))
     with tempfile.TemporaryDirectory(prefix="bench-") as name:
         folder = Path(name)
-        port, environ = relay_config(folder, directory.full_list(), face_port, SLOTS, 5000)
+        port, environ = relay_config(folder, directory.full_list(), discovery_port, SLOTS, 5000)
         load = Load(port, sink, per_s)
         found = list[Upgraded]()
         async with AsyncExitStack() as stack:
@@ -118,11 +118,11 @@
             )
             task = asyncio.create_task(load.run())
             for _ in range(count):
-                told = sibling_environment(environ)
-                console = address_of(told["ROUTER_CONSOLE"])
+                environment = sibling_environment(environ)
+                console = address_of(environment["ROUTER_CONSOLE"])
                 load.fresh()
                 began_s = asyncio.get_running_loop().time()
-                new = await stack.enter_async_context(running(folder, port, ["-m", "mallowlug"], told))
+                new = await stack.enter_async_context(running(folder, port, ["-m", "mallowlug"], environment))
                 while await asked(console, "GET", "/ready") != 200:
                     await asyncio.sleep(0.01)
                 yes_s = asyncio.get_running_loop().time() - began_s
@@ -133,25 +133,25 @@
             load.stopped = True
             await task
             await sink.wait_delivered(load.taken, 30.0)
-    beat.cancel()
-    sinks.close()
-    faces.close()
+    heartbeats.cancel()
+    sink_server.close()
+    discovery_server.close()
     return found, load.taken, sink.delivered
 
 
 class Load:
-    """Clients that ask one thing at a time, and again on a new connection where the old one was closed."""
+    """Clients with one request at a time, which retry on a new connection when theirs was closed."""
 
     def __init__(self, port: int, sink: Sink, per_s: float) -> None:
         self._port, self._sink, self._per_s = port, sink, per_s
         self.stopped, self.taken, self.met, self.gap_s = False, 0, 0, 0.0
 
     def fresh(self) -> None:
-        """Count for the next upgrade."""
+        """Reset the counts for the next upgrade."""
         self.met, self.gap_s = 0, 0.0
 
     async def run(self) -> None:
-        """Until it is stopped."""
+        """Send requests until ``stopped`` is set."""
         await asyncio.gather(self._watch(), *(self._client(number) for number in range(CLIENTS)))
 
     async def _watch(self) -> None:
@@ -169,7 +169,7 @@
             request = next(source)
             answer = b""
             while not answer:
-                if reader.at_eof():  # closed while it was idle, and the client has seen it
+                if reader.at_eof():  # closed while idle: not counted as met
                     writer.close()
                     reader, writer = await asyncio.open_connection("127.0.0.1", self._port)
                 try:
@@ -188,25 +188,25 @@
 
 @asynccontextmanager
 async def hop() -> AsyncIterator[World]:
-    """The bare hop."""
+    """Run the baseline hop with a sink."""
     sink = Sink(0.0)
-    sinks, sink_port = await serve(sink.handle_request)
+    sink_server, sink_port = await serve(sink.handle_request)
     with tempfile.TemporaryDirectory(prefix="bench-") as name:
         port = free_port()
         async with running(Path(name), port, ["-m", "bench.hop", str(port), str(sink_port)]) as process:
             yield World(process, sink, Directory(0, 0, ""), 24)
-    sinks.close()
+    sink_server.close()
 
 
 async def clients_of(world: World) -> list[Client]:
-    """Clients, connected."""
+    """Connect the clients."""
     loop = asyncio.get_running_loop()
     made = [await loop.create_connection(Client, "127.0.0.1", world.process.port) for _ in range(CLIENTS)]
     return [client for _, client in made]
 
 
 async def feed(world: World, count: int, held: int, prefix: str, per_s: float = 0.0) -> list[Client]:
-    """Hand in so many messages, no more than ``held`` of them not delivered; the clients, closed."""
+    """Submit ``count`` messages with at most ``held`` undelivered; return the closed clients."""
     loop, clients = asyncio.get_running_loop(), await clients_of(world)
     source = requests(prefix, world.destinations, BODY, 60_000)
     before, began_s = world.sink.delivered, loop.time()
@@ -225,10 +225,10 @@
 
 
 async def cost(world: World, count: int, held: int, prefix: str = "m", per_s: float = 0.0) -> Cost:
-    """What so many messages cost, with so many held."""
+    """Measure the cost of ``count`` messages with at most ``held`` undelivered."""
     loop = asyncio.get_running_loop()
     warm = world.sink.delivered + 10 * SLOTS
-    await feed(world, 10 * SLOTS, SLOTS, f"w{prefix}")  # connections, records of what calls take
+    await feed(world, 10 * SLOTS, SLOTS, f"w{prefix}")  # warm up connections and call duration statistics
     await world.sink.wait_delivered(warm, 10.0)
     before = world.sink.delivered
     began_s = loop.time()
