--- a/bench/runs.py
+++ b/bench/runs.py
@@ -14,7 +14,7 @@
 from bench.process import Process, beside, free_port, relay_config, running
 from bench.standins import Client, Directory, Sink, requests, serve
 from mallowlug.config import address_of
-from mallowlug.rig.run.relays import asked
+from mallowlug.rig.run.relays import console_request
 
 CLIENTS, WINDOW = 16, 8  # clients, and requests of each without an answer
 BODY = 200  # bytes
@@ -121,7 +121,7 @@
                 load.fresh()
                 began_s = asyncio.get_running_loop().time()
                 new = await stack.enter_async_context(running(folder, port, ["-m", "mallowlug"], told))
-                while await asked(console, "GET", "/ready") != 200:
+                while await console_request(console, "GET", "/ready") != 200:
                     await asyncio.sleep(0.01)
                 yes_s = asyncio.get_running_loop().time() - began_s
                 await old.end()
--- a/mallowlug/rig/cli.py
+++ b/mallowlug/rig/cli.py
@@ -18,7 +18,7 @@
 from mallowlug.rig.judge.rules import Verdict, judge
 from mallowlug.rig.judge.service import service_of
 from mallowlug.rig.report.live import Live
-from mallowlug.rig.run.play import Done, Options, play
+from mallowlug.rig.run.play import RunOptions, RunResult, play
 from mallowlug.rig.world import replay, scenario
 from mallowlug.toml_check import FileMistakesError
 
@@ -105,7 +105,7 @@
 
 def played(
     world: scenario.Scenario,
-    options: Options,
+    options: RunOptions,
     *,
     out: Path | None,
     live: bool,
@@ -117,7 +117,7 @@
     folder = fresh(out, world.name)
     with shown(live) as watch:
         options.watch = watch
-        done: Done = asyncio.run(play(world, folder, options))
+        done: RunResult = asyncio.run(play(world, folder, options))
     code = reported(done.path, folder / "report.html")
     print(f"record {done.path}\nreport {folder / 'report.html'}")
     for crash in done.crashed:
@@ -152,7 +152,9 @@
 @usable
 def run(file: Path, *, out: Path | None, live: bool, seed: int | None, relays: int | None) -> int:
     """Play a scenario and judge it."""
-    return played(scenario.load_real(file), Options(), out=out, live=live, seed=seed, relays=relays)
+    return played(
+        scenario.load_without_simulation(file), RunOptions(), out=out, live=live, seed=seed, relays=relays
+    )
 
 
 @group.command("replay")
@@ -168,8 +170,8 @@
 ) -> int:
     """Play a record's traffic again, in its own world or another."""
     found = rec.read(record)
-    world = scenario.load_real(file) if file else replay.scenario_of(found)
-    options = Options(traffic=replay.traffic_of(found))
+    world = scenario.load_without_simulation(file) if file else replay.scenario_from(found)
+    options = RunOptions(traffic=replay.arrivals_from(found))
     return played(world, options, out=out, live=live, seed=seed, relays=relays)
 
 
@@ -254,6 +256,6 @@
             rules.update({breach.rule for breach in result.breaches})
     except soaks.SoakError as error:
         raise click.BadParameter(str(error)) from error
-    told = soaks.counted(rules) or "none"
+    told = soaks.format_counts(rules) or "none"
     print(f"{failed} of {len(seeds_of(seeds))} seeds failed; seeds by broken rule: {told}")
     return int(failed > 0)
--- a/mallowlug/rig/run/play.py
+++ b/mallowlug/rig/run/play.py
@@ -16,43 +16,48 @@
 import msgspec
 
 from mallowlug.rig.judge import record as rec
-from mallowlug.rig.run.relays import PLAIN, RelayProcess
-from mallowlug.rig.run.relays import Relay as RelayOver
+from mallowlug.rig.run.relays import DEFAULT_COMMAND, ManagedRelay, RelayProcess
 from mallowlug.rig.world import draw
-from mallowlug.rig.world.clients import RUDE, Clients, Relay
+from mallowlug.rig.world.clients import MALFORMED_REQUESTS, Clients, RelayTarget
 from mallowlug.rig.world.host_model import KeyMemory
-from mallowlug.rig.world.hosts import Book, ClassWork, Host
-from mallowlug.rig.world.httpd import Place
-from mallowlug.rig.world.platform import Discovery, Platform
-from mallowlug.rig.world.proxy import CLEAR, Fault, Proxy
-from mallowlug.rig.world.scenario import FAULTS, HOSTS, SIMULATED, EventTable, Scenario
-
-MOVED_S = 1.5  # s after which a directory that has moved closes what is open at its old address
-GONE_S = 2.0  # s from an endpoint's drain to its end
-DRIPPED_US = 400_000  # how late what drips may be: a client waits no longer
-LOOK_S = 0.02  # s between looks at the event loop's lateness
-TAIL_S = 1.5  # s beyond that in which a task may still end
-BACK_S = 5.0  # s in which a call back is made again where nobody says yes
-STARTED_AT_ONCE = 8  # relays at the run's begin
+from mallowlug.rig.world.hosts import ClassWork, Host, HostContext
+from mallowlug.rig.world.httpd import AddressAllocator
+from mallowlug.rig.world.platform import DiscoveryServer, Platform
+from mallowlug.rig.world.proxy import NO_FAULT, FaultProxy, LinkFault
+from mallowlug.rig.world.scenario import (
+    LINK_FAULT_EVENTS,
+    OUTAGE_EVENTS,
+    SIMULATION_EVENTS,
+    EventTable,
+    Scenario,
+)
+
+MOVED_DIRECTORY_S = 1.5  # s after which a directory that has moved closes what is open at its old address
+DRAIN_S = 2.0  # s from an endpoint's drain to its end
+DRIP_LATE_US = 400_000  # how late what drips may be: a client waits no longer
+POLL_S = 0.02  # s between looks at the event loop's lateness
+EXTRA_WAIT_S = 1.5  # s beyond that in which a task may still end
+ENABLE_TIMEOUT_S = 5.0  # s in which a call back is made again where nobody says yes
+PARALLEL_STARTS = 8  # relays at the run's begin
 SETTLE_S = 0.6  # s after a message's time in which its end may still come
 
 
 @dataclass(slots=True)
-class Options:
+class RunOptions:
     """How a run differs from its scenario's."""
 
-    command: Sequence[str] = PLAIN
+    command: Sequence[str] = DEFAULT_COMMAND
     environment: Callable[[int], dict[str, str]] = lambda _life: {}  # by number of the life
     traffic: list[draw.Arrival] | None = None  # in place of what the seed draws
     watch: Callable[[rec.AnyEvent], None] | None = None
-    started: Callable[[World], Coroutine[Any, Any, None]] | None = None  # runs beside the events
+    on_started: Callable[[Environment], Coroutine[Any, Any, None]] | None = None  # runs beside the events
 
 
-class Ground(Protocol):
+class Backend(Protocol):
     """What a run stands on: the machine with its sockets and processes, or a simulation of them."""
 
-    place: Place
-    dialled: Callable[[str, tuple[str, int]], None] | None  # told of every connect; None: it can't be
+    addresses: AddressAllocator
+    on_dial: Callable[[str, tuple[str, int]], None] | None  # told of every connect; None: it can't be
 
     def now_us(self) -> int:
         """The record's clock, in microseconds from any start."""
@@ -62,20 +67,20 @@
 
     def relay(
         self, name: str, folder: Path, writer: rec.Writer, config: Callable[[], dict[str, Any]]
-    ) -> RelayOver:
+    ) -> ManagedRelay:
         """A relay that can be started."""
 
-    async def strike(self, relay: RelayOver, event: EventTable) -> None:
+    async def apply_event(self, relay: ManagedRelay, event: EventTable) -> None:
         """Let something happen to a relay that only a simulation can do, for as long as it lasts."""
 
 
-class Machine:
+class LocalBackend:
     """This machine: loopback sockets, processes, real time."""
 
-    def __init__(self, options: Options) -> None:
-        self.place, self._options = Place(), options
+    def __init__(self, options: RunOptions) -> None:
+        self.addresses, self._options = AddressAllocator(), options
         # A closed port on a real machine tells nobody whom it has refused.
-        self.dialled: Callable[[str, tuple[str, int]], None] | None = None
+        self.on_dial: Callable[[str, tuple[str, int]], None] | None = None
         self._cpu_s = time.process_time()
 
     now_us = staticmethod(rec.now_us)
@@ -91,71 +96,73 @@
         told = self._options
         return RelayProcess(name, folder, writer, config, command=told.command, environment=told.environment)
 
-    async def strike(self, relay: RelayOver, event: EventTable) -> None:
+    async def apply_event(self, relay: ManagedRelay, event: EventTable) -> None:
         """Nothing of this can be done to a real process."""
         raise NotImplementedError(event.what)
 
 
-class World:
+class Environment:
     """Everything around the relays, and the relays."""
 
-    def __init__(self, scenario: Scenario, folder: Path, options: Options, ground: Ground) -> None:
-        self.scenario, self.folder, self.options, self.ground = scenario, folder, options, ground
+    def __init__(self, scenario: Scenario, folder: Path, options: RunOptions, ground: Backend) -> None:
+        self.scenario, self.folder, self.options, self.backend = scenario, folder, options, ground
         folder.mkdir(parents=True, exist_ok=True)
         self.path = folder / "record.jsonl"
-        head = msgspec.structs.replace(draw.head_of(scenario), dials=ground.dialled is not None)
+        head = msgspec.structs.replace(draw.record_head(scenario), dials=ground.on_dial is not None)
         self.writer = rec.Writer(self.path, lambda _at: head, ground.now_us)
-        if ground.dialled is not None:
-            ground.dialled = self._dialled
+        if ground.on_dial is not None:
+            ground.on_dial = self._record_dial
         self.rng = random.Random(f"world {scenario.seed}")
-        facts = {cls.name: cls for cls in draw.head_of(scenario).classes}
+        facts = {cls.name: cls for cls in draw.record_head(scenario).classes}
         self.classes = facts
         work = {
             cls.name: ClassWork(cls.work_ms / 1000, cls.window_s, cls.by_zone) for cls in scenario.classes
         }
-        self.book = Book(self.writer, work, ground.place)
-        self.platform = Platform(self.writer, scenario.directory.late_s, self.rng, ground.place)
+        self.host_context = HostContext(self.writer, work, ground.addresses)
+        self.platform = Platform(self.writer, scenario.directory.late_s, self.rng, ground.addresses)
         self.clients = Clients(self.writer, scenario.clients, self.rng)
-        self.platform.ended = self.clients.ended
-        self.clients.asked = self.book.asked.__setitem__
-        self.writer.told.append(self._saw)
+        self.platform.on_notice = self.clients.notice_received
+        self.clients.on_submit = self.host_context.submitted_classes.__setitem__
+        self.writer.told.append(self._handle_event)
         if options.watch is not None:
             self.writer.told.append(options.watch)
         self.hosts: dict[str, Host] = {}
-        self.memories: dict[int, KeyMemory] = {}  # by destination
-        self.relays: list[RelayOver] = []
-        self.doors: list[Relay] = []  # the relays as clients reach them
-        self.proxies: dict[str, list[Proxy]] = {"hosts": [], "directory": [], "clients": []}
-        self._proxy_of: dict[str, Proxy] = {}
-        self._faces: dict[str, tuple[str, int]] = {}  # by relay: where its configuration finds the directory
+        self.key_memories: dict[int, KeyMemory] = {}  # by destination
+        self.relays: list[ManagedRelay] = []
+        self.relay_targets: list[RelayTarget] = []  # the relays as clients reach them
+        self.proxies: dict[str, list[FaultProxy]] = {"hosts": [], "directory": [], "clients": []}
+        self._proxy_by_host: dict[str, FaultProxy] = {}
+        self._directory_addresses: dict[
+            str, tuple[str, int]
+        ] = {}  # by relay: where its configuration finds the directory
         self._tasks: dict[asyncio.Task[None], None] = {}
-        self._leaving: set[str] = set()  # endpoints that drain
+        self._draining: set[str] = set()  # endpoints that drain
         self.crashed: list[str] = []
-        self._asked_s = 0.0  # loop's time at which the last message was written to a relay
-        self.late_us = 0  # how late this process's event loop was at worst
+        self._last_submit_s = 0.0  # loop's time at which the last message was written to a relay
+        self.max_lag_us = 0  # how late this process's event loop was at worst
 
-    async def _lag(self) -> None:
+    async def _measure_lag(self) -> None:
         """Watch the event loop: what it does late it also times late."""
         loop = asyncio.get_running_loop()
         while True:
-            due_s = loop.time() + LOOK_S
-            await asyncio.sleep(LOOK_S)
-            self.late_us = max(self.late_us, round((loop.time() - due_s) * 1e6))
+            due_s = loop.time() + POLL_S
+            await asyncio.sleep(POLL_S)
+            self.max_lag_us = max(self.max_lag_us, round((loop.time() - due_s) * 1e6))
 
-    def _dialled(self, relay: str, address: tuple[str, int]) -> None:
+    def _record_dial(self, relay: str, address: tuple[str, int]) -> None:
         """Somebody connects; the directory and other relays' ports are no endpoints."""
         told = "{}:{}".format(*address)
         for host in self.hosts:
-            if relay and self._dial(relay, host) == told:
+            if relay and self._dial_address(relay, host) == told:
                 self.writer.add(rec.Dial(self.writer.now, relay, host))
 
-    def _saw(self, event: rec.AnyEvent) -> None:
+    def _handle_event(self, event: rec.AnyEvent) -> None:
         if isinstance(event, rec.Ask):
-            self._asked_s = asyncio.get_running_loop().time()
+            self._last_submit_s = asyncio.get_running_loop().time()
         if isinstance(event, rec.Answer):
             for ref, end in event.ends.items():
                 if end == "delivered":
-                    self.clients.delivered(ref)
+                    self.clients.message_delivered(ref)
 
     def spawn(self, work: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
         """Run something beside the rest; its errors end the run."""
@@ -166,110 +173,117 @@
 
     async def start(self) -> None:
         """Bring up endpoints, directory and relays."""
-        for plan in draw.hosts_of(self.scenario):
-            await self._add(plan, late=False)
-        self.platform.dial = self._dial
+        for plan in draw.draw_hosts(self.scenario):
+            await self._add_host(plan, late=False)
+        self.platform.dial_address = self._dial_address
         for number in range(self.scenario.relays.count):
-            await self._relay(f"n{number}")
-        for first in range(0, len(self.relays), STARTED_AT_ONCE):
-            await asyncio.gather(*map(self._up, self.relays[first : first + STARTED_AT_ONCE]))
+            await self._add_relay(f"n{number}")
+        for first in range(0, len(self.relays), PARALLEL_STARTS):
+            await asyncio.gather(*map(self._start_relay, self.relays[first : first + PARALLEL_STARTS]))
         # From here on: before the first message nothing is timed that a rule is judged by.
-        self.spawn(self._lag())
+        self.spawn(self._measure_lag())
         for relay in self.relays:
-            self.spawn(self._guard(relay))
+            self.spawn(self._supervise(relay))
 
-    async def _add(self, plan: draw.HostPlan, late: bool = True) -> None:
-        memory = self.memories.setdefault(plan.dest, KeyMemory())
+    async def _add_host(self, plan: draw.HostPlan, late: bool = True) -> None:
+        memory = self.key_memories.setdefault(plan.dest, KeyMemory())
         scenario = self.scenario
-        host = Host(plan, self.book, memory, scenario.partners.idle_s, f"{scenario.seed} {plan.name}")
-        host.model.fall_multiple, host.model.fall_s = scenario.rules.fall_multiple, scenario.rules.fall_s
+        host = Host(plan, self.host_context, memory, scenario.partners.idle_s, f"{scenario.seed} {plan.name}")
+        host.model.collapse_multiple, host.model.collapse_window_s = (
+            scenario.rules.fall_multiple,
+            scenario.rules.fall_s,
+        )
         await host.listen()
         self.hosts[plan.name] = host
         if "hosts" in scenario.faulty_links:
-            self._proxy_of[plan.name] = await self._proxy("hosts", lambda: host.address)
+            self._proxy_by_host[plan.name] = await self._add_proxy("hosts", lambda: host.address)
         fields = {"block": plan.dest, "site": plan.zone, "class": plan.kind.name}
         self.writer.add(
             rec.Host(self.writer.now, plan.name, plan.dest, plan.zone, plan.kind.name, plan.per_s)
         )
-        self.platform.put(plan.name, "ready", late, **fields)
+        self.platform.set_state(plan.name, "ready", late, **fields)
 
-    async def _proxy(self, link: str, target: Callable[[], tuple[str, int]]) -> Proxy:
-        proxy = Proxy(target, self.ground.place)
+    async def _add_proxy(self, link: str, target: Callable[[], tuple[str, int]]) -> FaultProxy:
+        proxy = FaultProxy(target, self.backend.addresses)
         await proxy.listen()
         self.proxies[link].append(proxy)
         return proxy
 
-    def _dial(self, _relay: str, host: str) -> str:
+    def _dial_address(self, _relay: str, host: str) -> str:
         if host not in self.hosts:
             return "127.0.0.1:1"
-        address = self._proxy_of[host].address if host in self._proxy_of else self.hosts[host].address
+        address = (
+            self._proxy_by_host[host].address if host in self._proxy_by_host else self.hosts[host].address
+        )
         return "{}:{}".format(*address)
 
-    async def _face(self, relay: str) -> Discovery:
-        face = await self.platform.face(relay)
-        self._faces[relay] = face.address
+    async def _add_directory(self, relay: str) -> DiscoveryServer:
+        server = await self.platform.add_server(relay)
+        self._directory_addresses[relay] = server.address
         if "directory" in self.scenario.faulty_links:
-            self._faces[relay] = (await self._proxy("directory", lambda: face.address)).address
-        return face
-
-    async def _relay(self, name: str) -> None:
-        face = await self._face(name)
-        face.known = face.dialed(self.platform.listing.whole())
+            self._directory_addresses[relay] = (
+                await self._add_proxy("directory", lambda: server.address)
+            ).address
+        return server
+
+    async def _add_relay(self, name: str) -> None:
+        server = await self._add_directory(name)
+        server.last_sent = server.with_dial_addresses(self.platform.directory.snapshot())
         told = self.scenario.relays
         limits = {"cores": 1.0, "memory_mb": 192, "sockets": told.sockets, "disk_mb": told.disk_mb}
-        settings = draw.settings_of(self.scenario)
+        settings = draw.relay_settings(self.scenario)
 
         def config() -> dict[str, Any]:
             return {
-                "discovery": "{}:{}".format(*self._faces[name]),
+                "discovery": "{}:{}".format(*self._directory_addresses[name]),
                 "seed": f"{self.rng.getrandbits(64):016x}",
                 "limits": limits,
-                "known": self.platform.faces[name].known,
+                "known": self.platform.servers[name].last_sent,
                 "settings": settings,
             }
 
-        relay = self.ground.relay(name, self.folder / name, self.writer, config)
+        relay = self.backend.relay(name, self.folder / name, self.writer, config)
         self.relays.append(relay)
         address = relay.address
         if "clients" in self.scenario.faulty_links:
-            address = (await self._proxy("clients", lambda: relay.address)).address
-        self.doors.append(Relay(name, address))
+            address = (await self._add_proxy("clients", lambda: relay.address)).address
+        self.relay_targets.append(RelayTarget(name, address))
 
-    async def _up(self, relay: RelayOver) -> None:
+    async def _start_relay(self, relay: ManagedRelay) -> None:
         """Start a relay; one that ends before it answers has crashed, and is started again."""
-        for _ in range(await relay.up(self.scenario.relays.back_s)):
+        for _ in range(await relay.start_with_retries(self.scenario.relays.back_s)):
             self.crashed.append(f"{relay.name} ended before it was ready")
 
-    async def _guard(self, relay: RelayOver) -> None:
+    async def _supervise(self, relay: ManagedRelay) -> None:
         """A relay that ends by itself has crashed; it is started again, as a supervisor would."""
         while True:
             process = relay.process
             assert process is not None
             await process.wait()
-            async with relay.turn:
+            async with relay.lifecycle_lock:
                 if relay.process is not process:  # its end was ordered, and it has been started again
                     continue
-                await relay.ended()
+                await relay.wait_for_exit()
                 self.crashed.append(f"{relay.name} ended with {process.returncode}")
                 await asyncio.sleep(self.scenario.relays.back_s)
-                await self._up(relay)
+                await self._start_relay(relay)
 
     async def traffic(self) -> None:
         """Hand every message in at its time, and wait until each has its end or its time is up."""
         arrivals = self.options.traffic
         if arrivals is None:
-            arrivals = draw.arrivals_of(self.scenario)
+            arrivals = draw.draw_arrivals(self.scenario)
         start_s, tasks = asyncio.get_running_loop().time(), []
         for arrival in arrivals:
             await sleep_until(start_s + arrival.at_s)
-            door, cls = self.doors[arrival.relay % len(self.doors)], self.classes[arrival.cls]
-            tasks.append(self.spawn(self.clients.message(door, arrival, cls)))
+            door, cls = self.relay_targets[arrival.relay % len(self.relay_targets)], self.classes[arrival.cls]
+            tasks.append(self.spawn(self.clients.run_message(door, arrival, cls)))
         longest_s = max(cls.deadline_us for cls in self.classes.values()) / 1e6 + SETTLE_S
-        longest_s += self.scenario.relays.back_s + TAIL_S
+        longest_s += self.scenario.relays.back_s + EXTRA_WAIT_S
         loop, pending = asyncio.get_running_loop(), set(tasks)
-        self._asked_s = loop.time()
+        self._last_submit_s = loop.time()
         # A link that was silent lets a message come long after it was due to, with all its time before it.
-        while pending and (left_s := self._asked_s + longest_s - loop.time()) > 0:
+        while pending and (left_s := self._last_submit_s + longest_s - loop.time()) > 0:
             _, pending = await asyncio.wait(pending, timeout=left_s)
 
     async def events(self) -> None:
@@ -277,95 +291,97 @@
         start_s, tasks = asyncio.get_running_loop().time(), []
         for event in sorted(self.scenario.events, key=lambda item: item.at_s):
             await sleep_until(start_s + event.at_s)
-            tasks.append(self.spawn(self._happen(event)))
+            tasks.append(self.spawn(self._run_event(event)))
         if tasks:
             await asyncio.gather(*tasks)
 
-    async def _happen(self, event: EventTable) -> None:
-        self.writer.add(rec.Mark(self.writer.now, event.what, described(event)))
-        if event.what in HOSTS:
-            await self._strike(event)
-        elif event.what in FAULTS:
-            await self._fault(event)
+    async def _run_event(self, event: EventTable) -> None:
+        self.writer.add(rec.Mark(self.writer.now, event.what, describe_event(event)))
+        if event.what in OUTAGE_EVENTS:
+            await self._host_outage(event)
+        elif event.what in LINK_FAULT_EVENTS:
+            await self._link_fault(event)
         elif event.what == "out":
-            await self._by_hand(event)
-        elif event.what in SIMULATED:
-            await self.ground.strike(self.relays[event.relay], event)
+            await self._disable_hosts(event)
+        elif event.what in SIMULATION_EVENTS:
+            await self.backend.apply_event(self.relays[event.relay], event)
         else:
             await {
-                "kill": self._restart, "term": self._restart, "wipe": self._restart, "hup": self._hup,
-                "move": self._move, "heavy_tail": self._heavy, "garble": self._garble, "rude": self._rude,
-                "crowd": self._crowd,
-                "directory_out": self._blind, "drain": self._drain, "remove": self._drain,
-                "replace": self._drain,
+                "kill": self._restart, "term": self._restart, "wipe": self._restart, "hup": self._reload,
+                "move": self._move, "heavy_tail": self._heavy_tail, "garble": self._corrupt_answers, "rude": self._malformed_clients,
+                "crowd": self._idle_clients,
+                "directory_out": self._directory_outage, "drain": self._drain_hosts, "remove": self._drain_hosts,
+                "replace": self._drain_hosts,
             }[event.what](event)  # fmt: skip
 
     async def _restart(self, event: EventTable) -> None:
         relay = self.relays[event.relay]
-        async with relay.turn:
+        async with relay.lifecycle_lock:
             await (relay.term() if event.what == "term" else relay.kill())
             if event.what == "wipe":
                 relay.wipe()
             await asyncio.sleep(self.scenario.relays.back_s)
-            await self._up(relay)
+            await self._start_relay(relay)
 
-    async def _hup(self, event: EventTable) -> None:
+    async def _reload(self, event: EventTable) -> None:
         self.relays[event.relay].hup()
 
     async def _move(self, _event: EventTable) -> None:
-        formers = [self.platform.faces[relay.name] for relay in self.relays]
+        formers = [self.platform.servers[relay.name] for relay in self.relays]
         for relay in self.relays:
-            await self._face(relay.name)
+            await self._add_directory(relay.name)
             relay.hup()
-        await asyncio.sleep(MOVED_S)
+        await asyncio.sleep(MOVED_DIRECTORY_S)
         for face in formers:
             face.stop()
 
-    async def _by_hand(self, event: EventTable) -> None:
+    async def _disable_hosts(self, event: EventTable) -> None:
         """Staff take endpoints out at one relay, restart them, and take them back: they return cold."""
         relay = self.relays[event.relay]
         able = [name for name, host in self.hosts.items() if host.model.state == "up"]
         names = self.rng.sample(able, min(event.count, len(able)))
-        names = [name for name in names if await relay.by_hand(name, True)]
+        names = [name for name in names if await relay.set_disabled(name, True)]
         for name in names:
             self.writer.add(rec.Hand(self.writer.now, relay.name, name, True))
         await asyncio.sleep(event.len_s)
         for name in names:
             self.writer.add(rec.Hand(self.writer.now, relay.name, name, False))
-            last_s = asyncio.get_running_loop().time() + BACK_S
-            while not await relay.by_hand(name, False) and asyncio.get_running_loop().time() < last_s:
-                await asyncio.sleep(LOOK_S)
+            last_s = asyncio.get_running_loop().time() + ENABLE_TIMEOUT_S
+            while not await relay.set_disabled(name, False) and asyncio.get_running_loop().time() < last_s:
+                await asyncio.sleep(POLL_S)
 
-    async def _strike(self, event: EventTable) -> None:
+    async def _host_outage(self, event: EventTable) -> None:
         plans = [host.plan for host in self.hosts.values()]
-        names = draw.struck(self.scenario, plans, event, self.rng)
+        names = draw.draw_affected_hosts(self.scenario, plans, event, self.rng)
         hosts = [self.hosts[name] for name in names]
-        struck = [host for host in hosts if host.strike(event.what, event.size, event.len_s)]
+        affected = [host for host in hosts if host.begin_outage(event.what, event.size, event.len_s)]
         await asyncio.sleep(event.len_s)
-        for host in struck:
+        for host in affected:
             if host.plan.name in self.hosts:  # else it has gone meanwhile
-                await host.recover()
+                await host.end_outage()
 
-    async def _heavy(self, event: EventTable) -> None:
-        self.book.tails[event.cls] = (event.part, event.size)
+    async def _heavy_tail(self, event: EventTable) -> None:
+        self.host_context.heavy_tails[event.cls] = (event.part, event.size)
         await asyncio.sleep(event.len_s)
-        del self.book.tails[event.cls]
+        del self.host_context.heavy_tails[event.cls]
 
-    async def _garble(self, event: EventTable) -> None:
-        self.book.spoil = event.part
+    async def _corrupt_answers(self, event: EventTable) -> None:
+        self.host_context.corrupt_share = event.part
         await asyncio.sleep(event.len_s)
-        self.book.spoil = 0.0
+        self.host_context.corrupt_share = 0.0
 
-    async def _rude(self, event: EventTable) -> None:
+    async def _malformed_clients(self, event: EventTable) -> None:
         for number in range(event.count):
-            door = self.doors[number % len(self.doors)]
-            self.spawn(self.clients.rude(door, RUDE[number % len(RUDE)]))
+            door = self.relay_targets[number % len(self.relay_targets)]
+            self.spawn(
+                self.clients.send_malformed(door, MALFORMED_REQUESTS[number % len(MALFORMED_REQUESTS)])
+            )
             await asyncio.sleep(event.len_s / event.count)
 
-    async def _crowd(self, event: EventTable) -> None:
+    async def _idle_clients(self, event: EventTable) -> None:
         """Idle clients at every relay; a relay may close their connections whenever it likes."""
         idle = list[asyncio.StreamWriter]()
-        for door in self.doors:
+        for door in self.relay_targets:
             for _ in range(event.count):
                 with contextlib.suppress(OSError):
                     idle.append((await asyncio.open_connection(*door.address))[1])
@@ -373,60 +389,60 @@
         for writer in idle:
             writer.close()
 
-    async def _blind(self, event: EventTable) -> None:
-        self.platform.lose()
+    async def _directory_outage(self, event: EventTable) -> None:
+        self.platform.go_down()
         await asyncio.sleep(event.len_s)
-        self.platform.regain()
+        self.platform.come_back()
 
-    async def _drain(self, event: EventTable) -> None:
+    async def _drain_hosts(self, event: EventTable) -> None:
         """Endpoints drain, then go; with ``replace`` new ones come at their addresses under new names."""
-        spared = {plan.dest: plan.name for plan in (host.plan for host in self.hosts.values())}
+        last_hosts = {plan.dest: plan.name for plan in (host.plan for host in self.hosts.values())}
         up = [name for name, host in self.hosts.items() if host.model.state == "up"]
-        able = [name for name in up if name not in self._leaving]
+        candidates = [name for name in up if name not in self._draining]
         if event.what == "remove":  # the last endpoint of a destination stays
-            able = [name for name in able if name not in spared.values()]
-        names = self.rng.sample(able, min(event.count, len(able)))
-        self._leaving.update(names)
+            candidates = [name for name in candidates if name not in last_hosts.values()]
+        names = self.rng.sample(candidates, min(event.count, len(candidates)))
+        self._draining.update(names)
         for name in names:
-            self.platform.put(name, "draining")
-        await asyncio.sleep(max(event.len_s, GONE_S) + self.scenario.directory.late_s[1])
+            self.platform.set_state(name, "draining")
+        await asyncio.sleep(max(event.len_s, DRAIN_S) + self.scenario.directory.late_s[1])
         for name in names:
-            self._leaving.discard(name)
-            self.platform.put(name, "ready" if event.what == "drain" else "gone")
+            self._draining.discard(name)
+            self.platform.set_state(name, "ready" if event.what == "drain" else "gone")
             if event.what == "drain":
                 continue
             host = self.hosts.pop(name)
             host.model.state = "refuse"
-            host.refuse()
+            host.stop_listening()
             if event.what == "replace":
-                await self._add(replace(host.plan, name=f"{name}'"))
+                await self._add_host(replace(host.plan, name=f"{name}'"))
 
-    async def _fault(self, event: EventTable) -> None:
+    async def _link_fault(self, event: EventTable) -> None:
         fault = {
-            "delay": Fault(delay_s=event.size / 1000),
-            "cut": Fault(cut_after=event.after_bytes),
-            "silence": Fault(silent=True),
-            "drip": Fault(drip=True),
+            "delay": LinkFault(delay_s=event.size / 1000),
+            "cut": LinkFault(cut_after=event.after_bytes),
+            "silence": LinkFault(silent=True),
+            "drip": LinkFault(drip=True),
         }[event.what]
         for proxy in self.proxies[event.between]:
-            proxy.set(fault)
-        late_us = {"silence": -1, "delay": round(event.size * 1000), "drip": DRIPPED_US}.get(event.what, 0)
+            proxy.set_fault(fault)
+        late_us = {"silence": -1, "delay": round(event.size * 1000), "drip": DRIP_LATE_US}.get(event.what, 0)
         if event.between != "directory" or event.what == "delay":  # else nothing is told: ``Reach`` says so
             self.writer.add(rec.Link(self.writer.now, event.between, late_us))
         shut = event.between == "directory" and event.what in ("silence", "cut")
         # A directory that has moved tells on at its old address for a while, over links that are as silent.
-        muted = [*self.platform.faces.values(), *self.platform.formers] if shut else []
-        for face in muted:
-            face.mute(True)
-        for relay in self.platform.faces if shut else ():
+        blocked = [*self.platform.servers.values(), *self.platform.former_servers] if shut else []
+        for face in blocked:
+            face.set_blocked(True)
+        for relay in self.platform.servers if shut else ():
             self.writer.add(rec.Reach(self.writer.now, relay, False))
         await asyncio.sleep(event.len_s)
         for proxy in self.proxies[event.between]:
-            proxy.set(CLEAR)
+            proxy.set_fault(NO_FAULT)
         self.writer.add(rec.Link(self.writer.now, event.between, 0))
-        for face in muted:
-            face.mute(False)
-        for relay in self.platform.faces if shut else ():
+        for face in blocked:
+            face.set_blocked(False)
+        for relay in self.platform.servers if shut else ():
             self.writer.add(rec.Reach(self.writer.now, relay, True))
 
     async def stop(self) -> None:
@@ -440,10 +456,10 @@
             proxy.close()
         self.platform.stop()
         for host in self.hosts.values():
-            host.refuse()
+            host.stop_listening()
 
 
-def marks_of(folder: Path, start_us: int) -> list[rec.AnyEvent]:
+def read_marks(folder: Path, start_us: int) -> list[rec.AnyEvent]:
     """What other processes have noted beside the record, timed by the same clock, in the run's time."""
     marks = list[rec.AnyEvent]()
     for path in sorted(folder.glob("*.marks")):
@@ -460,14 +476,14 @@
         await asyncio.sleep(wait_s)
 
 
-def described(event: EventTable) -> str:
+def describe_event(event: EventTable) -> str:
     """An event's figures, as a reader wants them."""
     told = event.model_dump(exclude_defaults=True, exclude={"at_s", "what"})
     return " ".join(f"{name}={value}" for name, value in told.items())
 
 
 @dataclass(frozen=True, slots=True)
-class Done:
+class RunResult:
     """What a run leaves: the record's path, relays that crashed, and calls that the protocol does not
     know.
     """
@@ -478,20 +494,20 @@
 
 
 async def play(
-    scenario: Scenario, folder: Path, options: Options | None = None, ground: Ground | None = None
-) -> Done:
+    scenario: Scenario, folder: Path, options: RunOptions | None = None, ground: Backend | None = None
+) -> RunResult:
     """Play a scenario into ``folder``; the record is whole whatever happens, unless this process is
     killed.
     """
-    options = options or Options()
-    world = World(scenario, folder, options, ground or Machine(options))
+    options = options or RunOptions()
+    world = Environment(scenario, folder, options, ground or LocalBackend(options))
     try:
         await world.start()
-        started = world.options.started
+        started = world.options.on_started
         beside = [world.spawn(started(world))] if started is not None else []
         await asyncio.gather(world.traffic(), world.events(), *beside)
     finally:
         await world.stop()
-        others = marks_of(folder, world.writer.start_us)
-        world.writer.close(world.ground.cpu_s(), world.late_us, others)
-    return Done(world.path, tuple(world.crashed), world.book.bad_calls)
+        others = read_marks(folder, world.writer.start_us)
+        world.writer.close(world.backend.cpu_s(), world.max_lag_us, others)
+    return RunResult(world.path, tuple(world.crashed), world.host_context.bad_calls)
--- a/mallowlug/rig/run/relays.py
+++ b/mallowlug/rig/run/relays.py
@@ -16,14 +16,14 @@
 from typing import Any, Protocol
 
 from mallowlug.rig.judge import record as rec
-from mallowlug.rig.world.httpd import loopback
+from mallowlug.rig.world.httpd import random_loopback
 
 ROOT = Path(__file__).resolve().parents[3]
-MOST_STARTS = 5
+MAX_STARTS = 5
 READY_S = 30.0  # s in which a relay has to answer PING
-TERM_S = 3.7  # s after SIGTERM when SIGKILL follows
+TERM_TIMEOUT_S = 3.7  # s after SIGTERM when SIGKILL follows
 PING = b"*1\r\n$4\r\nPING\r\n"
-PLAIN = (sys.executable, "-m", "mallowlug")
+DEFAULT_COMMAND = (sys.executable, "-m", "mallowlug")
 
 
 class RelayError(Exception):
@@ -33,12 +33,12 @@
 def free_address() -> tuple[str, int]:
     """An address for a relay that keeps it over all its lives."""
     with socket.socket() as sock:
-        sock.bind((loopback(), 0))
+        sock.bind((random_loopback(), 0))
         found: tuple[str, int] = sock.getsockname()
         return found
 
 
-async def asked(console: tuple[str, int], method: str, target: str) -> int:
+async def console_request(console: tuple[str, int], method: str, target: str) -> int:
     """One call at a console: the status; 0 where there is no answer within a second."""
     with contextlib.suppress(OSError, TimeoutError, IndexError, ValueError):
         async with asyncio.timeout(1.0):
@@ -67,22 +67,24 @@
         """End it at once."""
 
 
-class Relay(ABC):
+class ManagedRelay(ABC):
     """One relay over all its lives: its process now, and what starts, signals and ends it."""
 
     def __init__(
         self, name: str, address: tuple[str, int], writer: rec.Writer, config: Callable[[], dict[str, Any]]
     ) -> None:
         self.name, self.address, self._writer, self._config = name, address, writer, config
-        self.lives = 0
+        self.starts = 0
         self.process: Process | None = None
-        self.turn = asyncio.Lock()  # who ends or starts it has it: two at once would start two processes
+        self.lifecycle_lock = (
+            asyncio.Lock()
+        )  # who ends or starts it has it: two at once would start two processes
 
-    def note(self, what: Any, detail: str = "") -> None:
+    def record_event(self, what: Any, detail: str = "") -> None:
         """Write down what happens to it."""
         self._writer.add(rec.Process(self._writer.now, self.name, what, detail))
 
-    def told(self) -> bytes:
+    def config_bytes(self) -> bytes:
         """The deployment's file, as it is now."""
         told = self._config() | {"name": self.name, "listen": "{}:{}".format(*self.address)}
         return json.dumps(told).encode()
@@ -95,38 +97,38 @@
     async def spawn(self) -> Process:
         """Start the process of the next life."""
 
-    async def by_hand(self, host: str, out: bool) -> bool:
+    async def set_disabled(self, host: str, out: bool) -> bool:
         """Call a host out or back at the relay's console; whether it said yes."""
         raise NotImplementedError(host)
 
     @abstractmethod
-    def lose(self) -> None:
+    def delete_state(self) -> None:
         """The machine is lost with its folder."""
 
     async def start(self) -> None:
         """Start it and wait until it answers; ``RelayError`` where it does not."""
         self.write_config()
-        self.note("start")
+        self.record_event("start")
         self.process = await self.spawn()
-        self.lives += 1
+        self.starts += 1
         if not await self._ready(self.process):
             raise RelayError(f"{self.name} did not come up; its log says why")
 
-    async def up(self, pause_s: float) -> int:
+    async def start_with_retries(self, pause_s: float) -> int:
         """Start it, and again where it ends before it answers; how often it did so.
 
         ``RelayError`` where it hangs, or has ended ``MOST_STARTS`` times.
         """
-        for ended in range(MOST_STARTS):
+        for ended in range(MAX_STARTS):
             try:
                 await self.start()
                 return ended
             except RelayError:
                 if self.process is None or self.process.returncode is None:
                     raise
-                await self.ended()
+                await self.wait_for_exit()
                 await asyncio.sleep(pause_s)
-        raise RelayError(f"{self.name} ended {MOST_STARTS} times before it answered")
+        raise RelayError(f"{self.name} ended {MAX_STARTS} times before it answered")
 
     async def _ready(self, process: Process) -> bool:
         loop = asyncio.get_running_loop()
@@ -139,53 +141,53 @@
                     answer = await reader.readline()
                 writer.close()
                 if answer == b"+PONG\r\n":
-                    self.note("ready")
+                    self.record_event("ready")
                     return True
             except (OSError, TimeoutError):
                 await asyncio.sleep(0.02)
         return False
 
-    async def ended(self) -> int:
+    async def wait_for_exit(self) -> int:
         """Wait for the process's end and write it down."""
         assert self.process is not None
         code = await self.process.wait()
-        self.note("exit", str(code))
+        self.record_event("exit", str(code))
         return code
 
     async def kill(self) -> None:
         """SIGKILL."""
-        await self._end(signal.SIGKILL, "kill")
+        await self._stop(signal.SIGKILL, "kill")
 
-    async def _end(self, number: signal.Signals, what: str) -> None:
+    async def _stop(self, number: signal.Signals, what: str) -> None:
         if self.process is None or self.process.returncode is not None:
             return
-        self.note(what)
+        self.record_event(what)
         self.process.send_signal(number)
         try:
-            async with asyncio.timeout(TERM_S):
+            async with asyncio.timeout(TERM_TIMEOUT_S):
                 await self.process.wait()
         except TimeoutError:
             self.process.kill()
-        await self.ended()
+        await self.wait_for_exit()
 
     async def term(self) -> None:
         """SIGTERM, and SIGKILL where it lasts too long."""
-        await self._end(signal.SIGTERM, "term")
+        await self._stop(signal.SIGTERM, "term")
 
     def hup(self) -> None:
         """Replace the file and send SIGHUP."""
         if self.process is not None and self.process.returncode is None:
             self.write_config()
-            self.note("hup")
+            self.record_event("hup")
             self.process.send_signal(signal.SIGHUP)
 
     def wipe(self) -> None:
         """The machine is lost with its folder."""
-        self.lose()
-        self.note("wiped")
+        self.delete_state()
+        self.record_event("wiped")
 
 
-class RelayProcess(Relay):
+class RelayProcess(ManagedRelay):
     """A relay in a process of the machine, and the folder that outlasts it."""
 
     def __init__(
@@ -195,7 +197,7 @@
         writer: rec.Writer,
         config: Callable[[], dict[str, Any]],
         *,
-        command: Sequence[str] = PLAIN,
+        command: Sequence[str] = DEFAULT_COMMAND,
         environment: Callable[[int], dict[str, str]] = lambda _life: {},
     ) -> None:
         super().__init__(name, free_address(), writer, config)
@@ -204,16 +206,16 @@
         self.state.mkdir(parents=True)
 
     def write_config(self) -> None:
-        (self.folder / "config.json").write_bytes(self.told())
+        (self.folder / "config.json").write_bytes(self.config_bytes())
 
     async def spawn(self) -> Process:
-        told = {"ROUTER_CONFIG": str(self.folder / "config.json"), "ROUTER_STATE": str(self.state)}
-        beside = self._environment(self.lives)
+        settings = {"ROUTER_CONFIG": str(self.folder / "config.json"), "ROUTER_STATE": str(self.state)}
+        extra = self._environment(self.starts)
         with (self.folder / "log").open("ab") as log:
             return await asyncio.create_subprocess_exec(
-                *self.command, cwd=ROOT, env=os.environ | told | beside, stderr=log, stdout=log
+                *self.command, cwd=ROOT, env=os.environ | settings | extra, stderr=log, stdout=log
             )
 
-    def lose(self) -> None:
+    def delete_state(self) -> None:
         shutil.rmtree(self.state)
         self.state.mkdir()
--- a/mallowlug/rig/sim/faults.py
+++ b/mallowlug/rig/sim/faults.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from mallowlug.rig.world.scenario import STRUCK, SYNCS, EventTable, NetTable, Scenario, StrikeTable
+from mallowlug.rig.world.scenario import SYNC_CALLS, SYSTEM_CALLS, EventTable, NetTable, Scenario, StrikeTable
 
 Row = dict[str, Any]
 ON = 0.35  # chance that a kind of fault is on
@@ -74,7 +74,7 @@
         """Kills before, within and after single system calls, in one life after another of a relay."""
         relay = self._relay()
         for life in range(self.rng.randint(1, LIVES)):
-            when, call = self.rng.choice(("before", "within", "after")), self.rng.choice(STRUCK)
+            when, call = self.rng.choice(("before", "within", "after")), self.rng.choice(SYSTEM_CALLS)
             at = self._nth(RARE.get(call, 60))
             self.strikes.append({"relay": relay, "life": life, "call": call, "at": at, "when": when})
 
@@ -166,7 +166,7 @@
             for _ in self._many(3):
                 self._event("power", relay=self._relay())
         for _ in self._many(3):
-            call, when = self.rng.choice(SYNCS), self.rng.choice(("before", "within", "after"))
+            call, when = self.rng.choice(SYNC_CALLS), self.rng.choice(("before", "within", "after"))
             what = self.rng.choice(("EIO", "kill"))
             self._strike(call=call, what=what, when=when, at=self._nth(RARE.get(call, 200)))
 
--- a/mallowlug/rig/sim/ground.py
+++ b/mallowlug/rig/sim/ground.py
@@ -16,15 +16,15 @@
 from mallowlug.config import Extras, FleetPlan
 from mallowlug.core import relay as core
 from mallowlug.rig.judge import record as rec
-from mallowlug.rig.run.play import Options, play
-from mallowlug.rig.run.relays import Relay
+from mallowlug.rig.run.play import RunOptions, play
+from mallowlug.rig.run.relays import ManagedRelay
 from mallowlug.rig.sim.disk import SimDisk
 from mallowlug.rig.sim.guards import Watch
 from mallowlug.rig.sim.loop import START_S, SimLoop
 from mallowlug.rig.sim.net import Link, Network
 from mallowlug.rig.sim.process import Kernel, LifeLog, Machine, SimProcess, SimRelay, Struck
 from mallowlug.rig.sim.upgrade import Upgrade
-from mallowlug.rig.world.httpd import Place
+from mallowlug.rig.world.httpd import AddressAllocator
 from mallowlug.rig.world.scenario import EventTable, Scenario
 from mossfront import interface as api
 
@@ -36,9 +36,9 @@
         self.loop, self.scenario = loop, scenario
         self.net = loop.net = Network(loop, random.Random(f"net {scenario.seed}"))
         self.net.links, self.net.dialled = self._link, self._dialled
-        self.dialled: Callable[[str, tuple[str, int]], None] | None = lambda _relay, _address: None
+        self.on_dial: Callable[[str, tuple[str, int]], None] | None = lambda _relay, _address: None
         self.kernel = Kernel(loop, self.net, scenario.strikes)
-        self.place = Place(self.net.address, itertools.count(1))
+        self.addresses = AddressAllocator(self.net.address, itertools.count(1))
         self.relays: list[SimRelay] = []
         self.seeds: list[str] = []  # of their fleet
         self.writer: rec.Writer | None = None
@@ -55,8 +55,8 @@
         )
 
     def _dialled(self, place: str, address: tuple[str, int]) -> None:
-        if self.dialled is not None:
-            self.dialled(place, address)
+        if self.on_dial is not None:
+            self.on_dial(place, address)
 
     def _struck(self, struck: Struck) -> None:
         assert self.writer is not None
@@ -99,7 +99,7 @@
             self.seeds.append(told)
         return FleetPlan("sim", address, told, tuple(self.seeds), period_s=0.2, settle_s=2.0)
 
-    async def strike(self, relay: Relay, event: EventTable) -> None:
+    async def apply_event(self, relay: ManagedRelay, event: EventTable) -> None:
         """What a real process can't be made to suffer, for as long as it lasts."""
         assert isinstance(relay, SimRelay)
         machine = relay.machine
@@ -129,29 +129,29 @@
         machine.fills += 1
         if machine.fills == 1:
             machine.disk.full = True
-            relay.note("full")
+            relay.record_event("full")
         await asyncio.sleep(len_s)
         machine.fills -= 1
         if not machine.fills:
             machine.disk.full = False
-            relay.note("room")
+            relay.record_event("room")
 
     async def _stall(self, relay: SimRelay, len_s: float) -> None:
         process = relay.process
         assert isinstance(process, SimProcess)
         process.life.still = True
-        relay.note("deaf", "stands still")
+        relay.record_event("deaf", "stands still")
         with contextlib.suppress(TimeoutError):  # its end may come first
             await asyncio.wait_for(process.wait(), len_s)
-        relay.note("hears")
+        relay.record_event("hears")
         self.loop.go_on(process.life)
 
     async def _part(self, relay: SimRelay, len_s: float) -> None:
-        relay.note("deaf", "cut off")
+        relay.record_event("deaf", "cut off")
         for pair in ((relay.name, ""), ("", relay.name)):
             self.net.part(*pair)
         await asyncio.sleep(len_s)
-        relay.note("hears")
+        relay.record_event("hears")
         for pair in ((relay.name, ""), ("", relay.name)):
             self.net.heal(*pair)
 
@@ -203,7 +203,7 @@
     return Module
 
 
-def simulate(scenario: Scenario, folder: Path, options: Options | None = None) -> Simulated:
+def simulate(scenario: Scenario, folder: Path, options: RunOptions | None = None) -> Simulated:
     """Play a scenario in simulated time into ``folder``.
 
     Only the scenario and its seed decide what happens. The garbage collector is off meanwhile: finalizers
--- a/mallowlug/rig/sim/hours.py
+++ b/mallowlug/rig/sim/hours.py
@@ -17,7 +17,7 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-from mallowlug.rig.run.play import Options, World, sleep_until
+from mallowlug.rig.run.play import Environment, RunOptions, sleep_until
 from mallowlug.rig.sim.disk import SimDisk
 from mallowlug.rig.sim.ground import Simulated, simulate
 from mallowlug.rig.sim.guards import Watch
@@ -150,13 +150,13 @@
     if late := [event for event in scenario.events if event.at_s + event.len_s > hour_s - lull_s]:
         raise LullError(f"{late[0].what} at {late[0].at_s} s is not over {lull_s:g} s before the hour's end")
     long = repeated(scenario, hours)
-    traffic = [arrival for arrival in draw.arrivals_of(long) if arrival.at_s % hour_s < hour_s - lull_s]
+    traffic = [arrival for arrival in draw.draw_arrivals(long) if arrival.at_s % hour_s < hour_s - lull_s]
 
-    async def count(world: World) -> None:
+    async def count(world: Environment) -> None:
         start_s = asyncio.get_running_loop().time()
         for hour in range(1, hours + 1):
             await sleep_until(start_s + hour * hour_s - 1)
             samples.extend(sample(hour, relay) for relay in world.relays if isinstance(relay, SimRelay))
 
-    done = simulate(long, folder, Options(traffic=traffic, started=count))
+    done = simulate(long, folder, RunOptions(traffic=traffic, on_started=count))
     return Hours(done, samples)
--- a/mallowlug/rig/sim/process.py
+++ b/mallowlug/rig/sim/process.py
@@ -23,7 +23,7 @@
 from mallowlug import config
 from mallowlug.compose import serve
 from mallowlug.rig.judge import record as rec
-from mallowlug.rig.run.relays import Process, Relay, asked
+from mallowlug.rig.run.relays import ManagedRelay, Process, console_request
 from mallowlug.rig.sim.disk import SimDisk
 from mallowlug.rig.sim.loop import LIFE, Killed, Life, SimLoop, vars_of
 from mallowlug.rig.sim.net import Network, SimSocket, failure
@@ -275,7 +275,7 @@
         cls["aim_us"] = max(1, cls["aim_us"] * 9 // 10)
 
 
-class SimRelay(Relay):
+class SimRelay(ManagedRelay):
     """A relay over all its lives, on a machine of its own."""
 
     def __init__(
@@ -292,10 +292,10 @@
         self.edits: list[str] = []  # what staff have changed in its settings: classes, deadlines
 
     def write_config(self) -> None:
-        self.machine.disk.put(CONFIG, self.told())
+        self.machine.disk.put(CONFIG, self.config_bytes())
 
-    def told(self) -> bytes:
-        raw = json.loads(super().told())
+    def config_bytes(self) -> bytes:
+        raw = json.loads(super().config_bytes())
         for number, edit in enumerate(self.edits):
             edited(raw["settings"]["request_classes"], edit, number)
         return json.dumps(raw).encode()
@@ -304,7 +304,7 @@
         """Staff put another file in place and tell one of its processes, as the event says."""
         if event.file in ("classes", "deadlines"):
             self.edits.append(event.file)
-        whole = self.told()
+        whole = self.config_bytes()
         self.machine.disk.put(CONFIG, whole[: len(whole) // 2] if event.file == "broken" else whole)
         if not event.unsaid:
             self.signal_hup(event.back)
@@ -313,13 +313,13 @@
         """SIGHUP to the process that its supervisor goes by, or to the ``last`` one that was started."""
         process = self.processes[-1] if last and self.processes else self.process
         if process is not None and process.returncode is None:
-            self.note("hup")
+            self.record_event("hup")
             process.send_signal(signal.SIGHUP)
 
     async def spawn(self) -> SimProcess:
         if self.staffed:
             self.machine.console = self.kernel.net.address()
-        process = self.kernel.start(self.machine, self.lives)
+        process = self.kernel.start(self.machine, self.starts)
         process.console = self.machine.console
         self.processes.append(process)
         return process
@@ -343,25 +343,25 @@
                 process.kill()
         await super().kill()
 
-    async def by_hand(self, host: str, out: bool) -> bool:
+    async def set_disabled(self, host: str, out: bool) -> bool:
         """At the console of any process that it has now."""
         alive = [p.console for p in self.processes if p.returncode is None and p.console is not None]
         if not alive:
             return False
         target = f"/hosts/{'disable' if out else 'enable'}?name={host}"
-        return await asked(self.kernel.net.rng.choice(alive), "POST", target) == 200
+        return await console_request(self.kernel.net.rng.choice(alive), "POST", target) == 200
 
     def owner(self) -> Life | None:
         """Which life holds the lock of the folder's owner, as the kernel knows."""
         return self.machine.disk.holder(STATE / "owner")
 
-    def lose(self) -> None:
+    def delete_state(self) -> None:
         self.machine.disk.wipe()
         self.machine.boots += 1
 
     def cut_power(self) -> None:
         """The machine stops at once and comes back with its disk: what was synced, and perhaps more."""
-        self.note("kill", "power")
+        self.record_event("kill", "power")
         for process in self.processes:
             process.kill()
         self.machine.disk.crash()
--- a/mallowlug/rig/sim/shrink.py
+++ b/mallowlug/rig/sim/shrink.py
@@ -86,7 +86,7 @@
     shrinker = Shrinker(tries, first.signs, tell)
     traffic = tuple(
         MessageTable.model_validate({name: getattr(arrival, name) for name in MessageTable.model_fields})
-        for arrival in draw.arrivals_of(scenario)
+        for arrival in draw.draw_arrivals(scenario)
     )
     listed = scenario.model_copy(update={"messages": traffic})
     if shrinker.fails(listed):
--- a/mallowlug/rig/sim/sweep.py
+++ b/mallowlug/rig/sim/sweep.py
@@ -16,11 +16,11 @@
 from mallowlug.rig.judge.rules import judge
 from mallowlug.rig.sim.faults import swarm
 from mallowlug.rig.sim.ground import Simulated, simulate
-from mallowlug.rig.world.scenario import STRUCK, SYNCS, Scenario
+from mallowlug.rig.world.scenario import SYNC_CALLS, SYSTEM_CALLS, Scenario
 
 WHEN = ("before", "within", "after")
 # At which a life can be killed.
-POINTS = (*(f"{name}.{when}" for name in (*STRUCK, *SYNCS) for when in WHEN), "step")
+POINTS = (*(f"{name}.{when}" for name in (*SYSTEM_CALLS, *SYNC_CALLS) for when in WHEN), "step")
 
 
 @dataclass(frozen=True, slots=True)
--- a/mallowlug/rig/sim/upgrade.py
+++ b/mallowlug/rig/sim/upgrade.py
@@ -10,7 +10,7 @@
 import contextlib
 import signal
 
-from mallowlug.rig.run.relays import TERM_S, asked
+from mallowlug.rig.run.relays import TERM_TIMEOUT_S, console_request
 from mallowlug.rig.sim.process import SimProcess, SimRelay
 from mallowlug.rig.world.scenario import EventTable
 
@@ -29,13 +29,13 @@
 
     async def play(self) -> None:
         """All of it; nobody else ends or starts the relay meanwhile."""
-        async with self._relay.turn:
+        async with self._relay.lifecycle_lock:
             old = self._relay.process
             if not isinstance(old, SimProcess) or old.returncode is not None:
                 return
             self._relay.write_config()
             new = await self._relay.spawn()
-            self._relay.lives += 1
+            self._relay.starts += 1
             watching = self._loop.create_task(self._watch(old, new))
             if self._event.len_s:
                 self._killing = self._loop.create_task(self._kill_later(new if self._event.back else old))
@@ -53,7 +53,7 @@
                 return
             # Both are gone: a supervisor starts it anew.
             await asyncio.sleep(0.05)
-            await self._relay.up(0.05)
+            await self._relay.start_with_retries(0.05)
 
     async def _kill_later(self, process: SimProcess) -> None:
         await asyncio.sleep(self._event.len_s)
@@ -63,19 +63,19 @@
         """SIGKILL; where it owned the messages, the relay has ended for a moment."""
         if process.returncode is None:
             if self._relay.owner() is process.life and not self._ended:
-                self._relay.note("kill")
+                self._relay.record_event("kill")
                 self._exit(-9)
             process.kill()
 
     def _exit(self, code: int) -> None:
         """Who owned the messages is gone; noted once until another one owns them."""
         if not self._ended:
-            self._relay.note("exit", str(code))
+            self._relay.record_event("exit", str(code))
             self._ended = True
 
     def _begun(self) -> None:
         if self._ended:
-            self._relay.note("ready")
+            self._relay.record_event("ready")
             self._ended = False
 
     async def _watch(self, old: SimProcess, new: SimProcess) -> None:
@@ -94,7 +94,7 @@
         console = self._relay.machine.console
         assert console is not None
         while self._loop.time() < last_s and new.returncode is None:
-            if await asked(console, "GET", "/ready") == 200:
+            if await console_request(console, "GET", "/ready") == 200:
                 return True
             await asyncio.sleep(LOOK_S)
         return False
@@ -117,6 +117,6 @@
         """SIGTERM, and SIGKILL where it lasts too long."""
         old.send_signal(signal.SIGTERM)
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(TERM_S):
+            async with asyncio.timeout(TERM_TIMEOUT_S):
                 await old.wait()
         self._strike(old)
--- a/mallowlug/rig/soak/plan.py
+++ b/mallowlug/rig/soak/plan.py
@@ -12,51 +12,64 @@
 from mallowlug.rig.world.scenario import Scenario
 
 OUTAGES = ("refuse", "silent", "shut")
-FIRST_S, SPARE_S = 4.0, 5.0  # no outage before, and none that ends later than so long before the run's end
-WEIGHTS: tuple[tuple[float, ...], ...] = ((), (0.5, 1.5), (0.2, 0.5, 1.0, 1.0, 3.0))
-FEWEST, MOST = 6, 16  # destinations
+EARLIEST_OUTAGE_S, FINAL_QUIET_S = (
+    4.0,
+    5.0,
+)  # no outage before, and none that ends later than so long before the run's end
+RELAY_WEIGHTS: tuple[tuple[float, ...], ...] = ((), (0.5, 1.5), (0.2, 0.5, 1.0, 1.0, 3.0))
+MIN_DESTINATIONS, MAX_DESTINATIONS = 6, 16  # destinations
 CROWD_RELAYS, CROWD_SOCKETS = 6, 192  # a crowd fills the descriptors of a few relays
-KILLED_BEHIND_S = (-2.0, -0.5, 0.3, 1.0, 3.0)  # signals around the return of an endpoint
+SIGNAL_OFFSETS_S = (-2.0, -0.5, 0.3, 1.0, 3.0)  # signals around the return of an endpoint
 
 
 @dataclass(frozen=True, slots=True)
 class Profile:
     """What the worlds of a kind have, and the ranges that they are drawn from."""
 
-    together: bool = False  # many whole destinations are out at one time, and most name their opening
-    troubles: bool = False  # of other kinds beside the outages
-    crowd: bool = False  # idle clients fill the descriptors
-    least_destinations: int = FEWEST
-    each_per_s: tuple[float, float] = (4.0, 9.0)  # messages for a destination: a cold one notices each
+    simultaneous: bool = False  # many whole destinations are out at one time, and most name their opening
+    other_faults: bool = False  # of other kinds beside the outages
+    idle_connections: bool = False  # idle clients fill the descriptors
+    min_destinations: int = MIN_DESTINATIONS
+    per_destination_s: tuple[float, float] = (4.0, 9.0)  # messages for a destination: a cold one notices each
     endpoints: tuple[list[int], ...] = ([1, 1], [1, 2], [1, 4])
 
 
-OUTAGES_ALONE = Profile()
-TOGETHER = Profile(together=True, least_destinations=MOST, each_per_s=(6.0, 8.0), endpoints=([2, 2], [1, 3]))
-PROFILES = (OUTAGES_ALONE, TOGETHER, Profile(troubles=True), Profile(troubles=True, crowd=True))
+OUTAGES_ONLY = Profile()
+SIMULTANEOUS = Profile(
+    simultaneous=True,
+    min_destinations=MAX_DESTINATIONS,
+    per_destination_s=(6.0, 8.0),
+    endpoints=([2, 2], [1, 3]),
+)
+PROFILES = (
+    OUTAGES_ONLY,
+    SIMULTANEOUS,
+    Profile(other_faults=True),
+    Profile(other_faults=True, idle_connections=True),
+)
 
 
-def scenario_of(seed: int, relays: int, length_s: float) -> Scenario:
+def soak_scenario(seed: int, relays: int, length_s: float) -> Scenario:
     """The world that a seed stands for."""
     rng = random.Random(f"soak {seed}")
     profile = PROFILES[seed % len(PROFILES)]
-    count = min(relays, CROWD_RELAYS) if profile.crowd else relays
-    destinations = max(profile.least_destinations, rng.randint(FEWEST, MOST))
-    outages = _outages_together if profile.together else _outages
+    count = min(relays, CROWD_RELAYS) if profile.idle_connections else relays
+    destinations = max(profile.min_destinations, rng.randint(MIN_DESTINATIONS, MAX_DESTINATIONS))
+    outages = _simultaneous_outages if profile.simultaneous else _outages
     events = outages(rng, destinations, length_s)
     events += _signals(rng, events, count, length_s)
-    if profile.troubles:
-        events += _troubles(rng, length_s)
-    if profile.crowd:
+    if profile.other_faults:
+        events += _other_faults(rng, length_s)
+    if profile.idle_connections:
         events.append({"at_s": 3.0, "what": "crowd", "len_s": length_s / 2, "count": CROWD_SOCKETS})
-    told: dict[str, Any] = {
+    tables: dict[str, Any] = {
         "name": f"soak-{seed}",
         "seed": seed,
         "length_s": length_s,
         "load": _load(rng, destinations, profile),
         "relays": {
             "count": count, "slots_room": rng.uniform(2.0, 6.0), "hold_s": rng.uniform(6.0, 12.0),
-            "sockets": CROWD_SOCKETS if profile.crowd else 384,
+            "sockets": CROWD_SOCKETS if profile.idle_connections else 384,
         },
         "partners": {
             "destinations": destinations,
@@ -69,17 +82,17 @@
         "kind": _kinds(rng, profile),
         "event": sorted(events, key=lambda event: float(event["at_s"])),
     }  # fmt: skip
-    return Scenario.model_validate(told)
+    return Scenario.model_validate(tables)
 
 
 def _load(rng: random.Random, destinations: int, profile: Profile) -> dict[str, Any]:
     """How much comes, in clumps or not, and how it is spread over destinations and relays."""
     return {
-        "rate_per_s": destinations * rng.uniform(*profile.each_per_s),
+        "rate_per_s": destinations * rng.uniform(*profile.per_destination_s),
         "clumps": rng.choice((0.0, 0.1, 0.3)),
         "clump_size": rng.choice((2, 4, 8)),
         "skew": rng.uniform(0.1, 0.8),
-        "relay_weights": rng.choice(WEIGHTS),
+        "relay_weights": rng.choice(RELAY_WEIGHTS),
     }
 
 
@@ -104,7 +117,7 @@
     low = rng.uniform(0.7, 1.1)
     headroom = [low, low + rng.uniform(0.2, 0.8)]
     tells_wait = 0.3
-    if profile.together:
+    if profile.simultaneous:
         headroom, tells_wait = [0.8, 1.1], rng.choice((0.8, 1.0))
     return [
         {
@@ -120,23 +133,27 @@
 
 def _outages(rng: random.Random, destinations: int, length_s: float) -> list[dict[str, Any]]:
     """Two or three at once that begin early, and as many later, each at a destination of its own."""
-    last_s = length_s - SPARE_S
+    last_s = length_s - FINAL_QUIET_S
     struck = rng.sample(range(destinations), min(destinations, rng.randint(4, 6)))
     found = list[dict[str, Any]]()
     for number, dest in enumerate(struck):
-        at_s = FIRST_S + rng.uniform(0, 2) if number % 2 else max(FIRST_S, last_s / 2 + rng.uniform(0, 2))
+        at_s = (
+            EARLIEST_OUTAGE_S + rng.uniform(0, 2)
+            if number % 2
+            else max(EARLIEST_OUTAGE_S, last_s / 2 + rng.uniform(0, 2))
+        )
         len_s = min(rng.uniform(7, 13), last_s - at_s)
         found.append({"at_s": at_s, "what": rng.choice(OUTAGES), "len_s": len_s, "dest": dest})
     return found
 
 
-def _outages_together(rng: random.Random, destinations: int, length_s: float) -> list[dict[str, Any]]:
+def _simultaneous_outages(rng: random.Random, destinations: int, length_s: float) -> list[dict[str, Any]]:
     """Whole destinations that are out at one time and return at one time, twice; most of them name it."""
     dests = rng.sample(range(destinations), 9)
     second_s = length_s / 2 + rng.uniform(0, 2)
     found = list[dict[str, Any]]()
-    for at_s, struck in ((FIRST_S, dests[:5]), (second_s, dests[5:])):
-        len_s = min(rng.uniform(7, 11), length_s - SPARE_S - at_s)
+    for at_s, struck in ((EARLIEST_OUTAGE_S, dests[:5]), (second_s, dests[5:])):
+        len_s = min(rng.uniform(7, 11), length_s - FINAL_QUIET_S - at_s)
         for dest in struck:
             what = rng.choice(("shut", "shut", "shut", *OUTAGES))
             found.append({"at_s": at_s, "what": what, "len_s": len_s, "dest": dest})
@@ -150,7 +167,7 @@
     found = list[dict[str, Any]]()
     for relay in rng.sample(range(relays), max(1, relays // rng.choice((4, 10, 20)))):
         outage = rng.choice(outages)
-        at_s = outage["at_s"] + outage["len_s"] + rng.choice(KILLED_BEHIND_S)
+        at_s = outage["at_s"] + outage["len_s"] + rng.choice(SIGNAL_OFFSETS_S)
         for what in rng.choice((["kill"], ["term"], ["hup", "kill"], ["kill", "term"], ["hup"])):
             if at_s < length_s - 1:
                 found.append({"at_s": at_s, "what": what, "relay": relay})
@@ -158,7 +175,7 @@
     return found
 
 
-def _troubles(rng: random.Random, length_s: float) -> list[dict[str, Any]]:
+def _other_faults(rng: random.Random, length_s: float) -> list[dict[str, Any]]:
     """Some of: discovery away, drains, replacements, spoilt answers, rude clients, slow endpoints."""
     drawn: list[dict[str, Any]] = [
         {"what": "directory_out", "len_s": rng.uniform(3, 10)},
--- a/mallowlug/rig/soak/run.py
+++ b/mallowlug/rig/soak/run.py
@@ -14,10 +14,10 @@
 from mallowlug.rig.judge.rule import Breach
 from mallowlug.rig.judge.rules import judge
 from mallowlug.rig.judge.service import service_of
-from mallowlug.rig.run.play import Options, play
-from mallowlug.rig.soak.plan import scenario_of
+from mallowlug.rig.run.play import RunOptions, play
+from mallowlug.rig.soak.plan import soak_scenario
 
-MOST_RELAYS = 200
+MAX_RELAYS = 200
 RELAY_BYTES = 40 * 2**20  # of memory reckoned for a relay
 MEMORY_SHARE = 0.5  # of the machine's that all relays may use
 
@@ -44,13 +44,13 @@
         return self.state == "broken" or bool(self.crashes)
 
     def __str__(self) -> str:
-        told = counted(Counter(breach.rule for breach in self.breaches)) or "no breach"
+        broken = format_counts(Counter(breach.rule for breach in self.breaches)) or "no breach"
         crashes = f", {len(self.crashes)} crashes" if self.crashes else ""
         figures = f"served {self.served:.3f}, {self.returns} returns"
-        return f"seed {self.seed}: {self.state}, {told}{crashes}; {figures}"
+        return f"seed {self.seed}: {self.state}, {broken}{crashes}; {figures}"
 
 
-def counted(rules: Counter[str]) -> str:
+def format_counts(rules: Counter[str]) -> str:
     """Broken rules with their counts, in a line; empty for none."""
     return ", ".join(f"{rule} {count}" for rule, count in sorted(rules.items()))
 
@@ -58,15 +58,15 @@
 def check_size(relays: int) -> None:
     """``SoakError`` where so many relays would be too many for this machine."""
     memory = os.sysconf("SC_PAGE_SIZE") * os.sysconf("SC_PHYS_PAGES")
-    most = min(MOST_RELAYS, int(memory * MEMORY_SHARE / RELAY_BYTES))
-    if not 1 <= relays <= most:
-        raise SoakError(f"{relays} relays, where 1 to {most} fit this machine")
+    maximum = min(MAX_RELAYS, int(memory * MEMORY_SHARE / RELAY_BYTES))
+    if not 1 <= relays <= maximum:
+        raise SoakError(f"{relays} relays, where 1 to {maximum} fit this machine")
 
 
 def soak_seed(seed: int, relays: int, length_s: float, folder: Path) -> SeedResult:
     """Play one seed and judge it; its folder is kept only where it failed."""
     check_size(relays)
-    done = asyncio.run(play(scenario_of(seed, relays, length_s), folder, Options()))
+    done = asyncio.run(play(soak_scenario(seed, relays, length_s), folder, RunOptions()))
     record = rec.read(done.path)
     verdict = judge(record)
     result = SeedResult(
--- a/mallowlug/rig/world/draw.py
+++ b/mallowlug/rig/world/draw.py
@@ -26,7 +26,7 @@
     capacity_per_s: float
     servers: int  # messages that it works on at once
     queue: int  # messages that may wait
-    pace: float  # factor of its service times
+    service_time_factor: float  # factor of its service times
     network_s: float
     handshake_s: float
     cold_from: float
@@ -46,7 +46,7 @@
     size: int
 
 
-def weights_of(scenario: Scenario) -> list[float]:
+def destination_weights(scenario: Scenario) -> list[float]:
     """Each destination's share of the traffic."""
     raw = [1 / (rank + 1) ** scenario.load.skew for rank in range(scenario.partners.destinations)]
     return [weight / sum(raw) for weight in raw]
@@ -58,23 +58,23 @@
     return sum(cls.share * cls.work_ms / 1000 for cls in scenario.classes) / total
 
 
-def hosts_of(scenario: Scenario) -> list[HostPlan]:
+def draw_hosts(scenario: Scenario) -> list[HostPlan]:
     """Every endpoint; a destination's first has its zone drawn, the others take the next ones in turn."""
     rng, plans = random.Random(f"hosts {scenario.seed}"), list[HostPlan]()
     partners, work_s = scenario.partners, mean_work_s(scenario)
-    for dest, weight in enumerate(weights_of(scenario)):
-        busy = weight * partners.destinations  # over 1: more traffic than the mean
-        chances = [kind.share * busy**kind.lean for kind in scenario.kinds]
+    for dest, weight in enumerate(destination_weights(scenario)):
+        relative_load = weight * partners.destinations  # over 1: more traffic than the mean
+        chances = [kind.share * relative_load**kind.lean for kind in scenario.kinds]
         kind = rng.choices(scenario.kinds, chances)[0]
         count = max(1, round(rng.uniform(*partners.endpoints)))
         zone = rng.randrange(len(partners.zones))
         for number in range(count):
             load = scenario.load.rate_per_s * weight / count
             per_s = max(rng.uniform(*kind.least_per_s), load * rng.uniform(*kind.headroom))
-            pace = rng.uniform(0.85, 1.1)
-            spare = rng.uniform(1.2, 1.6) if kind.limited else 1.0
-            servers = max(1, math.ceil(per_s * spare * work_s * pace))
-            capacity = servers / (work_s * pace)
+            service_time_factor = rng.uniform(0.85, 1.1)
+            spare_capacity = rng.uniform(1.2, 1.6) if kind.limited else 1.0
+            servers = max(1, math.ceil(per_s * spare_capacity * work_s * service_time_factor))
+            capacity = servers / (work_s * service_time_factor)
             plans.append(
                 HostPlan(
                     name=f"h{dest}-{number}",
@@ -85,7 +85,7 @@
                     capacity_per_s=capacity,
                     servers=servers,
                     queue=max(2, round(capacity * rng.uniform(*kind.queue_s))),
-                    pace=pace,
+                    service_time_factor=service_time_factor,
                     network_s=rng.uniform(*partners.network_ms) / 1000,
                     handshake_s=rng.uniform(*kind.handshake_ms) / 1000,
                     cold_from=rng.uniform(*partners.cold_from),
@@ -95,7 +95,7 @@
     return plans
 
 
-def arrivals_of(scenario: Scenario) -> list[Arrival]:
+def draw_arrivals(scenario: Scenario) -> list[Arrival]:
     """Every message in order of time: a Poisson stream, of which a part comes in clumps for one
     destination.
     """
@@ -103,22 +103,26 @@
         listed = sorted(scenario.messages, key=lambda message: message.at_s)
         return [Arrival(m.at_s, m.relay, m.dest, m.cls, m.member, m.order, m.size) for m in listed]
     rng, load = random.Random(f"traffic {scenario.seed}"), scenario.load
-    weights, found, at_s = weights_of(scenario), list[Arrival](), 0.0
+    weights, arrivals, at_s = destination_weights(scenario), list[Arrival](), 0.0
     keys = dict[tuple[int, int], list[str]]()
     mean = 1 + load.clumps * (load.clump_size - 1)  # messages that one point of the stream brings
     while (at_s := at_s + rng.expovariate(load.rate_per_s / mean)) < scenario.length_s:
         dest = rng.choices(range(len(weights)), weights)[0]
-        relay = drawn_relay(rng, scenario)
+        relay = draw_relay(rng, scenario)
         for _ in range(load.clump_size if rng.random() < load.clumps else 1):
             cls = rng.choices(scenario.classes, [item.share for item in scenario.classes])[0]
-            used = [item.share * item.usage for item in scenario.members]
-            member = rng.choices(scenario.members, used)[0]
-            order = drawn_key(rng, keys.setdefault((relay, dest), []), load.key_reuse) if cls.in_order else ""
-            found.append(Arrival(at_s, relay, dest, cls.name, member.name, order, load.body))
-    return found
+            usage = [item.share * item.usage for item in scenario.members]
+            member = rng.choices(scenario.members, usage)[0]
+            order = (
+                draw_order_key(rng, keys.setdefault((relay, dest), []), load.key_reuse)
+                if cls.in_order
+                else ""
+            )
+            arrivals.append(Arrival(at_s, relay, dest, cls.name, member.name, order, load.body))
+    return arrivals
 
 
-def drawn_relay(rng: random.Random, scenario: Scenario) -> int:
+def draw_relay(rng: random.Random, scenario: Scenario) -> int:
     """Which relay gets a message: any alike, or by the weights that the load names."""
     count, weights = scenario.relays.count, scenario.load.relay_weights
     if not weights:
@@ -126,7 +130,7 @@
     return rng.choices(range(count), [weights[number % len(weights)] for number in range(count)])[0]
 
 
-def drawn_key(rng: random.Random, used: list[str], reuse: float) -> str:
+def draw_order_key(rng: random.Random, used: list[str], reuse: float) -> str:
     """A key for order: one of the last few, or a new one."""
     if used and rng.random() < reuse:
         return rng.choice(used[-4:])
@@ -134,24 +138,26 @@
     return used[-1]
 
 
-def struck(scenario: Scenario, hosts: Sequence[HostPlan], event: EventTable, rng: random.Random) -> list[str]:
+def draw_affected_hosts(
+    scenario: Scenario, hosts: Sequence[HostPlan], event: EventTable, rng: random.Random
+) -> list[str]:
     """Endpoints that an outage strikes: one destination's, or some of one zone with ``part`` of the
     traffic.
     """
     if event.dest >= 0:
         return [plan.name for plan in hosts if plan.dest == event.dest]
-    weights, zone = weights_of(scenario), rng.choice(scenario.partners.zones)
+    weights, zone = destination_weights(scenario), rng.choice(scenario.partners.zones)
     inside = sorted({plan.dest for plan in hosts if plan.zone == zone})
     rng.shuffle(inside)
-    chosen, sum_ = set[int](), 0.0
+    chosen, traffic = set[int](), 0.0
     for dest in inside:
-        if not chosen or sum_ + weights[dest] <= event.part:
+        if not chosen or traffic + weights[dest] <= event.part:
             chosen.add(dest)
-            sum_ += weights[dest]
+            traffic += weights[dest]
     return [plan.name for plan in hosts if plan.dest in chosen]
 
 
-def head_of(scenario: Scenario) -> rec.Head:
+def record_head(scenario: Scenario) -> rec.Head:
     """The facts by which a record of the run is judged."""
     rate, total = scenario.load.rate_per_s, sum(member.share for member in scenario.members)
     rules = scenario.rules
@@ -159,7 +165,7 @@
         at=0,
         name=scenario.name,
         seed=scenario.seed,
-        classes=[facts_of(cls) for cls in scenario.classes],
+        classes=[class_facts(cls) for cls in scenario.classes],
         kinds=[rec.KindFacts(kind.name, kind.apart, kind.batch) for kind in scenario.kinds],
         members=[rec.MemberFacts(m.name, rate * m.share / total) for m in scenario.members],
         figures=rec.Figures(
@@ -174,7 +180,7 @@
     )
 
 
-def facts_of(cls: ClassTable) -> rec.ClassFacts:
+def class_facts(cls: ClassTable) -> rec.ClassFacts:
     """A class in the record's words."""
     return rec.ClassFacts(
         name=cls.name,
@@ -189,10 +195,10 @@
     )
 
 
-def settings_of(scenario: Scenario) -> dict[str, Any]:
+def relay_settings(scenario: Scenario) -> dict[str, Any]:
     """What a relay is told, in the platform's words (its deployment and wire pages)."""
-    head, share = head_of(scenario), 1 / scenario.relays.count
-    busy = scenario.load.rate_per_s * mean_work_s(scenario) * share
+    head, share = record_head(scenario), 1 / scenario.relays.count
+    busy_slots = scenario.load.rate_per_s * mean_work_s(scenario) * share
     rules, figures = scenario.rules, head.figures
     return {
         "accounts": [
@@ -213,7 +219,7 @@
         "discovery": "ask",
         "domain": {
             "batch_by_kind": [kind.batch for kind in scenario.kinds],
-            "calls_out": max(3, round(scenario.relays.slots_room * busy)),
+            "calls_out": max(3, round(scenario.relays.slots_room * busy_slots)),
             "decay": "line",
             "kind_apart": [kind.apart for kind in scenario.kinds],
             "toll": [0.0 for _ in scenario.partners.zones],
--- a/mallowlug/rig/world/fronts.py
+++ b/mallowlug/rig/world/fronts.py
@@ -15,25 +15,25 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Way:
+class DatagramPath:
     """How one direction between two relays carries datagrams. Times in seconds."""
 
     cut: bool = False
-    loss: float = 0.0
+    loss_share: float = 0.0
     delay_s: float = 0.0
     jitter_s: float = 0.0  # above the delay, drawn anew for each: so they come out of order
-    doubled: float = 0.0
-    per_s: float = 0.0  # datagrams a second, what is beyond is lost; 0: no bound
+    duplicate_share: float = 0.0
+    max_per_s: float = 0.0  # datagrams a second, what is beyond is lost; 0: no bound
 
 
-CLEAR = Way()
+CLEAR_PATH = DatagramPath()
 
 
-class Front(asyncio.DatagramProtocol):
+class DatagramProxy(asyncio.DatagramProtocol):
     """What others are told as one relay's address."""
 
-    def __init__(self, fronts: Fronts, relay: str, target: Address) -> None:
-        self._fronts, self.relay, self.target = fronts, relay, target
+    def __init__(self, proxies: DatagramProxies, relay: str, target: Address) -> None:
+        self._proxies, self.relay, self.target = proxies, relay, target
         self.transport: asyncio.DatagramTransport | None = None
         self.address: Address = ("", 0)
 
@@ -42,82 +42,84 @@
         self.address = transport.get_extra_info("sockname")
 
     def datagram_received(self, data: bytes, addr: Address) -> None:
-        self._fronts.carry(self, addr, data)
+        self._proxies.route(self, addr, data)
 
     def error_received(self, exc: Exception) -> None:
         """The relay behind it is gone: what was sent is lost."""
 
-    def pass_on(self, data: bytes) -> None:
+    def forward(self, data: bytes) -> None:
         """Let one datagram through."""
         if self.transport is not None and not self.transport.is_closing():
             self.transport.sendto(data, self.target)
 
 
-class Fronts:
+class DatagramProxies:
     """All fronts, and what befalls each way."""
 
     def __init__(self, seed: int) -> None:
         self._rng = random.Random(f"fronts {seed}")
-        self.fronts: dict[str, Front] = {}
-        self._who: dict[Address, str] = {}  # by the address a relay sends from
-        self._ways: dict[tuple[str, str], Way] = {}
-        self._free_s: dict[tuple[str, str], float] = {}
-        self.told: Callable[[str, str, bool], None] = lambda _one, _other, _clear: None  # of every change
-        self.carried, self.dropped = Counter[tuple[str, str]](), Counter[tuple[str, str]]()
+        self.proxies: dict[str, DatagramProxy] = {}
+        self._relay_by_source: dict[Address, str] = {}  # by the address a relay sends from
+        self._paths: dict[tuple[str, str], DatagramPath] = {}
+        self._next_allowed_s: dict[tuple[str, str], float] = {}
+        self.on_path_change: Callable[[str, str, bool], None] = lambda _one, _other, _clear: (
+            None
+        )  # of every change
+        self.forwarded, self.dropped = Counter[tuple[str, str]](), Counter[tuple[str, str]]()
 
     async def add(self, relay: str, listen: Address, host: str = "127.0.0.1") -> Address:
         """A front for a relay that listens and sends at ``listen``; its address."""
         loop = asyncio.get_running_loop()
-        front = Front(self, relay, listen)
-        await loop.create_datagram_endpoint(lambda: front, local_addr=(host, 0))
-        self.fronts[relay], self._who[listen] = front, relay
-        return front.address
+        proxy = DatagramProxy(self, relay, listen)
+        await loop.create_datagram_endpoint(lambda: proxy, local_addr=(host, 0))
+        self.proxies[relay], self._relay_by_source[listen] = proxy, relay
+        return proxy.address
 
-    def way(self, one: str, other: str, way: Way, both: bool = True) -> None:
+    def set_path(self, source: str, destination: str, path: DatagramPath, both: bool = True) -> None:
         """From now on one relay's datagrams to another go so; with ``both`` the other's to it too."""
-        for pair in ((one, other), (other, one)) if both else ((one, other),):
-            self._ways[pair] = way
-            self.told(*pair, way == CLEAR)
+        for pair in ((source, destination), (destination, source)) if both else ((source, destination),):
+            self._paths[pair] = path
+            self.on_path_change(*pair, path == CLEAR_PATH)
 
-    def apart(self, *groups: list[str]) -> None:
+    def partition(self, *groups: list[str]) -> None:
         """Nothing passes between these groups."""
         for here in groups:
             for there in groups:
                 for one in here if here is not there else ():
                     for other in there:
-                        self.way(one, other, Way(cut=True), both=False)
+                        self.set_path(one, other, DatagramPath(cut=True), both=False)
 
-    def heal(self) -> None:
+    def clear_all(self) -> None:
         """All ways are clear."""
-        for pair in list(self._ways):
-            self.told(*pair, True)
-        self._ways.clear()
+        for pair in list(self._paths):
+            self.on_path_change(*pair, True)
+        self._paths.clear()
 
-    def carry(self, front: Front, source: Address, data: bytes) -> None:
+    def route(self, proxy: DatagramProxy, source: Address, data: bytes) -> None:
         """One datagram has come to a relay's front."""
-        pair = self._who.get(source, "?"), front.relay
-        way, loop = self._ways.get(pair, CLEAR), asyncio.get_running_loop()
-        if way.cut or self._rng.random() < way.loss or self._beyond(pair, way, loop.time()):
+        pair = self._relay_by_source.get(source, "?"), proxy.relay
+        path, loop = self._paths.get(pair, CLEAR_PATH), asyncio.get_running_loop()
+        if path.cut or self._rng.random() < path.loss_share or self._exceeds_rate(pair, path, loop.time()):
             self.dropped[pair] += 1
             return
-        for _ in range(1 + (self._rng.random() < way.doubled)):
-            self.carried[pair] += 1
-            late_s = way.delay_s + self._rng.random() * way.jitter_s
+        for _ in range(1 + (self._rng.random() < path.duplicate_share)):
+            self.forwarded[pair] += 1
+            late_s = path.delay_s + self._rng.random() * path.jitter_s
             if late_s:
-                loop.call_later(late_s, front.pass_on, data)
+                loop.call_later(late_s, proxy.forward, data)
             else:
-                front.pass_on(data)
+                proxy.forward(data)
 
-    def _beyond(self, pair: tuple[str, str], way: Way, now_s: float) -> bool:
-        if not way.per_s:
+    def _exceeds_rate(self, pair: tuple[str, str], path: DatagramPath, now_s: float) -> bool:
+        if not path.max_per_s:
             return False
-        if now_s < self._free_s.get(pair, 0.0):
+        if now_s < self._next_allowed_s.get(pair, 0.0):
             return True
-        self._free_s[pair] = now_s + 1.0 / way.per_s
+        self._next_allowed_s[pair] = now_s + 1.0 / path.max_per_s
         return False
 
     def close(self) -> None:
         """Let go of all."""
-        for front in self.fronts.values():
-            if front.transport is not None:
-                front.transport.close()
+        for proxy in self.proxies.values():
+            if proxy.transport is not None:
+                proxy.transport.close()
--- a/mallowlug/rig/world/host_model.py
+++ b/mallowlug/rig/world/host_model.py
@@ -23,15 +23,15 @@
     """The idempotency keys that a destination's endpoints remember."""
 
     def __init__(self) -> None:
-        self._until: dict[str, float] = {}
+        self._expires_s: dict[str, float] = {}
 
-    def first(self, key: str, window_s: float, now_s: float) -> bool:
+    def add_if_new(self, key: str, window_s: float, now_s: float) -> bool:
         """Whether the key is new; from then on it is remembered for the window."""
-        if self._until.get(key, 0.0) > now_s:
+        if self._expires_s.get(key, 0.0) > now_s:
             return False
-        self._until[key] = now_s + window_s
-        if len(self._until) > 50_000:
-            self._until = {known: until for known, until in self._until.items() if until > now_s}
+        self._expires_s[key] = now_s + window_s
+        if len(self._expires_s) > 50_000:
+            self._expires_s = {known: until for known, until in self._expires_s.items() if until > now_s}
         return True
 
 
@@ -57,42 +57,49 @@
 
     plan: HostPlan
     rng: random.Random
-    fall_multiple: float = 1.5
-    fall_s: float = 3.0
+    collapse_multiple: float = 1.5
+    collapse_window_s: float = 3.0
     state: Literal["up", "refuse", "silent", "shut", "fallen"] = "up"
-    slow: float = 1.0
-    opens_s: float = 0.0  # while shut: when it opens
+    slowdown: float = 1.0
+    reopens_s: float = 0.0  # while shut: when it opens
     running: int = 0
     queue: deque[Job] = field(default_factory=deque)
     tokens: float = 1.0
-    tokens_s: float = 0.0
-    back: cold.Return | None = None
-    recent: deque[tuple[int, float]] = field(default_factory=deque)
+    tokens_updated_s: float = 0.0
+    cold_return: cold.Return | None = None
+    recent_arrivals: deque[tuple[int, float]] = field(default_factory=deque)
 
-    def share(self, now_s: float) -> float:
+    def capacity_share(self, now_s: float) -> float:
         """The share of its capacity that it has just now."""
-        return self.back.share(now_s * 1e6) if self.back else 1.0
+        return self.cold_return.share(now_s * 1e6) if self.cold_return else 1.0
 
-    def returned(self, now_s: float, emptied: bool) -> None:
+    def end_outage(self, now_s: float, work_lost: bool) -> None:
         """An outage is over: it is up and cold; ``emptied`` of all that it was working on, or not."""
         plan = self.plan
-        self.state, self.slow = "up", 1.0
-        self.recent.clear()
-        if emptied:
+        self.state, self.slowdown = "up", 1.0
+        self.recent_arrivals.clear()
+        if work_lost:
             self.running = 0
             self.queue.clear()
-        self.back = cold.Return(round(now_s * 1e6), plan.per_s, plan.cold_from, round(plan.warm_s * 1e6))
+        self.cold_return = cold.Return(
+            round(now_s * 1e6), plan.per_s, plan.cold_from, round(plan.warm_s * 1e6)
+        )
 
-    def falls(self, size: int, now_s: float) -> bool:
+    def collapses_on_arrival(self, size: int, now_s: float) -> bool:
         """Take an arrival into account; whether it pushes a cold endpoint over."""
-        if self.back is None:
+        if self.cold_return is None:
             return False
-        if now_s * 1e6 > self.back.at_us + self.back.warm_us:
-            self.back = None
+        if now_s * 1e6 > self.cold_return.at_us + self.cold_return.warm_us:
+            self.cold_return = None
             return False
-        self.recent.append((round(now_s * 1e6), cold.work_of(size, ITEM_COST)))
-        found = cold.overrun(self.back, list(self.recent), self.fall_multiple, round(self.fall_s * 1e6))
-        if found is None:
+        self.recent_arrivals.append((round(now_s * 1e6), cold.work_of(size, ITEM_COST)))
+        overload = cold.overrun(
+            self.cold_return,
+            list(self.recent_arrivals),
+            self.collapse_multiple,
+            round(self.collapse_window_s * 1e6),
+        )
+        if overload is None:
             return False
         self.state = "fallen"
         return True
@@ -101,61 +108,63 @@
         return Refusal(wait_s if self.rng.random() < self.plan.kind.tells_wait else 0.0)
 
     def _refill(self, now_s: float) -> None:
-        rate = self.plan.per_s * self.share(now_s)
-        self.tokens = min(max(1.0, rate * BURST_S), self.tokens + (now_s - self.tokens_s) * rate)
-        self.tokens_s = now_s
+        rate = self.plan.per_s * self.capacity_share(now_s)
+        self.tokens = min(max(1.0, rate * BURST_S), self.tokens + (now_s - self.tokens_updated_s) * rate)
+        self.tokens_updated_s = now_s
 
     def offer(self, job: Job, now_s: float) -> Refusal | float | None:
         """Take a call in: a refusal, the seconds that it takes from now on, or None where it waits in
         line.
         """
         if self.state == "shut":
-            return self._refusal(max(0.05, self.opens_s - now_s))
+            return self._refusal(max(0.05, self.reopens_s - now_s))
         if self.plan.kind.limited:
             self._refill(now_s)
             if self.tokens < 1.0:
                 if self.plan.kind.refused_count:
                     self.tokens -= 1.0
                 low, high = self.plan.kind.wait_ms
-                rate = self.plan.per_s * self.share(now_s)
+                rate = self.plan.per_s * self.capacity_share(now_s)
                 return self._refusal(max(self.rng.uniform(low, high) / 1000, (1 - self.tokens) / rate))
             self.tokens -= 1.0
         if self.running < self.plan.servers:
             self.running += 1
-            return self.takes(job, now_s)
+            return self.service_time_s(job, now_s)
         if len(self.queue) >= self.plan.queue:
             return Refusal()
         self.queue.append(job)
         return None
 
-    def takes(self, job: Job, now_s: float) -> float:
+    def service_time_s(self, job: Job, now_s: float) -> float:
         """How long a job runs: its own work at this endpoint's pace, slower while it is slow or cold."""
-        return job.work_s * self.plan.pace * self.slow / max(0.05, self.share(now_s))
+        return (
+            job.work_s * self.plan.service_time_factor * self.slowdown / max(0.05, self.capacity_share(now_s))
+        )
 
-    def done(self, now_s: float) -> tuple[Job, float] | None:
+    def finish_job(self, now_s: float) -> tuple[Job, float] | None:
         """A job has ended: the next one in line and how long it takes."""
         if not self.queue:
             self.running = max(0, self.running - 1)
             return None
         job = self.queue.popleft()
-        return job, self.takes(job, now_s)
+        return job, self.service_time_s(job, now_s)
 
-    def report(self, now_s: float) -> tuple[float, float] | None:
+    def load_report(self, now_s: float) -> tuple[float, float] | None:
         """The load report: share of the limit that is left, and the limit in calls a second."""
         if not self.plan.kind.limited:
             return None
         self._refill(now_s)
-        rate = self.plan.per_s * self.share(now_s)
+        rate = self.plan.per_s * self.capacity_share(now_s)
         noise = self.rng.uniform(0.95, 1.05)
         return min(1.0, max(0.0, self.tokens / max(1.0, rate * BURST_S))), rate * noise
 
 
-def work_of(works: Sequence[float], rng: random.Random) -> float:
+def call_work_s(works: Sequence[float], rng: random.Random) -> float:
     """What a call takes: the longest of its messages whole, of the others a part; each spread by exp."""
     drawn = sorted((rng.expovariate(1 / work) for work in works), reverse=True)
     return drawn[0] + ITEM_COST * sum(drawn[1:])
 
 
-def effects(memory: KeyMemory, keys: Iterable[tuple[str, float]], now_s: float) -> list[bool]:
+def first_uses(memory: KeyMemory, keys: Iterable[tuple[str, float]], now_s: float) -> list[bool]:
     """For each message with its key (empty: none) and window, whether it takes effect now."""
-    return [not key or memory.first(key, window_s, now_s) for key, window_s in keys]
+    return [not key or memory.add_if_new(key, window_s, now_s) for key, window_s in keys]
--- a/mallowlug/rig/world/hosts.py
+++ b/mallowlug/rig/world/hosts.py
@@ -9,10 +9,10 @@
 
 from mallowlug.rig.judge import record as rec
 from mallowlug.rig.world.draw import HostPlan
-from mallowlug.rig.world.host_model import HostModel, Job, KeyMemory, Refusal, effects, work_of
-from mallowlug.rig.world.httpd import Connection, Place, Request, Server
+from mallowlug.rig.world.host_model import HostModel, Job, KeyMemory, Refusal, call_work_s, first_uses
+from mallowlug.rig.world.httpd import AddressAllocator, Connection, Request, Server
 
-NOISE = b"\x00\x13\xff not an answer \x80" * 8
+NOT_HTTP = b"\x00\x13\xff not an answer \x80" * 8
 
 
 class BadCallError(ValueError):
@@ -20,7 +20,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Item:
+class CallMessage:
     """One message in a call."""
 
     id: str
@@ -28,41 +28,45 @@
     size: int
 
 
-def items_of(request: Request, most: int) -> list[Item]:
+def parse_messages(request: Request, max_messages: int) -> list[CallMessage]:
     """The messages in a call; ``BadCallError`` where it cannot be read."""
     if request.method != "POST":
         raise BadCallError(f"method {request.method}")
     if request.target == "/hook":
         if not (ref := request.headers.get("x-txn", "")):
             raise BadCallError("no X-Txn")
-        return [Item(ref, request.headers.get("idempotency-key", ""), len(request.body))]
+        return [CallMessage(ref, request.headers.get("idempotency-key", ""), len(request.body))]
     if request.target != "/hook/batch":
         raise BadCallError(f"target {request.target}")
-    items, rest = list[Item](), request.body
+    items, rest = list[CallMessage](), request.body
     while rest:
         line, _, rest = rest.partition(b"\r\n")
-        words = line.split(b" ")
-        if len(words) != 3 or not words[2].isdigit() or rest[int(words[2]) : int(words[2]) + 2] != b"\r\n":
+        fields = line.split(b" ")
+        if (
+            len(fields) != 3
+            or not fields[2].isdigit()
+            or rest[int(fields[2]) : int(fields[2]) + 2] != b"\r\n"
+        ):
             raise BadCallError("a batch that cannot be read")
-        ref, key, size = words[0].decode(), words[1].decode(), int(words[2])
-        items.append(Item(ref, "" if key == "-" else key, size))
+        ref, key, size = fields[0].decode(), fields[1].decode(), int(fields[2])
+        items.append(CallMessage(ref, "" if key == "-" else key, size))
         rest = rest[size + 2 :]
     if not items or len({item.id for item in items}) < len(items):
         raise BadCallError("a batch that is empty or names a message twice")
-    if len(items) > most:
-        raise BadCallError(f"{len(items)} messages in a call for {most}")
+    if len(items) > max_messages:
+        raise BadCallError(f"{len(items)} messages in a call for {max_messages}")
     return items
 
 
 @dataclass(slots=True, eq=False)
-class Out:
+class CallInProgress:
     """A call that has come and has no answer yet."""
 
     number: int
     connection: Connection
-    items: list[Item]
+    messages: list[CallMessage]
     job: Job
-    fresh: bool
+    new_connection: bool
     began_s: float
 
 
@@ -75,231 +79,242 @@
     by_zone: bool = False
 
 
-class Book:
+class HostContext:
     """What all endpoints share: the record, the messages that were asked for, numbers, spoilt answers."""
 
-    def __init__(self, writer: rec.Writer, classes: dict[str, ClassWork], place: Place | None = None) -> None:
-        self.writer, self.place = writer, place or Place()
+    def __init__(
+        self, writer: rec.Writer, classes: dict[str, ClassWork], place: AddressAllocator | None = None
+    ) -> None:
+        self.writer, self.addresses = writer, place or AddressAllocator()
         self.classes = classes  # by name
-        self.asked: dict[str, str] = {}  # by id: its class
-        self.number = 0
-        self.tails: dict[str, tuple[float, float]] = {}  # by class: share, and factor of the work
-        self.spoil = 0.0  # share of answers that come spoilt
+        self.submitted_classes: dict[str, str] = {}  # by id: its class
+        self.last_call_number = 0
+        self.heavy_tails: dict[str, tuple[float, float]] = {}  # by class: share, and factor of the work
+        self.corrupt_share = 0.0  # share of answers that come spoilt
         self.bad_calls = 0
 
-    def bad_call(self, detail: str) -> None:
+    def record_bad_call(self, detail: str) -> None:
         """Note a call that the protocol does not know."""
         self.bad_calls += 1
         self.writer.add(rec.Mark(self.writer.now, "bad call", detail))
 
-    def next(self) -> int:
+    def next_call_number(self) -> int:
         """A number for a call."""
-        self.number += 1
-        return self.number
+        self.last_call_number += 1
+        return self.last_call_number
 
 
 class Host(Server):
     """One endpoint."""
 
-    def __init__(self, plan: HostPlan, book: Book, memory: KeyMemory, idle_s: float, seed: str) -> None:
-        super().__init__(book.place)
-        self.plan, self.book, self.memory, self.idle_s = plan, book, memory, idle_s
+    def __init__(
+        self, plan: HostPlan, book: HostContext, memory: KeyMemory, idle_s: float, seed: str
+    ) -> None:
+        super().__init__(book.addresses)
+        self.plan, self.context, self.memory, self.idle_s = plan, book, memory, idle_s
         self.rng = random.Random(seed)
         self.model = HostModel(plan, self.rng)
-        self.out: dict[Connection, Out] = {}
-        self.told: dict[Connection, int] = {}  # by connection: its last call, if that was told to wait
-        self._line: dict[int, Out] = {}  # by number: calls that wait for a server
-        self._life = 0  # outages so far: what was begun before one is not answered after it
-        self._idle: dict[Connection, asyncio.TimerHandle] = {}
-
-    def joined(self, connection: Connection) -> None:
-        self._rest(connection)
-
-    def _rest(self, connection: Connection) -> None:
+        self.calls_in_progress: dict[Connection, CallInProgress] = {}
+        self.retry_after_calls: dict[
+            Connection, int
+        ] = {}  # by connection: its last call, if that was told to wait
+        self._queued_calls: dict[int, CallInProgress] = {}  # by number: calls that wait for a server
+        self._outage_number = 0  # outages so far: what was begun before one is not answered after it
+        self._idle_timers: dict[Connection, asyncio.TimerHandle] = {}
+
+    def connection_opened(self, connection: Connection) -> None:
+        self._start_idle_timer(connection)
+
+    def _start_idle_timer(self, connection: Connection) -> None:
         """A connection is idle: it is closed after its time."""
         loop = asyncio.get_running_loop()
-        self._idle[connection] = loop.call_later(self.idle_s, connection.close)
+        self._idle_timers[connection] = loop.call_later(self.idle_s, connection.close)
 
-    def left(self, connection: Connection) -> None:
-        if timer := self._idle.pop(connection, None):
+    def connection_closed(self, connection: Connection) -> None:
+        if timer := self._idle_timers.pop(connection, None):
             timer.cancel()
-        if told := self.told.pop(connection, None):
-            self.book.writer.add(rec.Left(self.book.writer.now, told))
-        if out := self.out.pop(connection, None):
+        if refused_call := self.retry_after_calls.pop(connection, None):
+            self.context.writer.add(rec.Left(self.context.writer.now, refused_call))
+        if call := self.calls_in_progress.pop(connection, None):
             by: Any = "host" if self.model.state in ("refuse", "fallen") else "relay"
-            self.book.writer.add(rec.Gone(self.book.writer.now, out.number, by))
+            self.context.writer.add(rec.Gone(self.context.writer.now, call.number, by))
 
-    def unreadable(self, connection: Connection) -> None:
-        self.book.bad_call(f"{self.plan.name}: no request")
+    def request_malformed(self, connection: Connection) -> None:
+        self.context.record_bad_call(f"{self.plan.name}: no request")
 
-    def asked(self, request: Request) -> None:
+    def request_received(self, request: Request) -> None:
         """A call has come: it is taken in, refused, or taken and never answered."""
-        connection, book = request.connection, self.book
-        self.told.pop(connection, None)  # whoever calls on has heard
-        if timer := self._idle.pop(connection, None):
+        connection, context = request.connection, self.context
+        self.retry_after_calls.pop(connection, None)  # whoever calls on has heard
+        if timer := self._idle_timers.pop(connection, None):
             timer.cancel()
         try:
-            items = items_of(request, self.plan.kind.batch)
-            unknown = [item.id for item in items if item.id not in book.asked]
+            messages = parse_messages(request, self.plan.kind.batch)
+            unknown = [item.id for item in messages if item.id not in context.submitted_classes]
             if unknown:
                 raise BadCallError(f"nobody handed in {unknown[0]}")
         except (BadCallError, UnicodeDecodeError) as error:
-            book.bad_call(f"{self.plan.name}: {error}")
+            context.record_bad_call(f"{self.plan.name}: {error}")
             connection.answer(400)
-            self._rest(connection)
+            self._start_idle_timer(connection)
             return
-        now_s, number = self.now(), book.next()
-        came_us = book.writer.now
-        began_us = came_us - round((request.came_s - request.began_s) * 1e6)
-        job = Job(number, len(items), work_of([self._work_s(item) for item in items], self.rng))
-        out = Out(number, connection, items, job, connection.requests == 1, request.began_s)
-        ids = [item.id for item in items]
-        book.writer.add(rec.Call(came_us, number, self.plan.name, ids, began_us, connection.number))
-        self.out[connection] = out
-        if self.model.falls(len(items), now_s):
-            book.writer.add(rec.Life(book.writer.now, self.plan.name, "fell"))
-            self._life += 1
-            self.refuse()
+        now_s, number = self.now(), context.next_call_number()
+        received_us = context.writer.now
+        began_us = received_us - round((request.last_byte_s - request.first_byte_s) * 1e6)
+        job = Job(number, len(messages), call_work_s([self._work_s(item) for item in messages], self.rng))
+        call = CallInProgress(
+            number, connection, messages, job, connection.requests == 1, request.first_byte_s
+        )
+        ids = [item.id for item in messages]
+        context.writer.add(rec.Call(received_us, number, self.plan.name, ids, began_us, connection.number))
+        self.calls_in_progress[connection] = call
+        if self.model.collapses_on_arrival(len(messages), now_s):
+            context.writer.add(rec.Life(context.writer.now, self.plan.name, "fell"))
+            self._outage_number += 1
+            self.stop_listening()
             return
         if self.model.state == "silent":
-            self._ran(out)
+            self._record_execution(call)
             return
-        offered = self.model.offer(job, now_s)
-        if isinstance(offered, Refusal):
-            self._later(self.plan.network_s, self._refused, out, offered)
-        elif offered is None:
-            self._line[number] = out
+        outcome = self.model.offer(job, now_s)
+        if isinstance(outcome, Refusal):
+            self._schedule(self.plan.network_s, self._answer_refused, call, outcome)
+        elif outcome is None:
+            self._queued_calls[number] = call
         else:
-            self._start(out, offered)
+            self._start_call(call, outcome)
 
-    def _work_s(self, item: Item) -> float:
-        cls = self.book.asked[item.id]
-        work_s, (share, factor) = self.book.classes[cls].work_s, self.book.tails.get(cls, (0.0, 1.0))
+    def _work_s(self, item: CallMessage) -> float:
+        cls = self.context.submitted_classes[item.id]
+        work_s, (share, factor) = (
+            self.context.classes[cls].work_s,
+            self.context.heavy_tails.get(cls, (0.0, 1.0)),
+        )
         return work_s * (factor if self.rng.random() < share else 1.0)
 
-    def _later(self, delay_s: float, then: Any, *args: object) -> None:
+    def _schedule(self, delay_s: float, then: Any, *args: object) -> None:
         """Do something later, unless an outage comes first."""
-        life = self._life
+        life = self._outage_number
 
         def run() -> None:
-            if life == self._life:
+            if life == self._outage_number:
                 then(*args)
 
         asyncio.get_running_loop().call_later(delay_s, run)
 
-    def _start(self, out: Out, takes_s: float) -> None:
-        handshake_s = self.plan.handshake_s if out.fresh else 0.0
-        self._later(takes_s + handshake_s + self.plan.network_s, self._done, out)
+    def _start_call(self, call: CallInProgress, service_s: float) -> None:
+        handshake_s = self.plan.handshake_s if call.new_connection else 0.0
+        self._schedule(service_s + handshake_s + self.plan.network_s, self._finish_call, call)
 
-    def _done(self, out: Out) -> None:
+    def _finish_call(self, call: CallInProgress) -> None:
         """A call's work is done, whether or not anybody still waits for it."""
-        following = self.model.done(self.now())
-        if following is not None:
-            job, takes_s = following
-            self._start(self._line.pop(job.call), takes_s)
+        next_job = self.model.finish_job(self.now())
+        if next_job is not None:
+            job, service_s = next_job
+            self._start_call(self._queued_calls.pop(job.call), service_s)
         failed = self.rng.random() < self.plan.kind.error_rate
-        self._ran(out)
-        if self.out.get(out.connection) is not out or not out.connection.open:
+        self._record_execution(call)
+        if self.calls_in_progress.get(call.connection) is not call or not call.connection.is_open:
             return
-        del self.out[out.connection]
-        if self.rng.random() < self.book.spoil:
-            self._spoilt(out)
+        del self.calls_in_progress[call.connection]
+        if self.rng.random() < self.context.corrupt_share:
+            self._answer_corrupt(call)
         elif failed:
-            self._answer(out, 500, "error")
+            self._answer(call, 500, "error")
         else:
-            self._answer(out, 200, "delivered")
-        self._rest(out.connection)
+            self._answer(call, 200, "delivered")
+        self._start_idle_timer(call.connection)
 
-    def _ran(self, out: Out) -> None:
+    def _record_execution(self, call: CallInProgress) -> None:
         """Its messages have run; a key that is remembered has no effect again.
 
         The window binds when a call is sent, so a key counts by when its call began, however late it ends.
         """
-        writer = self.book.writer
-        keys = [self._remembered(item) for item in out.items]
-        for item, effect in zip(out.items, effects(self.memory, keys, out.began_s), strict=True):
-            writer.add(rec.Ran(writer.now, out.number, self.plan.name, item.id, effect))
+        writer = self.context.writer
+        keys = [self._deduplication_key(item) for item in call.messages]
+        for item, effect in zip(call.messages, first_uses(self.memory, keys, call.began_s), strict=True):
+            writer.add(rec.Ran(writer.now, call.number, self.plan.name, item.id, effect))
 
-    def _remembered(self, item: Item) -> tuple[str, float]:
+    def _deduplication_key(self, item: CallMessage) -> tuple[str, float]:
         """The key of a message as its destination remembers it (empty: none), and for how long."""
-        cls = self.book.classes[self.book.asked[item.id]]
+        cls = self.context.classes[self.context.submitted_classes[item.id]]
         key = f"{self.plan.zone} {item.key}" if item.key and cls.by_zone else item.key
         return key, cls.window_s
 
-    def _headers(self) -> dict[str, str]:
-        report = self.model.report(self.now())
+    def _load_headers(self) -> dict[str, str]:
+        report = self.model.load_report(self.now())
         return {} if report is None else {"X-Pressure": f"x0={report[0]:.3f},x1={report[1]:.3f}"}
 
-    def _answer(self, out: Out, status: int, end: Any) -> None:
+    def _answer(self, call: CallInProgress, status: int, result: Any) -> None:
         body = b""
-        if status == 200 and len(out.items) > 1:
-            body = b"".join(b"%s %s\r\n" % (item.id.encode(), end.encode()) for item in out.items)
-        ends = {item.id: end for item in out.items}
-        self.book.writer.add(rec.Answer(self.book.writer.now, out.number, ends))
-        out.connection.answer(status, self._headers(), body)
-
-    def _refused(self, out: Out, refusal: Refusal) -> None:
-        if self.out.get(out.connection) is not out or not out.connection.open:
+        if status == 200 and len(call.messages) > 1:
+            body = b"".join(b"%s %s\r\n" % (item.id.encode(), result.encode()) for item in call.messages)
+        results = {item.id: result for item in call.messages}
+        self.context.writer.add(rec.Answer(self.context.writer.now, call.number, results))
+        call.connection.answer(status, self._load_headers(), body)
+
+    def _answer_refused(self, call: CallInProgress, refusal: Refusal) -> None:
+        if self.calls_in_progress.get(call.connection) is not call or not call.connection.is_open:
             return
-        del self.out[out.connection]
-        headers, wait_ms = self._headers(), round(refusal.wait_s * 1000)
-        ends: Any = {item.id: "refused" for item in out.items}
-        self.book.writer.add(rec.Answer(self.book.writer.now, out.number, ends, wait_ms * 1000))
+        del self.calls_in_progress[call.connection]
+        headers, wait_ms = self._load_headers(), round(refusal.wait_s * 1000)
+        results: Any = {item.id: "refused" for item in call.messages}
+        self.context.writer.add(rec.Answer(self.context.writer.now, call.number, results, wait_ms * 1000))
         if wait_ms:
-            self.told[out.connection] = out.number
-            out.connection.answer(429, headers | {"X-Retry-In-Ms": str(wait_ms)})
+            self.retry_after_calls[call.connection] = call.number
+            call.connection.answer(429, headers | {"X-Retry-In-Ms": str(wait_ms)})
         else:
-            out.connection.answer(503, headers)
-        self._rest(out.connection)
+            call.connection.answer(503, headers)
+        self._start_idle_timer(call.connection)
 
-    def _spoilt(self, out: Out) -> None:
+    def _answer_corrupt(self, call: CallInProgress) -> None:
         """An answer that cannot be believed, but for a first line with 200 to a call with one message."""
-        how = self.rng.randrange(4)
-        true = how == 0 and len(out.items) == 1
-        ends: Any = {item.id: "delivered" if true else "error" for item in out.items}
-        self.book.writer.add(rec.Answer(self.book.writer.now, out.number, ends, spoilt=True))
-        out.connection.raw(
+        variant = self.rng.randrange(4)
+        readable = variant == 0 and len(call.messages) == 1
+        results: Any = {item.id: "delivered" if readable else "error" for item in call.messages}
+        self.context.writer.add(rec.Answer(self.context.writer.now, call.number, results, spoilt=True))
+        call.connection.write_raw(
             (
-                b"HTTP/1.1 200 OK\r\nContent-Length: 99999\r\n\r\n" + NOISE,
-                NOISE,
+                b"HTTP/1.1 200 OK\r\nContent-Length: 99999\r\n\r\n" + NOT_HTTP,
+                NOT_HTTP,
                 b"HTTP/1.1 503 X\r\nX-Pad: " + b"y" * 20_000,
                 b"HTTP/1.1 5zz\r\n\r\n",
-            )[how]
+            )[variant]
         )
 
-    def strike(self, what: str, size: float, len_s: float) -> bool:
+    def begin_outage(self, kind: str, slowdown: float, duration_s: float) -> bool:
         """An outage begins: ``refuse``, ``silent``, ``slow`` or ``shut``; not where there is one already."""
-        if self.model.state != "up" or self.model.slow != 1.0:
+        if self.model.state != "up" or self.model.slowdown != 1.0:
             return False
-        self.book.writer.add(rec.Life(self.book.writer.now, self.plan.name, "out"))
-        if what == "slow":
-            self.model.slow = size
+        self.context.writer.add(rec.Life(self.context.writer.now, self.plan.name, "out"))
+        if kind == "slow":
+            self.model.slowdown = slowdown
             return True
-        if what == "refuse":
-            self._life += 1
+        if kind == "refuse":
+            self._outage_number += 1
             self.model.state = "refuse"
-            self.refuse()
-        elif what == "silent":
-            self._life += 1
+            self.stop_listening()
+        elif kind == "silent":
+            self._outage_number += 1
             self.model.state = "silent"
-            for out in self.out.values():
-                self._ran(out)
+            for call in self.calls_in_progress.values():
+                self._record_execution(call)
         else:
-            self.model.state, self.model.opens_s = "shut", self.now() + len_s
+            self.model.state, self.model.reopens_s = "shut", self.now() + duration_s
         return True
 
-    async def recover(self) -> None:
+    async def end_outage(self) -> None:
         """The outage is over: it comes back cold, and what hung on it is broken off."""
         if self.model.state == "fallen":
             return
-        refused, emptied = self.model.state == "refuse", self.model.state in ("refuse", "silent")
-        if emptied:
-            self._life += 1
-            self._line.clear()
-            for connection in list(self.out):
+        refused, work_lost = self.model.state == "refuse", self.model.state in ("refuse", "silent")
+        if work_lost:
+            self._outage_number += 1
+            self._queued_calls.clear()
+            for connection in list(self.calls_in_progress):
                 connection.reset()
-        plan, writer = self.plan, self.book.writer
-        self.model.returned(self.now(), emptied)
+        plan, writer = self.plan, self.context.writer
+        self.model.end_outage(self.now(), work_lost)
         writer.add(rec.Life(writer.now, plan.name, "back", plan.cold_from, round(plan.warm_s * 1e6)))
         if refused:
             await self.listen()
--- a/mallowlug/rig/world/httpd.py
+++ b/mallowlug/rig/world/httpd.py
@@ -13,7 +13,7 @@
 
 import h11
 
-MOST_BODY = 4 << 20
+MAX_BODY_BYTES = 4 << 20
 
 
 @dataclass(slots=True, eq=False)
@@ -25,19 +25,19 @@
     target: str
     headers: dict[str, str]
     body: bytes
-    began_s: float
-    came_s: float
+    first_byte_s: float
+    last_byte_s: float
 
 
 class Connection(asyncio.Protocol):
     """One peer's connection, one request at a time, in order."""
 
     def __init__(self, server: Server) -> None:
-        self.number, self.server = next(server.numbers), server
+        self.number, self.server = next(server.connection_numbers), server
         self.transport: asyncio.Transport | None = None
         self.requests = 0  # whole requests so far
-        self._http = h11.Connection(h11.SERVER)
-        self._began_s: float | None = None
+        self._parser = h11.Connection(h11.SERVER)
+        self._first_byte_s: float | None = None
         self._head: h11.Request | None = None
         self._body = bytearray()
         self.streaming = False
@@ -46,39 +46,39 @@
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
         self.server.connections[self] = None
-        self.server.joined(self)
+        self.server.connection_opened(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.server.connections.pop(self, None)
-        self.server.left(self)
+        self.server.connection_closed(self)
 
     def data_received(self, data: bytes) -> None:
-        if self._began_s is None:
-            self._began_s = self.server.now()
+        if self._first_byte_s is None:
+            self._first_byte_s = self.server.now()
         try:
-            self._http.receive_data(data)
-            self._read()
+            self._parser.receive_data(data)
+            self._read_events()
         except h11.RemoteProtocolError:
-            self.server.unreadable(self)
+            self.server.request_malformed(self)
             self.close()
 
-    def _read(self) -> None:
+    def _read_events(self) -> None:
         while True:
-            event = self._http.next_event()
+            event = self._parser.next_event()
             if isinstance(event, h11.Request):
                 self._head = event
             elif isinstance(event, h11.Data):
                 self._body += event.data
-                if len(self._body) > MOST_BODY:
+                if len(self._body) > MAX_BODY_BYTES:
                     raise h11.RemoteProtocolError("a body without end")
             elif isinstance(event, h11.EndOfMessage):
-                self._whole()
+                self._finish_request()
             else:  # NEED_DATA, PAUSED or ConnectionClosed
                 return
 
-    def _whole(self) -> None:
+    def _finish_request(self) -> None:
         assert self._head is not None
-        assert self._began_s is not None
+        assert self._first_byte_s is not None
         self.requests += 1
         request = Request(
             self,
@@ -86,48 +86,48 @@
             self._head.target.decode(),
             {name.decode(): value.decode("latin-1") for name, value in self._head.headers},
             bytes(self._body),
-            self._began_s,
+            self._first_byte_s,
             self.server.now(),
         )
         self._body.clear()
-        self._began_s = None
-        self.server.asked(request)
+        self._first_byte_s = None
+        self.server.request_received(request)
 
     @property
-    def open(self) -> bool:
+    def is_open(self) -> bool:
         """Whether something can still be written."""
         return self.transport is not None and not self.transport.is_closing()
 
     def answer(self, status: int, headers: dict[str, str] | None = None, body: bytes = b"") -> None:
         """Write a whole answer; the connection is ready for the next request."""
-        told = [*(headers or {}).items()]
+        header_list = [*(headers or {}).items()]
         if status != 204:
-            told.append(("Content-Length", str(len(body))))
-        data = self._http.send(h11.Response(status_code=status, headers=told, reason=b"X")) or b""
+            header_list.append(("Content-Length", str(len(body))))
+        data = self._parser.send(h11.Response(status_code=status, headers=header_list, reason=b"X")) or b""
         if body:
-            data += self._http.send(h11.Data(data=body)) or b""
-        data += self._http.send(h11.EndOfMessage()) or b""
-        self.raw(data)
-        if self._http.our_state is h11.DONE:
-            self._http.start_next_cycle()
-            self._read()
+            data += self._parser.send(h11.Data(data=body)) or b""
+        data += self._parser.send(h11.EndOfMessage()) or b""
+        self.write_raw(data)
+        if self._parser.our_state is h11.DONE:
+            self._parser.start_next_cycle()
+            self._read_events()
         else:
             self.close()
 
-    def stream(self) -> None:
+    def start_stream(self) -> None:
         """Begin an answer without a length: chunks follow by ``chunk``."""
         self.streaming = True
         headers = [("Transfer-Encoding", "chunked")]
-        self.raw(self._http.send(h11.Response(status_code=200, headers=headers, reason=b"OK")) or b"")
+        self.write_raw(self._parser.send(h11.Response(status_code=200, headers=headers, reason=b"OK")) or b"")
 
-    def chunk(self, data: bytes) -> None:
+    def send_chunk(self, data: bytes) -> None:
         """One chunk of a streamed answer."""
-        if self.open:
-            self.raw(self._http.send(h11.Data(data=data)) or b"")
+        if self.is_open:
+            self.write_raw(self._parser.send(h11.Data(data=data)) or b"")
 
-    def raw(self, data: bytes) -> None:
+    def write_raw(self, data: bytes) -> None:
         """Write bytes as they are."""
-        if self.open:
+        if self.is_open:
             assert self.transport is not None
             self.transport.write(data)
 
@@ -146,27 +146,27 @@
         self.transport.abort()
 
 
-def loopback() -> str:
+def random_loopback() -> str:
     """A loopback address of one's own: on 127.0.0.1 some connection may hold a port between two listeners."""
     return "127." + ".".join(str(secrets.randbelow(253) + 1) for _ in range(3))
 
 
 @dataclass(slots=True)
-class Place:
+class AddressAllocator:
     """Where a run's stand-ins are: the addresses that they get (port 0: a free one), and the numbers of their
     connections.
     """
 
-    address: Callable[[], tuple[str, int]] = lambda: (loopback(), 0)
-    numbers: Iterator[int] = field(default_factory=lambda: itertools.count(1))
+    allocate: Callable[[], tuple[str, int]] = lambda: (random_loopback(), 0)
+    connection_numbers: Iterator[int] = field(default_factory=lambda: itertools.count(1))
 
 
 class Server:
     """Listens on an address of its own; what is done with requests is a subclass's."""
 
-    def __init__(self, place: Place) -> None:
+    def __init__(self, place: AddressAllocator) -> None:
         self.now = asyncio.get_running_loop().time
-        self.address, self.numbers = place.address(), place.numbers
+        self.address, self.connection_numbers = place.allocate(), place.connection_numbers
         self.connections: dict[Connection, None] = {}  # in order, so that what is broken off goes in order
         self._listener: asyncio.Server | None = None
 
@@ -176,7 +176,7 @@
         self._listener = await loop.create_server(lambda: Connection(self), host, port, backlog=512)
         self.address = self._listener.sockets[0].getsockname()[:2]
 
-    def refuse(self) -> None:
+    def stop_listening(self) -> None:
         """Take no new connection and break those that are open."""
         if self._listener is not None:
             self._listener.close()
@@ -184,15 +184,15 @@
         for connection in list(self.connections):
             connection.reset()
 
-    def joined(self, connection: Connection) -> None:
+    def connection_opened(self, connection: Connection) -> None:
         """A connection is new."""
 
-    def left(self, connection: Connection) -> None:
+    def connection_closed(self, connection: Connection) -> None:
         """A connection is gone."""
 
-    def unreadable(self, connection: Connection) -> None:
+    def request_malformed(self, connection: Connection) -> None:
         """A peer sent what is no request."""
 
-    def asked(self, request: Request) -> None:
+    def request_received(self, request: Request) -> None:
         """A whole request has come."""
         raise NotImplementedError
--- a/mallowlug/rig/world/platform.py
+++ b/mallowlug/rig/world/platform.py
@@ -11,147 +11,151 @@
 from typing import Any
 
 from mallowlug.rig.judge import record as rec
-from mallowlug.rig.world.httpd import Connection, Place, Request, Server
+from mallowlug.rig.world.httpd import AddressAllocator, Connection, Request, Server
 
-BEAT_S = 1.5  # s between empty lines while nothing changes
-STATES: dict[str, Any] = {"ready": "SERVING", "draining": "DRAINING", "gone": "DELETED"}
+HEARTBEAT_S = 1.5  # s between empty lines while nothing changes
+HEALTH_BY_STATE: dict[str, Any] = {"ready": "SERVING", "draining": "DRAINING", "gone": "DELETED"}
 
 
-class Listing:
+class EndpointDirectory:
     """The list of endpoints in its versions: the truth, and what watches have been told so far."""
 
     def __init__(self) -> None:
         self.seq = 0
         self.entries: dict[str, dict[str, Any]] = {}
 
-    def put(self, host: str, state: str, **fields: Any) -> dict[str, Any]:
+    def set_state(self, host: str, state: str, **fields: Any) -> dict[str, Any]:
         """A new version with one change; the entry as it is told."""
         self.seq += 1
         entry = self.entries.get(host, {"host": host, "share": 1.0, "born_ms": 0})
-        entry = entry | fields | {"health": STATES[state]}
+        entry = entry | fields | {"health": HEALTH_BY_STATE[state]}
         if state == "gone":
             self.entries.pop(host, None)
         else:
             self.entries[host] = entry
         return entry
 
-    def whole(self) -> dict[str, Any]:
+    def snapshot(self) -> dict[str, Any]:
         """The list as it stands."""
         return {"seq": self.seq, "whole": True, "hosts": list(self.entries.values())}
 
 
-class Discovery(Server):
+class DiscoveryServer(Server):
     """Discovery and notices at one relay's address."""
 
     def __init__(
         self,
         relay: str,
-        listing: Listing,
+        listing: EndpointDirectory,
         writer: rec.Writer,
         ended: Callable[[rec.Notice], None],
-        place: Place,
+        place: AddressAllocator,
     ) -> None:
         super().__init__(place)
-        self.relay, self.listing, self.writer, self.ended = relay, listing, writer, ended
+        self.relay, self.directory, self.writer, self.on_notice = relay, listing, writer, ended
         self.down = False
-        self.dials: Callable[[str], str] = str  # by endpoint: where this relay reaches it
+        self.dial_address: Callable[[str], str] = str  # by endpoint: where this relay reaches it
         self.watches: dict[Connection, None] = {}
-        self.known = {"seq": 0, "whole": True, "hosts": []}  # told last, for its relay's next start
-        self._beat: asyncio.TimerHandle | None = None
-        self._muted = False
-        self._unsaid: list[tuple[str, Any]] = []  # written while nothing passes
+        self.last_sent = {"seq": 0, "whole": True, "hosts": []}  # told last, for its relay's next start
+        self._heartbeat_timer: asyncio.TimerHandle | None = None
+        self._blocked = False
+        self._withheld: list[tuple[str, Any]] = []  # written while nothing passes
 
-    def mute(self, muted: bool) -> None:
+    def set_blocked(self, blocked: bool) -> None:
         """Between it and the relay nothing passes: what is written now is not told."""
-        if self._muted != muted and self.watches:
-            self.writer.add(rec.Watch(self.writer.now, self.relay, not muted))
-        self._muted = muted
-        if not muted:  # what was written meanwhile arrives now, if its connection has lasted
-            for host, state in self._unsaid:
+        if self._blocked != blocked and self.watches:
+            self.writer.add(rec.Watch(self.writer.now, self.relay, not blocked))
+        self._blocked = blocked
+        if not blocked:  # what was written meanwhile arrives now, if its connection has lasted
+            for host, state in self._withheld:
                 self.writer.add(rec.Told(self.writer.now, self.relay, host, state))
-            self._unsaid.clear()
+            self._withheld.clear()
 
     async def listen(self) -> None:
         """Listen, and keep watches from falling silent."""
         await super().listen()
-        self._beats()
+        self._send_heartbeats()
 
-    def _beats(self) -> None:
-        self._beat = asyncio.get_running_loop().call_later(BEAT_S, self._beats)
+    def _send_heartbeats(self) -> None:
+        self._heartbeat_timer = asyncio.get_running_loop().call_later(HEARTBEAT_S, self._send_heartbeats)
         for connection in self.watches:
-            connection.chunk(b"\n")
+            connection.send_chunk(b"\n")
 
     def stop(self) -> None:
         """Be gone."""
-        if self._beat is not None:
-            self._beat.cancel()
-        self.refuse()
+        if self._heartbeat_timer is not None:
+            self._heartbeat_timer.cancel()
+        self.stop_listening()
 
-    def left(self, connection: Connection) -> None:
+    def connection_closed(self, connection: Connection) -> None:
         if connection in self.watches:
             self.watches.pop(connection, None)
             if not self.watches:
-                self._unsaid.clear()
+                self._withheld.clear()
                 self.writer.add(rec.Watch(self.writer.now, self.relay, False))
 
-    def asked(self, request: Request) -> None:
+    def request_received(self, request: Request) -> None:
         """A watch, or notices; notices are taken also while discovery is down."""
         if request.method == "POST" and request.target == "/v1/notices":
-            self._notices(request)
+            self._receive_notices(request)
         elif request.method != "GET" or not request.target.startswith("/discovery/hosts"):
             request.connection.answer(404)
         elif self.down:
             request.connection.answer(503)
         elif "watch=1" not in request.target:
-            request.connection.answer(200, {}, json.dumps(self.dialed(self.listing.whole())).encode())
+            request.connection.answer(
+                200, {}, json.dumps(self.with_dial_addresses(self.directory.snapshot())).encode()
+            )
         else:
-            request.connection.stream()
+            request.connection.start_stream()
             if not self.watches:
                 self.writer.add(rec.Watch(self.writer.now, self.relay, True))
             self.watches[request.connection] = None
-            self._tell(request.connection, self.listing.whole())
+            self._send_update(request.connection, self.directory.snapshot())
 
-    def _notices(self, request: Request) -> None:
+    def _receive_notices(self, request: Request) -> None:
         notices = list[rec.Notice]()
         try:
             for line in request.body.splitlines():
-                told = json.loads(line)
-                wait_us = int(told.get("wait_ms", 0)) * 1000
-                if told["result"] not in ("dead", "bounced"):
-                    raise ValueError(told["result"])
-                notices.append(rec.Notice(self.writer.now, self.relay, told["ref"], told["result"], wait_us))
+                fields = json.loads(line)
+                wait_us = int(fields.get("wait_ms", 0)) * 1000
+                if fields["result"] not in ("dead", "bounced"):
+                    raise ValueError(fields["result"])
+                notices.append(
+                    rec.Notice(self.writer.now, self.relay, fields["ref"], fields["result"], wait_us)
+                )
         except (ValueError, KeyError, TypeError) as error:
             self.writer.add(rec.Mark(self.writer.now, "bad notice", repr(error)))
             request.connection.answer(400)
             return
         for notice in notices:
             self.writer.add(notice)
-            self.ended(notice)
+            self.on_notice(notice)
         request.connection.answer(204)
 
-    def dialed(self, news: dict[str, Any]) -> dict[str, Any]:
+    def with_dial_addresses(self, update: dict[str, Any]) -> dict[str, Any]:
         """News with the addresses under which this relay reaches the endpoints."""
-        return news | {"hosts": [e | {"dial": self.dials(e["host"])} for e in news["hosts"]]}
-
-    def _tell(self, connection: Connection, news: dict[str, Any]) -> None:
-        news = self.dialed(news)
-        states: dict[str, Any] = {word: state for state, word in STATES.items()}
-        for entry in news["hosts"]:
-            state = states[entry["health"]]
-            if self._muted and state != "ready":
-                self._unsaid.append((entry["host"], state))
+        return update | {"hosts": [e | {"dial": self.dial_address(e["host"])} for e in update["hosts"]]}
+
+    def _send_update(self, connection: Connection, update: dict[str, Any]) -> None:
+        update = self.with_dial_addresses(update)
+        state_by_health: dict[str, Any] = {health: state for state, health in HEALTH_BY_STATE.items()}
+        for entry in update["hosts"]:
+            state = state_by_health[entry["health"]]
+            if self._blocked and state != "ready":
+                self._withheld.append((entry["host"], state))
             else:  # a link that is cut after some bytes may have let it pass: whoever heard it may send
-                self._unsaid = [said for said in self._unsaid if said[0] != entry["host"]]
+                self._withheld = [withheld for withheld in self._withheld if withheld[0] != entry["host"]]
                 self.writer.add(rec.Told(self.writer.now, self.relay, entry["host"], state))
-        connection.chunk(json.dumps(news).encode() + b"\n")
-        self.known = self.dialed(self.listing.whole())
+        connection.send_chunk(json.dumps(update).encode() + b"\n")
+        self.last_sent = self.with_dial_addresses(self.directory.snapshot())
 
-    def change(self, entry: dict[str, Any], seq: int) -> None:
+    def send_change(self, entry: dict[str, Any], seq: int) -> None:
         """Tell the watches what changed."""
         for connection in self.watches:
-            self._tell(connection, {"seq": seq, "whole": False, "hosts": [entry]})
+            self._send_update(connection, {"seq": seq, "whole": False, "hosts": [entry]})
 
-    def lose(self) -> None:
+    def go_down(self) -> None:
         """Discovery goes down: watches end."""
         self.down = True
         for connection in list(self.watches):
@@ -166,54 +170,59 @@
         writer: rec.Writer,
         late_s: tuple[float, float],
         rng: random.Random,
-        place: Place | None = None,
+        place: AddressAllocator | None = None,
     ) -> None:
-        self.writer, self._late_s, self._rng, self._place = writer, late_s, rng, place or Place()
-        self.listing = Listing()
-        self.faces: dict[str, Discovery] = {}  # by relay
-        self.formers: list[Discovery] = []
-        self.ended: Callable[[rec.Notice], None] = lambda _notice: None
-        self.dial: Callable[[str, str], str] = lambda _relay, host: host
-
-    async def face(self, relay: str) -> Discovery:
+        self.writer, self._delay_range_s, self._rng, self._addresses = (
+            writer,
+            late_s,
+            rng,
+            place or AddressAllocator(),
+        )
+        self.directory = EndpointDirectory()
+        self.servers: dict[str, DiscoveryServer] = {}  # by relay
+        self.former_servers: list[DiscoveryServer] = []
+        self.on_notice: Callable[[rec.Notice], None] = lambda _notice: None
+        self.dial_address: Callable[[str, str], str] = lambda _relay, host: host
+
+    async def add_server(self, relay: str) -> DiscoveryServer:
         """Discovery at a new address for a relay; one that it had before stays until it is stopped."""
-        face = Discovery(relay, self.listing, self.writer, self._ended, self._place)
-        face.dials = lambda host: self.dial(relay, host)
-        if former := self.faces.get(relay):
-            face.known, face.down = former.known, former.down
-            self.formers.append(former)
-        self.faces[relay] = face
-        await face.listen()
-        return face
-
-    def _ended(self, notice: rec.Notice) -> None:
-        self.ended(notice)
-
-    def put(self, host: str, state: Any, late: bool = True, **fields: Any) -> None:
+        server = DiscoveryServer(relay, self.directory, self.writer, self._forward_notice, self._addresses)
+        server.dial_address = lambda host: self.dial_address(relay, host)
+        if previous := self.servers.get(relay):
+            server.last_sent, server.down = previous.last_sent, previous.down
+            self.former_servers.append(previous)
+        self.servers[relay] = server
+        await server.listen()
+        return server
+
+    def _forward_notice(self, notice: rec.Notice) -> None:
+        self.on_notice(notice)
+
+    def set_state(self, host: str, state: Any, delayed: bool = True, **fields: Any) -> None:
         """The truth changes now; the list says so some time later."""
         self.writer.add(rec.Listed(self.writer.now, host, state))
-        if late:
-            delay_s = self._rng.uniform(*self._late_s)
-            asyncio.get_running_loop().call_later(delay_s, self._put, host, state, fields)
+        if delayed:
+            delay_s = self._rng.uniform(*self._delay_range_s)
+            asyncio.get_running_loop().call_later(delay_s, self.publish_state, host, state, fields)
         else:
-            self._put(host, state, fields)
+            self.publish_state(host, state, fields)
 
-    def _put(self, host: str, state: str, fields: dict[str, Any]) -> None:
-        entry = self.listing.put(host, state, **fields)
-        for face in [*self.faces.values(), *self.formers]:
-            face.change(entry, self.listing.seq)
+    def publish_state(self, host: str, state: str, fields: dict[str, Any]) -> None:
+        entry = self.directory.set_state(host, state, **fields)
+        for server in [*self.servers.values(), *self.former_servers]:
+            server.send_change(entry, self.directory.seq)
 
-    def lose(self) -> None:
+    def go_down(self) -> None:
         """Discovery goes down everywhere."""
-        for face in self.faces.values():
-            face.lose()
+        for server in self.servers.values():
+            server.go_down()
 
-    def regain(self) -> None:
+    def come_back(self) -> None:
         """Discovery is back."""
-        for face in self.faces.values():
-            face.down = False
+        for server in self.servers.values():
+            server.down = False
 
     def stop(self) -> None:
         """Be gone."""
-        for face in [*self.faces.values(), *self.formers]:
-            face.stop()
+        for server in [*self.servers.values(), *self.former_servers]:
+            server.stop()
--- a/mallowlug/rig/world/proxy.py
+++ b/mallowlug/rig/world/proxy.py
@@ -14,14 +14,14 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from mallowlug.rig.world.httpd import Place
+from mallowlug.rig.world.httpd import AddressAllocator
 
-CHUNK = 16 * 1024
-DRIP_S = 0.002  # s between bytes
+READ_BYTES = 16 * 1024
+DRIP_INTERVAL_S = 0.002  # s between bytes
 
 
 @dataclass(frozen=True, slots=True)
-class Fault:
+class LinkFault:
     """What happens to bytes from now on; as it stands here, nothing.
 
     ``cut_after``: both sides are reset once so many bytes have passed one way (-1: never). ``silent``:
@@ -34,10 +34,10 @@
     cut_after: int = -1
 
 
-CLEAR = Fault()
+NO_FAULT = LinkFault()
 
 
-def broken_off(writer: asyncio.StreamWriter) -> None:
+def reset_connection(writer: asyncio.StreamWriter) -> None:
     """Reset a connection; one that is closed already stays as it is."""
     with contextlib.suppress(OSError):
         sock = writer.get_extra_info("socket")
@@ -45,15 +45,15 @@
     writer.transport.abort()
 
 
-class Proxy:
+class FaultProxy:
     """Listens for one side and connects to the other for each of its connections."""
 
-    def __init__(self, target: Callable[[], tuple[str, int]], place: Place | None = None) -> None:
+    def __init__(self, target: Callable[[], tuple[str, int]], place: AddressAllocator | None = None) -> None:
         self._target = target
-        self._fault, self._changed = CLEAR, asyncio.Event()
+        self._fault, self._changed = NO_FAULT, asyncio.Event()
         self._server: asyncio.Server | None = None
         self._tasks: dict[asyncio.Task[None], None] = {}
-        self.address = (place or Place()).address()
+        self.address = (place or AddressAllocator()).allocate()
         self.connections = 0
 
     async def listen(self) -> None:
@@ -61,7 +61,7 @@
         self._server = await asyncio.start_server(self._serve, *self.address)
         self.address = self._server.sockets[0].getsockname()[:2]
 
-    def set(self, fault: Fault) -> None:
+    def set_fault(self, fault: LinkFault) -> None:
         """From now on."""
         self._fault = fault
         self._changed.set()
@@ -79,35 +79,39 @@
         task = asyncio.current_task()
         assert task is not None
         self._tasks[task] = None
-        other: asyncio.StreamWriter | None = None
+        target_writer: asyncio.StreamWriter | None = None
         try:
-            far, other = await asyncio.open_connection(*self._target())
+            target_reader, target_writer = await asyncio.open_connection(*self._target())
             async with asyncio.TaskGroup() as group:
-                group.create_task(self._pump(reader, other))
-                group.create_task(self._pump(far, writer))
+                group.create_task(self._forward(reader, target_writer))
+                group.create_task(self._forward(target_reader, writer))
         except* (OSError, asyncio.CancelledError):
             pass
         finally:
             self._tasks.pop(task, None)
-            for side in (writer, other):
+            for side in (writer, target_writer):
                 if side is not None:
-                    broken_off(side)
+                    reset_connection(side)
 
-    async def _pump(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _forward(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         """One direction: a queue of what came and when it is due, so that a delay costs no throughput."""
         queue: asyncio.Queue[tuple[float, bytes]] = asyncio.Queue(64)
         async with asyncio.TaskGroup() as group:
-            group.create_task(self._take(reader, queue))
-            group.create_task(self._give(queue, writer))
+            group.create_task(self._read_side(reader, queue))
+            group.create_task(self._write_side(queue, writer))
 
-    async def _take(self, reader: asyncio.StreamReader, queue: asyncio.Queue[tuple[float, bytes]]) -> None:
+    async def _read_side(
+        self, reader: asyncio.StreamReader, queue: asyncio.Queue[tuple[float, bytes]]
+    ) -> None:
         loop = asyncio.get_running_loop()
-        while data := await reader.read(CHUNK):
+        while data := await reader.read(READ_BYTES):
             await queue.put((loop.time() + self._fault.delay_s, data))
         await queue.put((loop.time() + self._fault.delay_s, b""))
 
-    async def _give(self, queue: asyncio.Queue[tuple[float, bytes]], writer: asyncio.StreamWriter) -> None:
-        loop, passed = asyncio.get_running_loop(), 0
+    async def _write_side(
+        self, queue: asyncio.Queue[tuple[float, bytes]], writer: asyncio.StreamWriter
+    ) -> None:
+        loop, bytes_passed = asyncio.get_running_loop(), 0
         while True:
             due_s, data = await queue.get()
             if (wait_s := due_s - loop.time()) > 0:
@@ -118,18 +122,18 @@
                 if writer.can_write_eof():
                     writer.write_eof()
                 return
-            passed = await self._hand_on(data, writer, passed)
+            bytes_passed = await self._write_with_fault(data, writer, bytes_passed)
 
-    async def _hand_on(self, data: bytes, writer: asyncio.StreamWriter, passed: int) -> int:
+    async def _write_with_fault(self, data: bytes, writer: asyncio.StreamWriter, bytes_passed: int) -> int:
         """Write what is to pass of it; ``OSError`` where the connection is cut here."""
         fault = self._fault
-        left = len(data) if fault.cut_after < 0 else max(0, fault.cut_after - passed)
-        data, cut = data[:left], len(data) > left
+        allowed = len(data) if fault.cut_after < 0 else max(0, fault.cut_after - bytes_passed)
+        data, cut = data[:allowed], len(data) > allowed
         for piece in [data[at : at + 1] for at in range(len(data))] if fault.drip else [data]:
             writer.write(piece)
             await writer.drain()
             if fault.drip:
-                await asyncio.sleep(DRIP_S)
+                await asyncio.sleep(DRIP_INTERVAL_S)
         if cut:
             raise ConnectionResetError("cut")
-        return passed + len(data)
+        return bytes_passed + len(data)
--- a/mallowlug/rig/world/replay.py
+++ b/mallowlug/rig/world/replay.py
@@ -11,25 +11,27 @@
 from mallowlug.rig.world.scenario import Scenario
 
 
-def first_tries(record: rec.Record) -> list[rec.Ask]:
+def first_submissions(record: rec.Record) -> list[rec.Ask]:
     """What clients wanted, each message once; retries are their habits and come by themselves."""
-    found: dict[str, rec.Ask] = {}
+    first_by_id: dict[str, rec.Ask] = {}
     for event in record.events:
         if isinstance(event, rec.Ask) and not event.first:
-            found.setdefault(event.id, event)  # one written once more on a new connection is one message
-    return list(found.values())
+            first_by_id.setdefault(
+                event.id, event
+            )  # one written once more on a new connection is one message
+    return list(first_by_id.values())
 
 
 def traffic_only(record: rec.Record) -> rec.Record:
     """A record of the first tries alone: small enough to be shipped, and replayed like any other."""
-    firsts = first_tries(record)
+    firsts = first_submissions(record)
     end = rec.End(firsts[-1].at if firsts else 0, len(firsts))
     return rec.Record(record.head, [*firsts, end], True)
 
 
-def traffic_of(record: rec.Record) -> list[Arrival]:
+def arrivals_from(record: rec.Record) -> list[Arrival]:
     """The first tries as arrivals, counted from the first of them."""
-    firsts = first_tries(record)
+    firsts = first_submissions(record)
     relays = {name: number for number, name in enumerate(sorted({ask.relay for ask in firsts}))}
     start_us = firsts[0].at if firsts else 0
     return [
@@ -38,7 +40,7 @@
     ]
 
 
-def scenario_of(record: rec.Record) -> Scenario:
+def scenario_from(record: rec.Record) -> Scenario:
     """The world that a record was made in; ``RecordError`` where its head does not hold one."""
     try:
         return Scenario.model_validate(record.head.scenario)
--- a/mallowlug/rig/world/scenario.py
+++ b/mallowlug/rig/world/scenario.py
@@ -14,7 +14,7 @@
 from mallowlug import toml_check
 
 
-def in_order(values: tuple[float, ...]) -> tuple[float, ...]:
+def check_range(values: tuple[float, ...]) -> tuple[float, ...]:
     """A range's low end comes first."""
     if values[0] > values[1]:
         raise ValueError("the low end is above the high one")
@@ -24,7 +24,7 @@
 Range = Annotated[
     tuple[Annotated[float, Field(ge=0)], Annotated[float, Field(ge=0)]],
     Field(strict=False),
-    AfterValidator(in_order),
+    AfterValidator(check_range),
 ]
 Share = Annotated[float, Field(ge=0, le=1)]
 
@@ -166,12 +166,12 @@
     )
 )
 
-PROCESS = ("kill", "term", "hup", "wipe", "move")
-HOSTS = ("refuse", "silent", "slow", "shut")
-LISTS = ("drain", "remove", "replace")
-FAULTS = ("delay", "cut", "silence", "drip")
+RELAY_EVENTS = ("kill", "term", "hup", "wipe", "move")
+OUTAGE_EVENTS = ("refuse", "silent", "slow", "shut")
+DIRECTORY_EVENTS = ("drain", "remove", "replace")
+LINK_FAULT_EVENTS = ("delay", "cut", "silence", "drip")
 # What only a simulation can do to a relay.
-SIMULATED = ("stall", "jump", "full", "apart", "power", "upgrade", "out", "reload")
+SIMULATION_EVENTS = ("stall", "jump", "full", "apart", "power", "upgrade", "out", "reload")
 
 
 class EventTable(toml_check.Strict):
@@ -218,12 +218,12 @@
 
 
 # What a system call is named by: with what it writes or sends, where that differs.
-STRUCK = (
+SYSTEM_CALLS = (
     "write.in", "write.try", "write.not", "write.end", "write.over", "write.journal.new", "replace",
     "truncate", "open", "unlink", "read", "connect", "send.call", "send.notice", "send.watch", "send.answer",
 )  # fmt: skip
 
-SYNCS = ("sync", "sync_folder")  # made only where journals are durable
+SYNC_CALLS = ("sync", "sync_folder")  # made only where journals are durable
 
 
 class NetTable(toml_check.Strict):
@@ -247,7 +247,7 @@
     relay: int = Field(default=0, ge=0)
     life: int = Field(default=0, ge=0)
     unit: Literal["call", "step"] = "call"
-    call: Literal["", "write", "send", *STRUCK, *SYNCS] = ""  # type: ignore[valid-type]
+    call: Literal["", "write", "send", *SYSTEM_CALLS, *SYNC_CALLS] = ""  # type: ignore[valid-type]
     at: int = Field(ge=1)
     what: Literal["kill", "short", "ENOSPC", "EIO"] = "kill"
     when: Literal["before", "within", "after"] = "before"
@@ -286,7 +286,7 @@
     messages: tuple[MessageTable, ...] = Field(alias="message", default=(), strict=False)
 
     @model_validator(mode="after")
-    def fits(self) -> Scenario:
+    def check_references(self) -> Scenario:
         """What one table cannot see: names that repeat, events that name what is not there."""
         for key, names in (
             ("class", [item.name for item in self.classes]),
@@ -299,7 +299,7 @@
         for at, event in enumerate(self.events):
             if event.at_s >= self.length_s:
                 raise ValueError(f"event.{at}.at_s: {event.at_s} is not within length_s")
-            if event.what in PROCESS + SIMULATED and event.relay >= self.relays.count:
+            if event.what in RELAY_EVENTS + SIMULATION_EVENTS and event.relay >= self.relays.count:
                 raise ValueError(f"event.{at}.relay: there are {self.relays.count} relays, from 0")
             if event.dest >= partners.destinations:
                 raise ValueError(f"event.{at}.dest: there are {partners.destinations}, from 0")
@@ -324,19 +324,19 @@
         return self
 
     @property
-    def simulated(self) -> str:
+    def simulation_only(self) -> str:
         """The first thing in it that only a simulation can do; empty where there is none."""
         if self.strikes:
             return "strike.0: system calls are struck only in the simulation"
         for at, event in enumerate(self.events):
-            if event.what in SIMULATED:
+            if event.what in SIMULATION_EVENTS:
                 return f"event.{at}.what: {event.what} happens only in the simulation"
         return "net: links have figures only in the simulation" if self.net != NetTable() else ""
 
     @property
     def faulty_links(self) -> set[str]:
         """Where fault proxies are needed."""
-        return {event.between for event in self.events if event.what in FAULTS}
+        return {event.between for event in self.events if event.what in LINK_FAULT_EVENTS}
 
 
 def load(path: Path) -> Scenario:
@@ -344,10 +344,10 @@
     return toml_check.read(path, Scenario)
 
 
-def load_real(path: Path) -> Scenario:
+def load_without_simulation(path: Path) -> Scenario:
     """A scenario for real sockets; what only a simulation can do is refused with its line."""
     found = load(path)
-    if reason := found.simulated:
+    if reason := found.simulation_only:
         key = reason.partition(":")[0]
         place = tuple(int(part) if part.isdigit() else part for part in key.split("."))
         line = toml_check.line_of(toml_check.key_lines(path.read_text(encoding="utf-8")), place)
--- a/tests/members/ground.py
+++ b/tests/members/ground.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 from mallowlug.rig.judge import record as rec
-from mallowlug.rig.world.fronts import Fronts
+from mallowlug.rig.world.fronts import DatagramProxies
 from tests.world import ROOT, free_port, http_request, settings_json, soon
 
 PERIOD_S = 0.1  # between two probes: a tenth of what the operator file has
@@ -67,11 +67,11 @@
     """The relays of one test."""
 
     def __init__(self, folder: Path, seed: int = 1) -> None:
-        self.folder, self.fronts = folder, Fronts(seed)
+        self.folder, self.fronts = folder, DatagramProxies(seed)
         self.nodes: dict[str, Node] = {}
         self.seeds: list[str] = []
         self.record: list[rec.AnyEvent] = []
-        self.fronts.told = self.way
+        self.fronts.on_path_change = self.way
         self._looking: asyncio.Task[None] | None = None
 
     async def add(self, name: str, *, seed: bool = False, **fleet: Any) -> Node:
--- a/tests/members/test_processes.py
+++ b/tests/members/test_processes.py
@@ -17,7 +17,7 @@
 
 from mallowlug.rig.judge import record as rec
 from mallowlug.rig.judge.members import judged
-from mallowlug.rig.world.fronts import Way
+from mallowlug.rig.world.fronts import DatagramPath
 from tests.members.ground import Ground, agreed, alive
 from tests.world import ROOT, http_request, soon
 
@@ -87,7 +87,7 @@
     await five(ground)
     await ground.until(lambda tables: {t["group"] for t in tables.values()} == {5}, *NAMES)
     few, most = ["n0", "n3"], ["n1", "n2", "n4"]
-    ground.fronts.apart(few, most)
+    ground.fronts.partition(few, most)
     await ground.settled(*most)
     await ground.settled(*few)
     tables = await ground.until(lambda found: {t["group"] for t in found.values()} == {3}, *most)
@@ -95,14 +95,14 @@
     assert {table["group"] for table in minority.values()} == {5}
     groups = [table["group"] for table in (*tables.values(), *minority.values())]
     assert sum(1 / group for group in groups) < 1.5
-    ground.fronts.heal()
+    ground.fronts.clear_all()
     await ground.settled(*NAMES)
     await ground.until(lambda found: {t["group"] for t in found.values()} == {5}, *NAMES)
 
 
 async def test_two_that_cannot_hear_each_other_live_on_while_others_hear_both(ground: Ground) -> None:
     await five(ground)
-    ground.fronts.way("n2", "n3", Way(cut=True))
+    ground.fronts.set_path("n2", "n3", DatagramPath(cut=True))
     before = ground.fronts.dropped["n2", "n3"] + ground.fronts.dropped["n3", "n2"]
 
     async def tried() -> None:
@@ -116,12 +116,14 @@
 
 async def test_a_one_way_cut_and_a_bad_link_evict_nobody(ground: Ground) -> None:
     await five(ground)
-    ground.fronts.way("n1", "n4", Way(cut=True), both=False)
-    ground.fronts.way("n0", "n2", Way(loss=0.3, delay_s=0.02, jitter_s=0.02, doubled=0.3))
-    base = ground.fronts.carried["n0", "n2"]
+    ground.fronts.set_path("n1", "n4", DatagramPath(cut=True), both=False)
+    ground.fronts.set_path(
+        "n0", "n2", DatagramPath(loss_share=0.3, delay_s=0.02, jitter_s=0.02, duplicate_share=0.3)
+    )
+    base = ground.fronts.forwarded["n0", "n2"]
 
     async def used() -> None:
-        while ground.fronts.carried["n0", "n2"] < base + 20:
+        while ground.fronts.forwarded["n0", "n2"] < base + 20:
             await asyncio.sleep(0.02)
 
     await soon(used())
--- a/tests/rig/test_models.py
+++ b/tests/rig/test_models.py
@@ -17,7 +17,7 @@
 from mallowlug.rig.judge import record as rec
 from mallowlug.rig.report.live import Live
 from mallowlug.rig.world import draw, replay, scenario
-from mallowlug.rig.world.host_model import HostModel, Job, KeyMemory, Refusal, effects
+from mallowlug.rig.world.host_model import HostModel, Job, KeyMemory, Refusal, first_uses
 from mallowlug.rig.world.scenario import EventTable, KindTable, Scenario
 from mallowlug.toml_check import FileMistakesError
 from tests.rig.story import SECOND, Story
@@ -79,11 +79,11 @@
     host = model()
     offered = [host.offer(Job(number, 1, 0.2), 0.0) for number in range(5)]
     assert offered == [0.2, 0.2, None, None, Refusal(0.0)]
-    following = host.done(0.2)
+    following = host.finish_job(0.2)
     assert following is not None
     assert (following[0].call, following[1]) == (2, 0.2)
-    assert host.done(0.4) is not None
-    assert host.done(0.4) is None
+    assert host.finish_job(0.4) is not None
+    assert host.finish_job(0.4) is None
     assert host.running == 1
 
 
@@ -102,27 +102,27 @@
     host = model(limited=True, tells_wait=1.0, refused_count=False)
     host.plan = replace(host.plan, per_s=rate)
     while not isinstance(refusal := host.offer(Job(1, 1, 0.0), 0.0), Refusal):
-        host.done(0.0)
+        host.finish_job(0.0)
     assert refusal.wait_s > 0
     assert not isinstance(host.offer(Job(2, 1, 0.0), refusal.wait_s + 1e-6), Refusal)
 
 
 def test_cold_and_slow_take_longer() -> None:
     host = model()
-    assert host.takes(Job(1, 1, 0.1), 100.0) == pytest.approx(0.1)
-    host.slow = 8.0
-    assert host.takes(Job(1, 1, 0.1), 100.0) == pytest.approx(0.8)
-    host.returned(100.0, emptied=True)
-    assert host.takes(Job(1, 1, 0.1), 100.0) == pytest.approx(0.4)
-    assert host.takes(Job(1, 1, 0.1), 111.0) == pytest.approx(0.1)
+    assert host.service_time_s(Job(1, 1, 0.1), 100.0) == pytest.approx(0.1)
+    host.slowdown = 8.0
+    assert host.service_time_s(Job(1, 1, 0.1), 100.0) == pytest.approx(0.8)
+    host.end_outage(100.0, work_lost=True)
+    assert host.service_time_s(Job(1, 1, 0.1), 100.0) == pytest.approx(0.4)
+    assert host.service_time_s(Job(1, 1, 0.1), 111.0) == pytest.approx(0.1)
 
 
 def test_keys_are_remembered_for_their_window() -> None:
     memory = KeyMemory()
     keys = [("k", 25.0), ("", 0.0), ("k", 25.0), ("l", 25.0)]
-    assert effects(memory, keys, 0.0) == [True, True, False, True]
-    assert effects(memory, [("k", 25.0)], 24.9) == [False]
-    assert effects(memory, [("k", 25.0)], 25.1) == [True]
+    assert first_uses(memory, keys, 0.0) == [True, True, False, True]
+    assert first_uses(memory, [("k", 25.0)], 24.9) == [False]
+    assert first_uses(memory, [("k", 25.0)], 25.1) == [True]
 
 
 def test_every_shipped_scenario_is_in_order() -> None:
@@ -186,13 +186,13 @@
 
 @given(st.integers(0, 1000))
 def test_a_seed_draws_the_same_world_twice(seed: int) -> None:
-    assert draw.hosts_of(drawn(seed)) == draw.hosts_of(drawn(seed))
-    assert draw.arrivals_of(drawn(seed)) == draw.arrivals_of(drawn(seed))
+    assert draw.draw_hosts(drawn(seed)) == draw.draw_hosts(drawn(seed))
+    assert draw.draw_arrivals(drawn(seed)) == draw.draw_arrivals(drawn(seed))
 
 
 def test_traffic_has_the_rate_and_the_shares_that_were_asked_for() -> None:
-    arrivals = [arrival for seed in range(20) for arrival in draw.arrivals_of(drawn(seed))]
-    assert all(a.at_s <= b.at_s for a, b in pairwise(draw.arrivals_of(drawn(1))))
+    arrivals = [arrival for seed in range(20) for arrival in draw.draw_arrivals(drawn(seed))]
+    assert all(a.at_s <= b.at_s for a, b in pairwise(draw.draw_arrivals(drawn(1))))
     assert len(arrivals) == pytest.approx(20_000, rel=0.05)
     classes = Counter(arrival.cls for arrival in arrivals)
     assert classes["payment-postings"] / len(arrivals) == pytest.approx(0.69, abs=0.02)
@@ -201,11 +201,11 @@
 @given(st.integers(0, 200), st.floats(0.05, 0.6))
 def test_an_outage_strikes_one_zone_with_at_most_its_part(seed: int, part: float) -> None:
     world = drawn(seed)
-    hosts = draw.hosts_of(world)
+    hosts = draw.draw_hosts(world)
     event = EventTable(at_s=1.0, what="refuse", part=part)
-    names = draw.struck(world, hosts, event, random.Random(seed))
+    names = draw.draw_affected_hosts(world, hosts, event, random.Random(seed))
     dests = {plan.dest for plan in hosts if plan.name in names}
-    weights = draw.weights_of(world)
+    weights = draw.destination_weights(world)
     assert names
     assert len(dests) == 1 or sum(weights[dest] for dest in dests) <= part + 1e-9
 
@@ -213,7 +213,7 @@
 def test_replayed_traffic_is_the_first_tries_and_nothing_else() -> None:
     story = Story().ask(100, "a", said="refused").ask(600, "b", first="a").ask(900, "c", "keyed", dest=2)
     story.add(rec.Ask(901_000, "c", "n0", 2, "keyed", "m", SECOND))  # once more on a new connection
-    traffic = replay.traffic_of(story.record())
+    traffic = replay.arrivals_from(story.record())
     assert [(a.at_s, a.dest, a.cls) for a in traffic] == [(0.0, 1, "safe"), (pytest.approx(0.8), 2, "keyed")]
 
 
@@ -222,14 +222,14 @@
     rec.save(replay.traffic_only(story.record()), tmp_path / "traffic")
     kept = rec.read(tmp_path / "traffic")
     assert kept.whole
-    assert replay.traffic_of(kept) == replay.traffic_of(story.record())
+    assert replay.arrivals_from(kept) == replay.arrivals_from(story.record())
     assert {type(event) for event in kept.events} == {rec.Ask, rec.End}
 
 
 def test_the_shipped_rush_hour_can_be_replayed() -> None:
     record = rec.read(ROOT / "scenarios" / "rush-hour.jsonl")
     assert record.whole
-    world, traffic = replay.scenario_of(record), replay.traffic_of(record)
+    world, traffic = replay.scenario_from(record), replay.arrivals_from(record)
     assert world.name == "rush"
     assert len(traffic) > 4000
     assert len(traffic) / traffic[-1].at_s == pytest.approx(world.load.rate_per_s, rel=0.1)
@@ -237,14 +237,14 @@
 
 def test_a_record_without_a_scenario_cannot_be_replayed_in_its_own_world() -> None:
     with pytest.raises(rec.RecordError, match="the head holds no scenario"):
-        replay.scenario_of(Story().record())
+        replay.scenario_from(Story().record())
 
 
 def test_a_scenario_survives_its_record() -> None:
     world = drawn(event=[{"at_s": 1.0, "what": "kill"}])
     story = Story()
-    story.head = draw.head_of(world)
-    assert replay.scenario_of(story.record()) == world
+    story.head = draw.record_head(world)
+    assert replay.scenario_from(story.record()) == world
 
 
 def test_the_live_view_counts_what_is_open() -> None:
--- a/tests/rig/test_proxy.py
+++ b/tests/rig/test_proxy.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from mallowlug.rig.world.proxy import CLEAR, Fault, Proxy
+from mallowlug.rig.world.proxy import NO_FAULT, FaultProxy, LinkFault
 from tests.world import soon
 
 DATA = bytes(range(256)) * 40
@@ -43,11 +43,11 @@
 
 
 @pytest.fixture
-async def line() -> AsyncIterator[tuple[Proxy, Far, asyncio.StreamReader, asyncio.StreamWriter]]:
+async def line() -> AsyncIterator[tuple[FaultProxy, Far, asyncio.StreamReader, asyncio.StreamWriter]]:
     """A connection through a proxy."""
     far = Far()
     server = await asyncio.start_server(far.serve, "127.0.0.1", 0)
-    proxy = Proxy(lambda: server.sockets[0].getsockname()[:2])
+    proxy = FaultProxy(lambda: server.sockets[0].getsockname()[:2])
     await proxy.listen()
     reader, writer = await asyncio.open_connection(*proxy.address)
     yield proxy, far, reader, writer
@@ -56,16 +56,16 @@
     server.close()
 
 
-Line = tuple[Proxy, Far, asyncio.StreamReader, asyncio.StreamWriter]
+Line = tuple[FaultProxy, Far, asyncio.StreamReader, asyncio.StreamWriter]
 
 
-FAULTS = [CLEAR, Fault(delay_s=0.05), Fault(drip=True), Fault(delay_s=0.02, drip=True)]
+FAULTS = [NO_FAULT, LinkFault(delay_s=0.05), LinkFault(drip=True), LinkFault(delay_s=0.02, drip=True)]
 
 
 @pytest.mark.parametrize("fault", FAULTS)
-async def test_bytes_come_in_order_whatever_the_fault(line: Line, fault: Fault) -> None:
+async def test_bytes_come_in_order_whatever_the_fault(line: Line, fault: LinkFault) -> None:
     proxy, far, _, writer = line
-    proxy.set(fault)
+    proxy.set_fault(fault)
     data = DATA if not fault.drip else DATA[:300]
     for at in range(0, len(data), 100):
         writer.write(data[at : at + 100])
@@ -76,10 +76,10 @@
 
 async def test_a_delay_that_gets_shorter_lets_nothing_overtake(line: Line) -> None:
     proxy, far, _, writer = line
-    proxy.set(Fault(delay_s=0.3))
+    proxy.set_fault(LinkFault(delay_s=0.3))
     writer.write(b"first")
     await asyncio.sleep(0.05)
-    proxy.set(CLEAR)
+    proxy.set_fault(NO_FAULT)
     writer.write(b"second")
     await far.until(11)
     assert bytes(far.got) == b"firstsecond"
@@ -88,7 +88,7 @@
 async def test_a_delay_delays(line: Line) -> None:
     proxy, far, _, writer = line
     loop = asyncio.get_running_loop()
-    proxy.set(Fault(delay_s=0.2))
+    proxy.set_fault(LinkFault(delay_s=0.2))
     start_s = loop.time()
     writer.write(b"x")
     await far.until(1)
@@ -97,7 +97,7 @@
 
 async def test_a_cut_passes_so_many_bytes_and_resets_both_sides(line: Line) -> None:
     proxy, far, reader, writer = line
-    proxy.set(Fault(cut_after=150))
+    proxy.set_fault(LinkFault(cut_after=150))
     writer.write(DATA[:1000])
     with pytest.raises(ConnectionError):
         while await soon(reader.read(100)):
@@ -114,7 +114,7 @@
     proxy, far, reader, writer = line
     writer.write(b"before")
     await far.until(6)
-    proxy.set(Fault(silent=True))
+    proxy.set_fault(LinkFault(silent=True))
     writer.write(b"after")
     far.writers[0].write(b"answer")
     await asyncio.sleep(0.1)
@@ -123,7 +123,7 @@
     late_writer.write(b"late")
     await asyncio.sleep(0.1)
     assert bytes(far.got) == b"before"
-    proxy.set(CLEAR)
+    proxy.set_fault(NO_FAULT)
     await far.until(15)
     assert bytes(far.got) in (b"beforeafterlate", b"beforelateafter")  # two connections have no order
     assert await soon(reader.readexactly(6)) == b"answer"
@@ -132,7 +132,7 @@
 
 async def test_the_end_of_one_side_reaches_the_other_behind_its_bytes(line: Line) -> None:
     proxy, far, _, writer = line
-    proxy.set(Fault(delay_s=0.05))
+    proxy.set_fault(LinkFault(delay_s=0.05))
     writer.write(b"bye")
     writer.write_eof()
     async with far.changed:
@@ -141,7 +141,7 @@
 
 
 async def test_a_far_side_that_is_not_there_resets_the_near_one() -> None:
-    proxy = Proxy(lambda: ("127.0.0.1", 1))
+    proxy = FaultProxy(lambda: ("127.0.0.1", 1))
     await proxy.listen()
     reader, writer = await asyncio.open_connection(*proxy.address)
     with pytest.raises(ConnectionError):
--- a/tests/rig/test_standins.py
+++ b/tests/rig/test_standins.py
@@ -15,11 +15,11 @@
 
 from mallowlug.rig.judge import record as rec
 from mallowlug.rig.world import draw
-from mallowlug.rig.world.clients import Clients, Relay, heard_of, packed
+from mallowlug.rig.world.clients import Clients, RelayTarget, encode_command, parse_answer
 from mallowlug.rig.world.host_model import KeyMemory
-from mallowlug.rig.world.hosts import BadCallError, Book, ClassWork, Host, items_of
+from mallowlug.rig.world.hosts import BadCallError, ClassWork, Host, HostContext, parse_messages
 from mallowlug.rig.world.httpd import Request
-from mallowlug.rig.world.platform import Discovery, Platform
+from mallowlug.rig.world.platform import DiscoveryServer, Platform
 from mallowlug.rig.world.scenario import ClientsTable, KindTable, Scenario
 from tests.world import soon
 
@@ -31,17 +31,17 @@
     """A record, what it holds so far, and one endpoint of a kind of its own."""
 
     def __init__(self, folder: Path) -> None:
-        self.writer = rec.Writer(folder / "record", lambda _at: draw.head_of(SCENARIO))
+        self.writer = rec.Writer(folder / "record", lambda _at: draw.record_head(SCENARIO))
         self.events: list[rec.AnyEvent] = []
         self.writer.told.append(self.events.append)
         classes = {"c": ClassWork(0.001, 25.0), "zoned": ClassWork(0.001, 25.0, by_zone=True)}
-        self.book = Book(self.writer, classes)
+        self.book = HostContext(self.writer, classes)
         self.memory = KeyMemory()
 
     async def host(self, kind: KindTable = KIND, name: str = "h", zone: str = "a") -> Host:
         """An endpoint that is quick."""
         plan = draw.HostPlan(
-            name, 1, zone, kind, per_s=4.0, capacity_per_s=1000.0, servers=2, queue=2, pace=1.0,
+            name, 1, zone, kind, per_s=4.0, capacity_per_s=1000.0, servers=2, queue=2, service_time_factor=1.0,
             network_s=0.0, handshake_s=0.0, cold_from=0.25, warm_s=10.0,
         )  # fmt: skip
         host = Host(plan, self.book, self.memory, 15.0, "seed")
@@ -51,7 +51,7 @@
     def ask(self, *refs: str, cls: str = "c") -> None:
         """Messages that were handed in."""
         for ref in refs:
-            self.book.asked[ref] = cls
+            self.book.submitted_classes[ref] = cls
 
     def of(self, kind: type) -> list[Any]:
         """Events of a kind."""
@@ -92,7 +92,7 @@
     [came], [ran], [answer] = world.of(rec.Call), world.of(rec.Ran), world.of(rec.Answer)
     assert (came.ids, came.host, ran.effect, answer.ends) == (["m1"], "h", True, {"m1": "delivered"})
     assert came.began <= came.at <= ran.at <= answer.at
-    host.refuse()
+    host.stop_listening()
 
 
 async def test_a_batch_tells_each_ones_end(world: Set) -> None:
@@ -100,7 +100,7 @@
     world.ask("m1", "m2", "m3")
     status, _, body = await call(host, "m1", "m2", "m3")
     assert (status, body) == (200, "m1 delivered\r\nm2 delivered\r\nm3 delivered\r\n")
-    host.refuse()
+    host.stop_listening()
 
 
 async def test_a_connection_serves_one_call_after_the_other(world: Set) -> None:
@@ -111,7 +111,7 @@
         assert (await call(host, ref, connection=client))[0] == 200
     assert len({came.connection for came in world.of(rec.Call)}) == 1
     client.close()
-    host.refuse()
+    host.stop_listening()
 
 
 async def test_a_key_that_is_remembered_has_no_effect_again(world: Set) -> None:
@@ -121,8 +121,8 @@
     await call(second, "m2", key="k1")
     await call(second, "m3", key="k2")
     assert [ran.effect for ran in world.of(rec.Ran)] == [True, False, True]
-    first.refuse()
-    second.refuse()
+    first.stop_listening()
+    second.stop_listening()
 
 
 @pytest.mark.parametrize(("cls", "effects"), [("c", [True, False]), ("zoned", [True, True])])
@@ -139,7 +139,7 @@
 async def test_over_its_limit_it_refuses_with_a_wait_after_which_there_is_room(world: Set) -> None:
     kind = KIND.model_copy(update={"limited": True, "tells_wait": 1.0, "wait_ms": (100, 100)})
     host = await world.host(kind)
-    host.model.tokens_s = host.now()
+    host.model.tokens_updated_s = host.now()
     world.ask(*(f"m{n}" for n in range(4)))
     assert (await call(host, "m0"))[0] == 200
     assert (await call(host, "m1"))[0] in (200, 429)
@@ -149,40 +149,40 @@
     assert wait_ms >= 100
     assert world.of(rec.Answer)[-1].wait_us == wait_ms * 1000
     assert told[-1][1]["x-pressure"].startswith("x0=0.")
-    host.refuse()
+    host.stop_listening()
 
 
 async def test_while_shut_it_tells_when_it_opens(world: Set) -> None:
     kind = KIND.model_copy(update={"tells_wait": 1.0})
     host = await world.host(kind)
     world.ask("m1")
-    host.strike("shut", 1.0, 60.0)
+    host.begin_outage("shut", 1.0, 60.0)
     status, headers, _ = await call(host, "m1")
     assert status == 429
     assert 59_000 <= int(headers["x-retry-in-ms"]) <= 60_000
-    host.refuse()
+    host.stop_listening()
 
 
 async def test_refusing_it_takes_no_connection_and_comes_back_cold(world: Set) -> None:
     host = await world.host()
-    host.strike("refuse", 1.0, 1.0)
+    host.begin_outage("refuse", 1.0, 1.0)
     with pytest.raises(OSError):
         await call(host, "m1")
-    await host.recover()
+    await host.end_outage()
     world.ask("m1")
     assert (await call(host, "m1"))[0] == 200
     assert [(life.state, life.cold_from) for life in world.of(rec.Life)] == [("out", 1.0), ("back", 0.25)]
-    host.refuse()
+    host.stop_listening()
 
 
 async def test_silent_it_runs_the_call_and_breaks_it_off_when_it_is_back(world: Set) -> None:
     host = await world.host()
     world.ask("m1")
-    host.strike("silent", 1.0, 1.0)
+    host.begin_outage("silent", 1.0, 1.0)
     pending = asyncio.create_task(call(host, "m1"))
     while not world.of(rec.Ran):
         await asyncio.sleep(0.01)
-    await host.recover()
+    await host.end_outage()
     with pytest.raises(ConnectionError):
         await pending
     assert world.of(rec.Answer) == []
@@ -191,8 +191,8 @@
 
 async def test_sent_too_much_while_cold_it_falls_over(world: Set) -> None:
     host = await world.host()
-    host.strike("refuse", 1.0, 1.0)
-    await host.recover()
+    host.begin_outage("refuse", 1.0, 1.0)
+    await host.end_outage()
     world.ask(*(f"m{n}" for n in range(40)))
     with pytest.raises((ConnectionError, http.client.HTTPException)):
         for number in range(40):
@@ -206,7 +206,7 @@
     host = await world.host()
     assert (await call(host, "m9"))[0] == 400
     assert world.book.bad_calls == 1
-    host.refuse()
+    host.stop_listening()
 
 
 @pytest.mark.parametrize(
@@ -224,10 +224,10 @@
 def test_calls_that_the_protocol_does_not_know(target: str, headers: dict[str, str], body: bytes) -> None:
     request = Request(None, "POST", target, headers, body, 0.0, 0.0)  # type: ignore[arg-type]
     with pytest.raises(BadCallError):
-        items_of(request, 3)
+        parse_messages(request, 3)
 
 
-async def get(face: Discovery, target: str) -> tuple[int, list[Any]]:
+async def get(face: DiscoveryServer, target: str) -> tuple[int, list[Any]]:
     """A whole answer, or a watch's first line, by the standard library's client."""
 
     def run() -> tuple[int, list[Any]]:
@@ -243,24 +243,24 @@
 
 async def test_discovery_tells_the_list_and_its_changes(world: Set) -> None:
     platform = Platform(world.writer, (0.0, 0.0), random.Random(1))
-    platform.dial = lambda relay, host: f"{relay}.{host}:1"
-    face = await platform.face("n0")
-    platform.put("h1", "ready", late=False, block=3)
+    platform.dial_address = lambda relay, host: f"{relay}.{host}:1"
+    face = await platform.add_server("n0")
+    platform.set_state("h1", "ready", delayed=False, block=3)
     status, [news] = await get(face, "/discovery/hosts")
     assert (status, news["whole"], news["seq"]) == (200, True, 1)
     assert [(e["host"], e["block"], e["dial"], e["health"]) for e in news["hosts"]] == [
         ("h1", 3, "n0.h1:1", "SERVING")
     ]
-    platform.put("h1", "draining", late=False)
+    platform.set_state("h1", "draining", delayed=False)
     status, [news] = await get(face, "/discovery/hosts?watch=1&from=1")
     assert [(e["host"], e["block"], e["health"]) for e in news["hosts"]] == [("h1", 3, "DRAINING")]
     assert world.of(rec.Told)[-1].state == "draining"
-    platform.lose()
+    platform.go_down()
     assert (await get(face, "/discovery/hosts?watch=1&from=1"))[0] == 503
     platform.stop()
 
 
-async def post(face: Discovery, body: bytes) -> int:
+async def post(face: DiscoveryServer, body: bytes) -> int:
     """Post notices."""
 
     def run() -> int:
@@ -274,9 +274,9 @@
 async def test_notices_are_taken_also_while_discovery_is_down(world: Set) -> None:
     platform = Platform(world.writer, (0.0, 0.0), random.Random(1))
     heard: list[rec.Notice] = []
-    platform.ended = heard.append
-    face = await platform.face("n0")
-    platform.lose()
+    platform.on_notice = heard.append
+    face = await platform.add_server("n0")
+    platform.go_down()
     body = b'{"ref":"m1","result":"dead"}\n{"ref":"m2","result":"bounced","wait_ms":500}\n'
     assert await post(face, body) == 204
     assert [(n.id, n.result, n.wait_us) for n in heard] == [("m1", "dead", 0), ("m2", "bounced", 500_000)]
@@ -288,7 +288,7 @@
 
 def test_a_clients_words_are_those_of_an_independent_library() -> None:
     words = (b"ENQUEUE", b"0" * 16, b"m1", b"c=x,d=1", bytes(range(256)))
-    assert packed(*words) == hiredis.pack_command(words)  # type: ignore[arg-type]
+    assert encode_command(*words) == hiredis.pack_command(words)  # type: ignore[arg-type]
 
 
 @pytest.mark.parametrize(
@@ -302,7 +302,7 @@
     ],
 )
 def test_answers_in_the_records_words(line: bytes, what: str, wait_us: int) -> None:
-    assert (heard_of(line).what, heard_of(line).wait_us) == (what, wait_us)
+    assert (parse_answer(line).result, parse_answer(line).wait_us) == (what, wait_us)
 
 
 class Scripted:
@@ -312,10 +312,10 @@
         self.answers, self.seen = list(answers), list[list[bytes]]()
         self.connections = 0
 
-    async def start(self) -> Relay:
+    async def start(self) -> RelayTarget:
         """Listen; the relay as clients see it."""
         self.server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
-        return Relay("n0", self.server.sockets[0].getsockname())
+        return RelayTarget("n0", self.server.sockets[0].getsockname())
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.connections += 1
@@ -336,9 +336,9 @@
     known: dict[str, Any] = {"retries": 2, "backoff_s": (0.01, 0.01), "honour": 1.0}
     clients = Clients(world.writer, ClientsTable(**(known | habits)), random.Random(1))
     relay = await script.start()
-    cls = draw.head_of(SCENARIO).classes[0]
+    cls = draw.record_head(SCENARIO).classes[0]
     arrival = draw.Arrival(0.0, 0, 7, cls.name, "m", "", 5)
-    task = asyncio.create_task(clients.message(relay, arrival, cls))
+    task = asyncio.create_task(clients.run_message(relay, arrival, cls))
 
     async def wait() -> None:
         while not until():
@@ -381,6 +381,6 @@
 async def test_a_bounced_message_comes_again_and_a_dead_one_does_not(world: Set) -> None:
     script = Scripted()
     clients = await handed_in(world, script, lambda: len(world.of(rec.Said)) == 1)
-    assert clients.open == 1
-    clients.ended(rec.Notice(0, "n0", world.of(rec.Ask)[0].id, "dead"))
-    assert clients.open == 0
+    assert clients.pending_count == 1
+    clients.notice_received(rec.Notice(0, "n0", world.of(rec.Ask)[0].id, "dead"))
+    assert clients.pending_count == 0
--- a/tests/rig/test_tail.py
+++ b/tests/rig/test_tail.py
@@ -14,7 +14,7 @@
 from mallowlug.rig.judge import record as rec
 from mallowlug.rig.judge.tail import quantile, tail_of
 from mallowlug.rig.world import scenario
-from mallowlug.rig.world.draw import hosts_of
+from mallowlug.rig.world.draw import draw_hosts
 from tests.rig.story import Story
 from tests.world import ROOT
 
@@ -65,7 +65,9 @@
     more = tails.variant(world, False, 1.3, "heavy tail")
     assert (more.load.rate_per_s, {kind.batch for kind in more.kinds}) == (64.0 * 1.3, {1})
     assert {event.cls for event in more.events} == {cls.name for cls in world.classes}
-    assert [host.per_s for host in hosts_of(more)] == pytest.approx([host.per_s for host in hosts_of(world)])
+    assert [host.per_s for host in draw_hosts(more)] == pytest.approx(
+        [host.per_s for host in draw_hosts(world)]
+    )
     assert tails.variant(world, True, 1.0, "as drawn") == world
 
 
--- a/tests/sim/test_members.py
+++ b/tests/sim/test_members.py
@@ -12,7 +12,7 @@
 from mallowlug.fleet.agent import Agent
 from mallowlug.rig.judge import record as rec
 from mallowlug.rig.judge.rules import judge
-from mallowlug.rig.run.play import Options, World
+from mallowlug.rig.run.play import Environment, RunOptions
 from mallowlug.rig.sim.faults import swarm
 from mallowlug.rig.sim.ground import simulate
 from mallowlug.rig.sim.loop import SimLoop
@@ -34,7 +34,7 @@
         agents[self.swim.me.relay] = self
         real(self)
 
-    async def look(_world: World) -> None:
+    async def look(_world: Environment) -> None:
         await asyncio.sleep(AT_S)
         found.update(agents)
         for name, agent in found.items():
@@ -43,7 +43,7 @@
     told: dict[str, Any] = {}
     monkeypatch.setattr(Agent, "open", opened)
     events = tuple(map(scenario.EventTable.model_validate, rows))
-    done = simulate(FLEET.model_copy(update={"events": events}), tmp_path, Options(started=look))
+    done = simulate(FLEET.model_copy(update={"events": events}), tmp_path, RunOptions(on_started=look))
     assert done.complaints == [] and judge(rec.read(done.path)).breaches == ()
     assert len({digest for digest, _, _ in told.values()}) == 1, told
     assert {size for _, size, _ in told.values()} == {5}
--- a/tests/slow_start/test_processes.py
+++ b/tests/slow_start/test_processes.py
@@ -9,26 +9,26 @@
 
 from mallowlug.rig.judge import record as rec
 from mallowlug.rig.judge.rules import judge
-from mallowlug.rig.run.play import Done, play
-from mallowlug.rig.world.scenario import load_real
+from mallowlug.rig.run.play import RunResult, play
+from mallowlug.rig.world.scenario import load_without_simulation
 
 SCENARIO = Path(__file__).parents[2] / "scenarios" / "throng.toml"
 
 
 @pytest.fixture(scope="module")
-def run(tmp_path_factory: pytest.TempPathFactory) -> tuple[Done, rec.Record]:
+def run(tmp_path_factory: pytest.TempPathFactory) -> tuple[RunResult, rec.Record]:
     """Play the scenario once for all tests."""
-    done = asyncio.run(play(load_real(SCENARIO), tmp_path_factory.mktemp("throng") / "run"))
+    done = asyncio.run(play(load_without_simulation(SCENARIO), tmp_path_factory.mktemp("throng") / "run"))
     return done, rec.read(done.path)
 
 
-def test_fifty_relays_break_no_rule(run: tuple[Done, rec.Record]) -> None:
+def test_fifty_relays_break_no_rule(run: tuple[RunResult, rec.Record]) -> None:
     done, record = run
     assert done.crashed == ()
     assert [str(breach) for breach in judge(record).breaches] == []
 
 
-def test_no_returned_endpoint_collapses(run: tuple[Done, rec.Record]) -> None:
+def test_no_returned_endpoint_collapses(run: tuple[RunResult, rec.Record]) -> None:
     """Stricter than the rule: calls of relays that had not observed the outage count, too."""
     collapsed = {
         event.host for event in run[1].events if isinstance(event, rec.Life) and event.state == "fell"
--- a/tests/slow_start/test_soak.py
+++ b/tests/slow_start/test_soak.py
@@ -8,8 +8,8 @@
 from click.testing import CliRunner
 
 from mallowlug.rig.cli import group
-from mallowlug.rig.soak.plan import scenario_of
-from mallowlug.rig.soak.run import MOST_RELAYS, SoakError, check_size, soak_seed
+from mallowlug.rig.soak.plan import soak_scenario
+from mallowlug.rig.soak.run import MAX_RELAYS, SoakError, check_size, soak_seed
 
 RELAYS, LENGTH_S = 12, 24.0
 
@@ -29,15 +29,15 @@
 
 
 def test_seed_determines_scenario() -> None:
-    scenarios = [scenario_of(seed, RELAYS, LENGTH_S) for seed in range(100)]
-    assert scenarios == [scenario_of(seed, RELAYS, LENGTH_S) for seed in range(100)]
+    scenarios = [soak_scenario(seed, RELAYS, LENGTH_S) for seed in range(100)]
+    assert scenarios == [soak_scenario(seed, RELAYS, LENGTH_S) for seed in range(100)]
     event_kinds = {event.what for world in scenarios for event in world.events}
     assert event_kinds >= {"refuse", "silent", "shut", "kill", "term", "hup", "crowd", "garble", "rude"}
 
 
 def test_oversized_soak_is_rejected() -> None:
     with pytest.raises(SoakError, match="relays, where 1 to"):
-        check_size(MOST_RELAYS + 1)
+        check_size(MAX_RELAYS + 1)
     check_size(RELAYS)
 
 
