--- a/mallowlug/rig/run/play.py
+++ b/mallowlug/rig/run/play.py
@@ -308,9 +308,11 @@
         else:
             await {
                 "kill": self._restart, "term": self._restart, "wipe": self._restart, "hup": self._reload,
-                "move": self._move, "heavy_tail": self._heavy_tail, "garble": self._corrupt_answers, "rude": self._malformed_clients,
+                "move": self._move, "heavy_tail": self._heavy_tail, "garble": self._corrupt_answers,
+                "rude": self._malformed_clients,
                 "crowd": self._idle_clients,
-                "directory_out": self._directory_outage, "drain": self._drain_hosts, "remove": self._drain_hosts,
+                "directory_out": self._directory_outage, "drain": self._drain_hosts,
+                "remove": self._drain_hosts,
                 "replace": self._drain_hosts,
             }[event.what](event)  # fmt: skip
 
--- a/mallowlug/rig/world/__init__.py
+++ b/mallowlug/rig/world/__init__.py
@@ -1,1 +1,1 @@
-"""The world around relays: scenarios, what their seeds draw, and the stand-ins."""
+"""The simulated environment of relays: scenarios, random draws, clients, endpoints and the platform."""
--- a/mallowlug/rig/world/clients.py
+++ b/mallowlug/rig/world/clients.py
@@ -1,7 +1,7 @@
-"""Stand-ins for clients: RESP2 over kept connections, with the habits that the BRIEF tells, and rude ones.
+"""Simulated clients that speak RESP2 over persistent connections, and malformed clients.
 
-One message is one task: it is handed in, and after a refusal handed in again, under a new id, up to so many
-times and after a wait. What a relay that died did not take on, or left unanswered, comes again as well.
+Each message is one task. After a refusal it is submitted again under a new id, after a wait and a limited
+number of times. Messages that a stopped relay did not accept or left unanswered are resubmitted too.
 """
 
 from __future__ import annotations
@@ -18,12 +18,12 @@
 from mallowlug.rig.world.draw import Arrival
 from mallowlug.rig.world.scenario import ClientsTable
 
-MALFORMED_TIMEOUT_S = 3.0  # s within which a rude client is owed an error or a close
-RESUBMIT_DELAY_S = (0.52, 1.9)  # s until what a relay left unanswered comes again
+MALFORMED_TIMEOUT_S = 3.0  # s within which a relay must answer a malformed client with an error or a close
+RESUBMIT_DELAY_S = (0.52, 1.9)  # s until an unanswered message is resubmitted
 
 
 def encode_command(*arguments: bytes) -> bytes:
-    """A RESP2 command: an array of bulk strings."""
+    """Encode a RESP2 command: an array of bulk strings."""
     return b"*%d\r\n" % len(arguments) + b"".join(b"$%d\r\n%s\r\n" % (len(word), word) for word in arguments)
 
 
@@ -36,13 +36,13 @@
     requests_sent: int = 0
 
     def close(self) -> None:
-        """Give it up."""
+        """Close the connection."""
         self.writer.close()
 
 
 @dataclass(frozen=True, slots=True)
 class ClientOutcome:
-    """A relay's answer to one request."""
+    """The outcome of one submission, as the client sees it."""
 
     result: Any
     wait_us: int = 0
@@ -50,7 +50,7 @@
 
 
 def parse_answer(line: bytes) -> ClientOutcome:
-    """An answer line in the record's words."""
+    """Convert an answer line to the record's terms."""
     if line[:1] in (b"+", b"$"):
         return ClientOutcome("taken")
     if line.startswith(b"-BUSY"):
@@ -62,7 +62,7 @@
 
 @dataclass(slots=True)
 class RelayTarget:
-    """One relay as clients see it."""
+    """A relay's address and its idle connections."""
 
     name: str
     address: tuple[str, int]
@@ -76,27 +76,27 @@
         self._writer, self._settings, self._rng = writer, settings, rng
         self._results: dict[
             str, asyncio.Future[rec.Notice | None]
-        ] = {}  # by id: what was taken on and is open
+        ] = {}  # by id: submitted messages without a final result
         self.on_submit: Callable[[str, str], None] = lambda _ref, _cls: None
         self.ids = 0
 
     def notice_received(self, notice: rec.Notice) -> None:
-        """The platform tells a client that its message was not delivered."""
+        """Handle a notice that a message was not delivered."""
         if (result := self._results.pop(notice.id, None)) and not result.done():
             result.set_result(notice)
 
     def message_delivered(self, ref: str) -> None:
-        """A message was delivered: nobody waits for its end."""
+        """Handle a delivery: the client stops waiting for a notice."""
         if (result := self._results.pop(ref, None)) and not result.done():
             result.set_result(None)
 
     @property
     def pending_count(self) -> int:
-        """Messages that are taken on and have no end yet."""
+        """The number of messages without a final result."""
         return len(self._results)
 
     async def run_message(self, relay: RelayTarget, arrival: Arrival, cls: rec.ClassFacts) -> None:
-        """One message from its first try to its end."""
+        """Submit one message, with retries, until its final result."""
         start_us, first_id, key = self._writer.now, "", ""
         if cls.effect == "keyed":
             key = f"{self._rng.getrandbits(64):016x}"
@@ -113,7 +113,7 @@
                 first_id, arrival.size,
             )  # fmt: skip
             outcome = await self._submit(relay, submission, marks)
-            if outcome is None:  # nobody there: nothing was asked, so this is no turn of its own
+            if outcome is None:  # no connection: nothing was submitted
                 await asyncio.sleep(self._rng.uniform(*RESUBMIT_DELAY_S))
                 resubmitted = True
                 continue
@@ -143,19 +143,20 @@
         return None if result is None else await result
 
     async def _submit(self, relay: RelayTarget, submission: rec.Ask, marks: str) -> ClientOutcome | None:
-        """One try; None where the relay takes no connection."""
-        attributes = f"c={submission.cls},t={submission.member},d={submission.left_us // 1000},dest={submission.dest}{marks}"
+        """Submit once; None if the relay accepts no connection."""
+        attributes = f"c={submission.cls},t={submission.member},d={submission.left_us // 1000}"
+        attributes += f",dest={submission.dest}{marks}"
         attributes += f",k={submission.key}" if submission.key else ""
         order, ref = submission.order or "0" * 16, submission.id
         request = encode_command(
             b"ENQUEUE", order.encode(), ref.encode(), attributes.encode(), b"x" * submission.size
         )
         self.on_submit(ref, submission.cls)
-        # Registered before the bytes go: a message's end may overtake the answer.
+        # Registered before sending: the final result may arrive before the answer.
         self._results[ref] = asyncio.get_running_loop().create_future()
         outcome = await self._exchange(relay, request, submission)
         if outcome is not None and outcome.result == "cut" and not outcome.new_connection:
-            # A kept connection that the relay closed just then: once more on a new one.
+            # The relay closed an idle connection at that moment: try once more on a new one.
             relay.idle_connections.clear()
             outcome = await self._exchange(relay, request, submission) or outcome
         if outcome is not None:
@@ -168,7 +169,7 @@
 
     @staticmethod
     async def _connect(relay: RelayTarget) -> ClientConnection:
-        """A kept connection that the relay has not ended, else a new one; ``OSError`` where there is none."""
+        """Return an idle connection that is still open, or a new one; raise ``OSError`` if that fails."""
         while relay.idle_connections:
             connection = relay.idle_connections.pop()
             if not connection.reader.at_eof() and not connection.writer.is_closing():
@@ -179,7 +180,7 @@
     async def _exchange(
         self, relay: RelayTarget, request: bytes, submission: rec.Ask
     ) -> ClientOutcome | None:
-        """Write one request and read its answer; the connection is kept only after a whole one."""
+        """Send one request and read its answer; reuse the connection only after a complete answer."""
         try:
             connection = await self._connect(relay)
         except OSError:
@@ -201,7 +202,7 @@
         return parse_answer(line)
 
     async def send_malformed(self, relay: RelayTarget, kind: str) -> None:
-        """One client that sends nonsense and reads what it is told."""
+        """Send malformed input and record how the relay reacts."""
         ref = b"rude-%d" % self._rng.getrandbits(32)
         attributes = b"c=%s,t=nobody,d=1000,k=1,dest=1"
         data = {
--- a/mallowlug/rig/world/draw.py
+++ b/mallowlug/rig/world/draw.py
@@ -1,6 +1,4 @@
-"""What a scenario's seed draws: endpoints, arrivals, and the words in which a relay is told its settings.
-No I/O.
-"""
+"""Draws endpoints and arrivals from a scenario's seed, and builds the settings of a relay. No I/O."""
 
 from __future__ import annotations
 
@@ -16,17 +14,17 @@
 
 @dataclass(frozen=True, slots=True)
 class HostPlan:
-    """An endpoint as it is drawn. Rates in messages a second, times in seconds."""
+    """A drawn endpoint. Rates are messages per second, times are seconds."""
 
     name: str
     dest: int
     zone: str
     kind: KindTable
-    per_s: float  # its limit, or its capacity where it has none
+    per_s: float  # rate limit, or the capacity if it has no limit
     capacity_per_s: float
-    servers: int  # messages that it works on at once
-    queue: int  # messages that may wait
-    service_time_factor: float  # factor of its service times
+    servers: int  # messages processed concurrently
+    queue: int  # messages that can wait
+    service_time_factor: float  # multiplies the work of a message
     network_s: float
     handshake_s: float
     cold_from: float
@@ -35,7 +33,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Arrival:
-    """A message that a client wants delivered, ``at_s`` after the run's begin."""
+    """A message to submit, ``at_s`` seconds after the run begins."""
 
     at_s: float
     relay: int
@@ -47,23 +45,23 @@
 
 
 def destination_weights(scenario: Scenario) -> list[float]:
-    """Each destination's share of the traffic."""
+    """Return each destination's share of the traffic (Zipf)."""
     raw = [1 / (rank + 1) ** scenario.load.skew for rank in range(scenario.partners.destinations)]
     return [weight / sum(raw) for weight in raw]
 
 
 def mean_work_s(scenario: Scenario) -> float:
-    """A message's mean time at an endpoint of usual pace."""
+    """Return a message's mean service time at an endpoint of normal speed."""
     total = sum(cls.share for cls in scenario.classes)
     return sum(cls.share * cls.work_ms / 1000 for cls in scenario.classes) / total
 
 
 def draw_hosts(scenario: Scenario) -> list[HostPlan]:
-    """Every endpoint; a destination's first has its zone drawn, the others take the next ones in turn."""
+    """Draw every endpoint; a destination's endpoints take consecutive zones from a drawn first one."""
     rng, plans = random.Random(f"hosts {scenario.seed}"), list[HostPlan]()
     partners, work_s = scenario.partners, mean_work_s(scenario)
     for dest, weight in enumerate(destination_weights(scenario)):
-        relative_load = weight * partners.destinations  # over 1: more traffic than the mean
+        relative_load = weight * partners.destinations  # above 1: more traffic than the mean
         chances = [kind.share * relative_load**kind.lean for kind in scenario.kinds]
         kind = rng.choices(scenario.kinds, chances)[0]
         count = max(1, round(rng.uniform(*partners.endpoints)))
@@ -96,8 +94,9 @@
 
 
 def draw_arrivals(scenario: Scenario) -> list[Arrival]:
-    """Every message in order of time: a Poisson stream, of which a part comes in clumps for one
-    destination.
+    """Draw all messages in time order: a Poisson process, part of it in clumps for one destination.
+
+    Listed messages of the scenario replace the drawn ones.
     """
     if scenario.messages:
         listed = sorted(scenario.messages, key=lambda message: message.at_s)
@@ -105,7 +104,7 @@
     rng, load = random.Random(f"traffic {scenario.seed}"), scenario.load
     weights, arrivals, at_s = destination_weights(scenario), list[Arrival](), 0.0
     keys = dict[tuple[int, int], list[str]]()
-    mean = 1 + load.clumps * (load.clump_size - 1)  # messages that one point of the stream brings
+    mean = 1 + load.clumps * (load.clump_size - 1)  # mean messages per point of the Poisson process
     while (at_s := at_s + rng.expovariate(load.rate_per_s / mean)) < scenario.length_s:
         dest = rng.choices(range(len(weights)), weights)[0]
         relay = draw_relay(rng, scenario)
@@ -123,7 +122,7 @@
 
 
 def draw_relay(rng: random.Random, scenario: Scenario) -> int:
-    """Which relay gets a message: any alike, or by the weights that the load names."""
+    """Draw the relay of a message: uniform, or by ``load.relay_weights``."""
     count, weights = scenario.relays.count, scenario.load.relay_weights
     if not weights:
         return rng.randrange(count)
@@ -131,7 +130,7 @@
 
 
 def draw_order_key(rng: random.Random, used: list[str], reuse: float) -> str:
-    """A key for order: one of the last few, or a new one."""
+    """Draw an ordering key: one of the last four, or a new one."""
     if used and rng.random() < reuse:
         return rng.choice(used[-4:])
     used.append(f"{rng.getrandbits(64):016x}")
@@ -141,8 +140,9 @@
 def draw_affected_hosts(
     scenario: Scenario, hosts: Sequence[HostPlan], event: EventTable, rng: random.Random
 ) -> list[str]:
-    """Endpoints that an outage strikes: one destination's, or some of one zone with ``part`` of the
-    traffic.
+    """Return the endpoints of an outage: those of ``dest``, or some of one zone.
+
+    Destinations of the zone are chosen with up to ``part`` of the traffic together, but at least one.
     """
     if event.dest >= 0:
         return [plan.name for plan in hosts if plan.dest == event.dest]
@@ -158,7 +158,7 @@
 
 
 def record_head(scenario: Scenario) -> rec.Head:
-    """The facts by which a record of the run is judged."""
+    """Build the head of the record: the facts by which the run is judged."""
     rate, total = scenario.load.rate_per_s, sum(member.share for member in scenario.members)
     rules = scenario.rules
     return rec.Head(
@@ -181,7 +181,7 @@
 
 
 def class_facts(cls: ClassTable) -> rec.ClassFacts:
-    """A class in the record's words."""
+    """Convert a class to the record's form."""
     return rec.ClassFacts(
         name=cls.name,
         effect=cls.effect,
@@ -196,7 +196,7 @@
 
 
 def relay_settings(scenario: Scenario) -> dict[str, Any]:
-    """What a relay is told, in the platform's words (its deployment and wire pages)."""
+    """Build the settings of a relay, in the names of the platform's protocol."""
     head, share = record_head(scenario), 1 / scenario.relays.count
     busy_slots = scenario.load.rate_per_s * mean_work_s(scenario) * share
     rules, figures = scenario.rules, head.figures
--- a/mallowlug/rig/world/fronts.py
+++ b/mallowlug/rig/world/fronts.py
@@ -1,5 +1,7 @@
-"""Fault points for datagrams between relays: each relay is reached through a front of its own, which knows by
-the source who sends, and treats each pair and direction as it is told: cut, loss, delay, doubled, throttled.
+"""Datagram proxies that inject faults between relays.
+
+Each relay is reached through its own proxy, which identifies the sender by source address. Faults are set for
+each pair and direction: cut, loss, delay, duplication and throttling.
 """
 
 from __future__ import annotations
@@ -16,21 +18,21 @@
 
 @dataclass(frozen=True, slots=True)
 class DatagramPath:
-    """How one direction between two relays carries datagrams. Times in seconds."""
+    """Faults of one direction between two relays. Times are seconds."""
 
     cut: bool = False
     loss_share: float = 0.0
     delay_s: float = 0.0
-    jitter_s: float = 0.0  # above the delay, drawn anew for each: so they come out of order
+    jitter_s: float = 0.0  # added to the delay, drawn for each datagram, so that they are reordered
     duplicate_share: float = 0.0
-    max_per_s: float = 0.0  # datagrams a second, what is beyond is lost; 0: no bound
+    max_per_s: float = 0.0  # datagrams per second, the excess is lost; 0: unlimited
 
 
 CLEAR_PATH = DatagramPath()
 
 
 class DatagramProxy(asyncio.DatagramProtocol):
-    """What others are told as one relay's address."""
+    """The proxy whose address other relays use for one relay."""
 
     def __init__(self, proxies: DatagramProxies, relay: str, target: Address) -> None:
         self._proxies, self.relay, self.target = proxies, relay, target
@@ -38,37 +40,39 @@
         self.address: Address = ("", 0)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self.transport = cast(asyncio.DatagramTransport, transport)  # asyncio's own is none by its class
+        self.transport = cast(
+            asyncio.DatagramTransport, transport
+        )  # asyncio's transport does not subclass DatagramTransport
         self.address = transport.get_extra_info("sockname")
 
     def datagram_received(self, data: bytes, addr: Address) -> None:
         self._proxies.route(self, addr, data)
 
     def error_received(self, exc: Exception) -> None:
-        """The relay behind it is gone: what was sent is lost."""
+        """Ignore the error: the relay is down and the datagram is lost."""
 
     def forward(self, data: bytes) -> None:
-        """Let one datagram through."""
+        """Forward one datagram to the relay."""
         if self.transport is not None and not self.transport.is_closing():
             self.transport.sendto(data, self.target)
 
 
 class DatagramProxies:
-    """All fronts, and what befalls each way."""
+    """All datagram proxies, and the faults of each path."""
 
     def __init__(self, seed: int) -> None:
         self._rng = random.Random(f"fronts {seed}")
         self.proxies: dict[str, DatagramProxy] = {}
-        self._relay_by_source: dict[Address, str] = {}  # by the address a relay sends from
+        self._relay_by_source: dict[Address, str] = {}  # by source address
         self._paths: dict[tuple[str, str], DatagramPath] = {}
         self._next_allowed_s: dict[tuple[str, str], float] = {}
         self.on_path_change: Callable[[str, str, bool], None] = lambda _one, _other, _clear: (
             None
-        )  # of every change
+        )  # called for every change of a path
         self.forwarded, self.dropped = Counter[tuple[str, str]](), Counter[tuple[str, str]]()
 
     async def add(self, relay: str, listen: Address, host: str = "127.0.0.1") -> Address:
-        """A front for a relay that listens and sends at ``listen``; its address."""
+        """Start a proxy for a relay that listens and sends at ``listen``; return the proxy address."""
         loop = asyncio.get_running_loop()
         proxy = DatagramProxy(self, relay, listen)
         await loop.create_datagram_endpoint(lambda: proxy, local_addr=(host, 0))
@@ -76,13 +80,13 @@
         return proxy.address
 
     def set_path(self, source: str, destination: str, path: DatagramPath, both: bool = True) -> None:
-        """From now on one relay's datagrams to another go so; with ``both`` the other's to it too."""
+        """Set the faults from one relay to another; with ``both`` also in the other direction."""
         for pair in ((source, destination), (destination, source)) if both else ((source, destination),):
             self._paths[pair] = path
             self.on_path_change(*pair, path == CLEAR_PATH)
 
     def partition(self, *groups: list[str]) -> None:
-        """Nothing passes between these groups."""
+        """Cut all paths between these groups."""
         for here in groups:
             for there in groups:
                 for one in here if here is not there else ():
@@ -90,13 +94,13 @@
                         self.set_path(one, other, DatagramPath(cut=True), both=False)
 
     def clear_all(self) -> None:
-        """All ways are clear."""
+        """Remove all faults."""
         for pair in list(self._paths):
             self.on_path_change(*pair, True)
         self._paths.clear()
 
     def route(self, proxy: DatagramProxy, source: Address, data: bytes) -> None:
-        """One datagram has come to a relay's front."""
+        """Forward, delay, duplicate or drop one datagram received by a proxy."""
         pair = self._relay_by_source.get(source, "?"), proxy.relay
         path, loop = self._paths.get(pair, CLEAR_PATH), asyncio.get_running_loop()
         if path.cut or self._rng.random() < path.loss_share or self._exceeds_rate(pair, path, loop.time()):
@@ -119,7 +123,7 @@
         return False
 
     def close(self) -> None:
-        """Let go of all."""
+        """Close all proxies."""
         for proxy in self.proxies.values():
             if proxy.transport is not None:
                 proxy.transport.close()
--- a/mallowlug/rig/world/host_model.py
+++ b/mallowlug/rig/world/host_model.py
@@ -1,7 +1,6 @@
-"""How a stand-in endpoint fares with what it is sent: limit, queue, waits, cold return, keys. No I/O, no
-clock.
+"""Model of a simulated endpoint: rate limit, queue, Retry-After waits, cold return, deduplication keys.
 
-Times are seconds of whatever clock the caller uses; it only has to go forward.
+It does no I/O and reads no clock. Times are seconds of any monotonic clock that the caller uses.
 """
 
 from __future__ import annotations
@@ -15,18 +14,18 @@
 from mallowlug.rig.judge import cold
 from mallowlug.rig.world.draw import HostPlan
 
-BURST_S = 0.5  # of a limit's rate that may come at once
-ITEM_COST = 0.15  # work of a further message in a call, as a share of its own
+BURST_S = 0.5  # burst that a rate limit admits, in seconds of its rate
+ITEM_COST = 0.15  # cost of each further message in a batch, as a share of its own work
 
 
 class KeyMemory:
-    """The idempotency keys that a destination's endpoints remember."""
+    """Idempotency keys that the endpoints of one destination remember."""
 
     def __init__(self) -> None:
         self._expires_s: dict[str, float] = {}
 
     def add_if_new(self, key: str, window_s: float, now_s: float) -> bool:
-        """Whether the key is new; from then on it is remembered for the window."""
+        """Return whether the key is new, and remember a new one for the window."""
         if self._expires_s.get(key, 0.0) > now_s:
             return False
         self._expires_s[key] = now_s + window_s
@@ -37,7 +36,7 @@
 
 @dataclass(slots=True, eq=False)
 class Job:
-    """One call's work; ``work_s`` is what it takes at usual pace."""
+    """The work of one call; ``work_s`` is its duration at normal speed."""
 
     call: int
     size: int
@@ -46,14 +45,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Refusal:
-    """Turned away, with a wait (seconds) or without."""
+    """A refused call, with a Retry-After wait in seconds (0: none)."""
 
     wait_s: float = 0.0
 
 
 @dataclass(slots=True)
 class HostModel:
-    """One endpoint. ``offer`` takes a call in or refuses it, ``done`` frees its server for the next one."""
+    """One endpoint: ``offer`` accepts or refuses a call, ``finish_job`` frees its server for the next one."""
 
     plan: HostPlan
     rng: random.Random
@@ -61,7 +60,7 @@
     collapse_window_s: float = 3.0
     state: Literal["up", "refuse", "silent", "shut", "fallen"] = "up"
     slowdown: float = 1.0
-    reopens_s: float = 0.0  # while shut: when it opens
+    reopens_s: float = 0.0  # end of an outage of kind ``shut``
     running: int = 0
     queue: deque[Job] = field(default_factory=deque)
     tokens: float = 1.0
@@ -70,11 +69,11 @@
     recent_arrivals: deque[tuple[int, float]] = field(default_factory=deque)
 
     def capacity_share(self, now_s: float) -> float:
-        """The share of its capacity that it has just now."""
+        """Return the share of its full capacity that is available now."""
         return self.cold_return.share(now_s * 1e6) if self.cold_return else 1.0
 
     def end_outage(self, now_s: float, work_lost: bool) -> None:
-        """An outage is over: it is up and cold; ``emptied`` of all that it was working on, or not."""
+        """End an outage: the endpoint is up and cold. ``work_lost``: running and queued calls are dropped."""
         plan = self.plan
         self.state, self.slowdown = "up", 1.0
         self.recent_arrivals.clear()
@@ -86,7 +85,7 @@
         )
 
     def collapses_on_arrival(self, size: int, now_s: float) -> bool:
-        """Take an arrival into account; whether it pushes a cold endpoint over."""
+        """Count an arrival; return whether it makes a cold endpoint collapse from overload."""
         if self.cold_return is None:
             return False
         if now_s * 1e6 > self.cold_return.at_us + self.cold_return.warm_us:
@@ -113,8 +112,9 @@
         self.tokens_updated_s = now_s
 
     def offer(self, job: Job, now_s: float) -> Refusal | float | None:
-        """Take a call in: a refusal, the seconds that it takes from now on, or None where it waits in
-        line.
+        """Accept or refuse a call.
+
+        Returns a refusal, the service time in seconds, or None if the call is queued.
         """
         if self.state == "shut":
             return self._refusal(max(0.05, self.reopens_s - now_s))
@@ -136,13 +136,13 @@
         return None
 
     def service_time_s(self, job: Job, now_s: float) -> float:
-        """How long a job runs: its own work at this endpoint's pace, slower while it is slow or cold."""
+        """Return a job's duration at this endpoint, which grows while the endpoint is slow or cold."""
         return (
             job.work_s * self.plan.service_time_factor * self.slowdown / max(0.05, self.capacity_share(now_s))
         )
 
     def finish_job(self, now_s: float) -> tuple[Job, float] | None:
-        """A job has ended: the next one in line and how long it takes."""
+        """Finish a job; return the next queued job and its service time, if there is one."""
         if not self.queue:
             self.running = max(0, self.running - 1)
             return None
@@ -150,7 +150,7 @@
         return job, self.service_time_s(job, now_s)
 
     def load_report(self, now_s: float) -> tuple[float, float] | None:
-        """The load report: share of the limit that is left, and the limit in calls a second."""
+        """Return the load report: share of the limit that is left, and the limit in calls per second."""
         if not self.plan.kind.limited:
             return None
         self._refill(now_s)
@@ -160,11 +160,14 @@
 
 
 def call_work_s(works: Sequence[float], rng: random.Random) -> float:
-    """What a call takes: the longest of its messages whole, of the others a part; each spread by exp."""
+    """Return the work of a call: its longest message in full, ``ITEM_COST`` of each other.
+
+    Each message is drawn from an exponential distribution.
+    """
     drawn = sorted((rng.expovariate(1 / work) for work in works), reverse=True)
     return drawn[0] + ITEM_COST * sum(drawn[1:])
 
 
 def first_uses(memory: KeyMemory, keys: Iterable[tuple[str, float]], now_s: float) -> list[bool]:
-    """For each message with its key (empty: none) and window, whether it takes effect now."""
+    """Return, for each (key, window), whether the message takes effect; an empty key always does."""
     return [not key or memory.add_if_new(key, window_s, now_s) for key, window_s in keys]
--- a/mallowlug/rig/world/hosts.py
+++ b/mallowlug/rig/world/hosts.py
@@ -1,4 +1,4 @@
-"""Stand-ins for partners' endpoints: they speak the platform's calls and fare as their models say."""
+"""Simulated partner endpoints: HTTP servers that answer calls as their ``HostModel`` decides."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class BadCallError(ValueError):
-    """A call that the platform's protocol does not know."""
+    """A call that violates the platform's protocol."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -29,7 +29,7 @@
 
 
 def parse_messages(request: Request, max_messages: int) -> list[CallMessage]:
-    """The messages in a call; ``BadCallError`` where it cannot be read."""
+    """Parse the messages of a call; raise ``BadCallError`` if it is malformed."""
     if request.method != "POST":
         raise BadCallError(f"method {request.method}")
     if request.target == "/hook":
@@ -47,20 +47,20 @@
             or not fields[2].isdigit()
             or rest[int(fields[2]) : int(fields[2]) + 2] != b"\r\n"
         ):
-            raise BadCallError("a batch that cannot be read")
+            raise BadCallError("malformed batch")
         ref, key, size = fields[0].decode(), fields[1].decode(), int(fields[2])
         items.append(CallMessage(ref, "" if key == "-" else key, size))
         rest = rest[size + 2 :]
     if not items or len({item.id for item in items}) < len(items):
-        raise BadCallError("a batch that is empty or names a message twice")
+        raise BadCallError("batch is empty or contains duplicate message ids")
     if len(items) > max_messages:
-        raise BadCallError(f"{len(items)} messages in a call for {max_messages}")
+        raise BadCallError(f"{len(items)} messages in a call, limit is {max_messages}")
     return items
 
 
 @dataclass(slots=True, eq=False)
 class CallInProgress:
-    """A call that has come and has no answer yet."""
+    """A received call that has no answer yet."""
 
     number: int
     connection: Connection
@@ -72,7 +72,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClassWork:
-    """What a class of message takes at an endpoint, and where and for how long its keys are remembered."""
+    """The work of a message class, and the scope and duration of its deduplication keys."""
 
     work_s: float
     window_s: float
@@ -80,32 +80,34 @@
 
 
 class HostContext:
-    """What all endpoints share: the record, the messages that were asked for, numbers, spoilt answers."""
+    """State that all endpoints share: the record, submitted messages, call numbers, fault settings."""
 
     def __init__(
         self, writer: rec.Writer, classes: dict[str, ClassWork], place: AddressAllocator | None = None
     ) -> None:
         self.writer, self.addresses = writer, place or AddressAllocator()
         self.classes = classes  # by name
-        self.submitted_classes: dict[str, str] = {}  # by id: its class
+        self.submitted_classes: dict[str, str] = {}  # class name by message id
         self.last_call_number = 0
-        self.heavy_tails: dict[str, tuple[float, float]] = {}  # by class: share, and factor of the work
-        self.corrupt_share = 0.0  # share of answers that come spoilt
+        self.heavy_tails: dict[
+            str, tuple[float, float]
+        ] = {}  # by class: share of slow messages, factor of their work
+        self.corrupt_share = 0.0  # share of answers that are corrupt
         self.bad_calls = 0
 
     def record_bad_call(self, detail: str) -> None:
-        """Note a call that the protocol does not know."""
+        """Record a call that violates the protocol."""
         self.bad_calls += 1
         self.writer.add(rec.Mark(self.writer.now, "bad call", detail))
 
     def next_call_number(self) -> int:
-        """A number for a call."""
+        """Return a new call number."""
         self.last_call_number += 1
         return self.last_call_number
 
 
 class Host(Server):
-    """One endpoint."""
+    """One endpoint and its connections."""
 
     def __init__(
         self, plan: HostPlan, book: HostContext, memory: KeyMemory, idle_s: float, seed: str
@@ -117,16 +119,16 @@
         self.calls_in_progress: dict[Connection, CallInProgress] = {}
         self.retry_after_calls: dict[
             Connection, int
-        ] = {}  # by connection: its last call, if that was told to wait
-        self._queued_calls: dict[int, CallInProgress] = {}  # by number: calls that wait for a server
-        self._outage_number = 0  # outages so far: what was begun before one is not answered after it
+        ] = {}  # last call of a connection, if it was answered with a Retry-After wait
+        self._queued_calls: dict[int, CallInProgress] = {}  # by call number: calls that wait for a server
+        self._outage_number = 0  # outages so far; calls begun before an outage are not answered after it
         self._idle_timers: dict[Connection, asyncio.TimerHandle] = {}
 
     def connection_opened(self, connection: Connection) -> None:
         self._start_idle_timer(connection)
 
     def _start_idle_timer(self, connection: Connection) -> None:
-        """A connection is idle: it is closed after its time."""
+        """Close an idle connection after ``idle_s``."""
         loop = asyncio.get_running_loop()
         self._idle_timers[connection] = loop.call_later(self.idle_s, connection.close)
 
@@ -140,19 +142,21 @@
             self.context.writer.add(rec.Gone(self.context.writer.now, call.number, by))
 
     def request_malformed(self, connection: Connection) -> None:
-        self.context.record_bad_call(f"{self.plan.name}: no request")
+        self.context.record_bad_call(f"{self.plan.name}: malformed request")
 
     def request_received(self, request: Request) -> None:
-        """A call has come: it is taken in, refused, or taken and never answered."""
+        """Accept or refuse a call; while the endpoint is silent, accept it and never answer."""
         connection, context = request.connection, self.context
-        self.retry_after_calls.pop(connection, None)  # whoever calls on has heard
+        self.retry_after_calls.pop(
+            connection, None
+        )  # the relay sent another call, so it has received the wait
         if timer := self._idle_timers.pop(connection, None):
             timer.cancel()
         try:
             messages = parse_messages(request, self.plan.kind.batch)
             unknown = [item.id for item in messages if item.id not in context.submitted_classes]
             if unknown:
-                raise BadCallError(f"nobody handed in {unknown[0]}")
+                raise BadCallError(f"no client submitted {unknown[0]}")
         except (BadCallError, UnicodeDecodeError) as error:
             context.record_bad_call(f"{self.plan.name}: {error}")
             connection.answer(400)
@@ -193,7 +197,7 @@
         return work_s * (factor if self.rng.random() < share else 1.0)
 
     def _schedule(self, delay_s: float, then: Any, *args: object) -> None:
-        """Do something later, unless an outage comes first."""
+        """Run a callback after a delay, unless an outage begins first."""
         life = self._outage_number
 
         def run() -> None:
@@ -207,7 +211,7 @@
         self._schedule(service_s + handshake_s + self.plan.network_s, self._finish_call, call)
 
     def _finish_call(self, call: CallInProgress) -> None:
-        """A call's work is done, whether or not anybody still waits for it."""
+        """Finish a call's work, whether or not the relay still waits for the answer."""
         next_job = self.model.finish_job(self.now())
         if next_job is not None:
             job, service_s = next_job
@@ -226,9 +230,10 @@
         self._start_idle_timer(call.connection)
 
     def _record_execution(self, call: CallInProgress) -> None:
-        """Its messages have run; a key that is remembered has no effect again.
+        """Record that a call's messages were executed; a remembered key has no second effect.
 
-        The window binds when a call is sent, so a key counts by when its call began, however late it ends.
+        The deduplication window applies when a call is sent, so it is checked at the time the call began,
+        however late the call ends.
         """
         writer = self.context.writer
         keys = [self._deduplication_key(item) for item in call.messages]
@@ -236,7 +241,7 @@
             writer.add(rec.Ran(writer.now, call.number, self.plan.name, item.id, effect))
 
     def _deduplication_key(self, item: CallMessage) -> tuple[str, float]:
-        """The key of a message as its destination remembers it (empty: none), and for how long."""
+        """Return a message's deduplication key (empty: none), with its zone if scoped, and its window."""
         cls = self.context.classes[self.context.submitted_classes[item.id]]
         key = f"{self.plan.zone} {item.key}" if item.key and cls.by_zone else item.key
         return key, cls.window_s
@@ -268,7 +273,10 @@
         self._start_idle_timer(call.connection)
 
     def _answer_corrupt(self, call: CallInProgress) -> None:
-        """An answer that cannot be believed, but for a first line with 200 to a call with one message."""
+        """Send a corrupt answer.
+
+        Only variant 0 (a 200 status line) to a call with one message still states a valid result: delivered.
+        """
         variant = self.rng.randrange(4)
         readable = variant == 0 and len(call.messages) == 1
         results: Any = {item.id: "delivered" if readable else "error" for item in call.messages}
@@ -283,7 +291,10 @@
         )
 
     def begin_outage(self, kind: str, slowdown: float, duration_s: float) -> bool:
-        """An outage begins: ``refuse``, ``silent``, ``slow`` or ``shut``; not where there is one already."""
+        """Begin an outage (``refuse``, ``silent``, ``slow`` or ``shut``).
+
+        Returns False if another outage is in progress.
+        """
         if self.model.state != "up" or self.model.slowdown != 1.0:
             return False
         self.context.writer.add(rec.Life(self.context.writer.now, self.plan.name, "out"))
@@ -304,7 +315,7 @@
         return True
 
     async def end_outage(self) -> None:
-        """The outage is over: it comes back cold, and what hung on it is broken off."""
+        """End the outage: the endpoint returns cold, and connections with unanswered calls are reset."""
         if self.model.state == "fallen":
             return
         refused, work_lost = self.model.state == "refuse", self.model.state in ("refuse", "silent")
--- a/mallowlug/rig/world/httpd.py
+++ b/mallowlug/rig/world/httpd.py
@@ -1,4 +1,4 @@
-"""A small HTTP/1.1 server for stand-ins, on h11: it tells when a request's first and last byte came."""
+"""A small HTTP/1.1 server on h11 that timestamps the first and last byte of each request."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 @dataclass(slots=True, eq=False)
 class Request:
-    """One whole request; times in seconds of the loop's clock, which is the machine's monotonic one."""
+    """One complete request; times are seconds of the event loop's monotonic clock."""
 
     connection: Connection
     method: str
@@ -30,12 +30,12 @@
 
 
 class Connection(asyncio.Protocol):
-    """One peer's connection, one request at a time, in order."""
+    """A connection that serves one request at a time, in order."""
 
     def __init__(self, server: Server) -> None:
         self.number, self.server = next(server.connection_numbers), server
         self.transport: asyncio.Transport | None = None
-        self.requests = 0  # whole requests so far
+        self.requests = 0  # complete requests so far
         self._parser = h11.Connection(h11.SERVER)
         self._first_byte_s: float | None = None
         self._head: h11.Request | None = None
@@ -70,7 +70,7 @@
             elif isinstance(event, h11.Data):
                 self._body += event.data
                 if len(self._body) > MAX_BODY_BYTES:
-                    raise h11.RemoteProtocolError("a body without end")
+                    raise h11.RemoteProtocolError("request body too large")
             elif isinstance(event, h11.EndOfMessage):
                 self._finish_request()
             else:  # NEED_DATA, PAUSED or ConnectionClosed
@@ -95,11 +95,11 @@
 
     @property
     def is_open(self) -> bool:
-        """Whether something can still be written."""
+        """Whether data can still be written."""
         return self.transport is not None and not self.transport.is_closing()
 
     def answer(self, status: int, headers: dict[str, str] | None = None, body: bytes = b"") -> None:
-        """Write a whole answer; the connection is ready for the next request."""
+        """Write a complete response; the connection is then ready for the next request."""
         header_list = [*(headers or {}).items()]
         if status != 204:
             header_list.append(("Content-Length", str(len(body))))
@@ -115,29 +115,29 @@
             self.close()
 
     def start_stream(self) -> None:
-        """Begin an answer without a length: chunks follow by ``chunk``."""
+        """Begin a chunked response; ``send_chunk`` adds to it."""
         self.streaming = True
         headers = [("Transfer-Encoding", "chunked")]
         self.write_raw(self._parser.send(h11.Response(status_code=200, headers=headers, reason=b"OK")) or b"")
 
     def send_chunk(self, data: bytes) -> None:
-        """One chunk of a streamed answer."""
+        """Write one chunk of a chunked response."""
         if self.is_open:
             self.write_raw(self._parser.send(h11.Data(data=data)) or b"")
 
     def write_raw(self, data: bytes) -> None:
-        """Write bytes as they are."""
+        """Write bytes without HTTP framing."""
         if self.is_open:
             assert self.transport is not None
             self.transport.write(data)
 
     def close(self) -> None:
-        """Close in order."""
+        """Close gracefully."""
         if self.transport is not None:
             self.transport.close()
 
     def reset(self) -> None:
-        """Break the connection."""
+        """Reset the connection (TCP RST)."""
         if self.transport is None:
             return
         with contextlib.suppress(OSError):  # closed already
@@ -147,37 +147,38 @@
 
 
 def random_loopback() -> str:
-    """A loopback address of one's own: on 127.0.0.1 some connection may hold a port between two listeners."""
+    """Return a random loopback address.
+
+    On 127.0.0.1 an outgoing connection could take the port while a server is not listening.
+    """
     return "127." + ".".join(str(secrets.randbelow(253) + 1) for _ in range(3))
 
 
 @dataclass(slots=True)
 class AddressAllocator:
-    """Where a run's stand-ins are: the addresses that they get (port 0: a free one), and the numbers of their
-    connections.
-    """
+    """Allocates the addresses of a run's servers (port 0: any free port) and their connection numbers."""
 
     allocate: Callable[[], tuple[str, int]] = lambda: (random_loopback(), 0)
     connection_numbers: Iterator[int] = field(default_factory=lambda: itertools.count(1))
 
 
 class Server:
-    """Listens on an address of its own; what is done with requests is a subclass's."""
+    """An HTTP server on its own address; subclasses handle the requests."""
 
     def __init__(self, place: AddressAllocator) -> None:
         self.now = asyncio.get_running_loop().time
         self.address, self.connection_numbers = place.allocate(), place.connection_numbers
-        self.connections: dict[Connection, None] = {}  # in order, so that what is broken off goes in order
+        self.connections: dict[Connection, None] = {}  # ordered, so that resets happen in a fixed order
         self._listener: asyncio.Server | None = None
 
     async def listen(self) -> None:
-        """Listen: at first on a free port, later on the same one again."""
+        """Listen on a free port the first time, and on the same port after that."""
         loop, (host, port) = asyncio.get_running_loop(), self.address
         self._listener = await loop.create_server(lambda: Connection(self), host, port, backlog=512)
         self.address = self._listener.sockets[0].getsockname()[:2]
 
     def stop_listening(self) -> None:
-        """Take no new connection and break those that are open."""
+        """Stop accepting connections and reset the open ones."""
         if self._listener is not None:
             self._listener.close()
             self._listener = None
@@ -185,14 +186,14 @@
             connection.reset()
 
     def connection_opened(self, connection: Connection) -> None:
-        """A connection is new."""
+        """Handle a new connection."""
 
     def connection_closed(self, connection: Connection) -> None:
-        """A connection is gone."""
+        """Handle a closed connection."""
 
     def request_malformed(self, connection: Connection) -> None:
-        """A peer sent what is no request."""
+        """Handle input that is not a valid HTTP request."""
 
     def request_received(self, request: Request) -> None:
-        """A whole request has come."""
+        """Handle a complete request."""
         raise NotImplementedError
--- a/mallowlug/rig/world/platform.py
+++ b/mallowlug/rig/world/platform.py
@@ -1,5 +1,6 @@
-"""Stand-ins for the platform: discovery with its watches, and the notices. Each relay has an address of its
-own, so that it is known who watches and who tells an end.
+"""Simulated platform services: endpoint discovery with watches, and notices.
+
+Each relay has its own server address, which identifies the relay that watches or sends a notice.
 """
 
 from __future__ import annotations
@@ -13,19 +14,19 @@
 from mallowlug.rig.judge import record as rec
 from mallowlug.rig.world.httpd import AddressAllocator, Connection, Request, Server
 
-HEARTBEAT_S = 1.5  # s between empty lines while nothing changes
+HEARTBEAT_S = 1.5  # s between empty lines that keep a watch alive
 HEALTH_BY_STATE: dict[str, Any] = {"ready": "SERVING", "draining": "DRAINING", "gone": "DELETED"}
 
 
 class EndpointDirectory:
-    """The list of endpoints in its versions: the truth, and what watches have been told so far."""
+    """The versioned list of endpoints that discovery publishes."""
 
     def __init__(self) -> None:
         self.seq = 0
         self.entries: dict[str, dict[str, Any]] = {}
 
     def set_state(self, host: str, state: str, **fields: Any) -> dict[str, Any]:
-        """A new version with one change; the entry as it is told."""
+        """Change one endpoint in a new version; return the entry as published."""
         self.seq += 1
         entry = self.entries.get(host, {"host": host, "share": 1.0, "born_ms": 0})
         entry = entry | fields | {"health": HEALTH_BY_STATE[state]}
@@ -36,12 +37,12 @@
         return entry
 
     def snapshot(self) -> dict[str, Any]:
-        """The list as it stands."""
+        """Return the complete current list."""
         return {"seq": self.seq, "whole": True, "hosts": list(self.entries.values())}
 
 
 class DiscoveryServer(Server):
-    """Discovery and notices at one relay's address."""
+    """Discovery and notices at the address of one relay."""
 
     def __init__(
         self,
@@ -54,25 +55,29 @@
         super().__init__(place)
         self.relay, self.directory, self.writer, self.on_notice = relay, listing, writer, ended
         self.down = False
-        self.dial_address: Callable[[str], str] = str  # by endpoint: where this relay reaches it
+        self.dial_address: Callable[[str], str] = str  # endpoint name to the address this relay connects to
         self.watches: dict[Connection, None] = {}
-        self.last_sent = {"seq": 0, "whole": True, "hosts": []}  # told last, for its relay's next start
+        self.last_sent = {
+            "seq": 0,
+            "whole": True,
+            "hosts": [],
+        }  # last list sent; the relay's next start gets it
         self._heartbeat_timer: asyncio.TimerHandle | None = None
         self._blocked = False
-        self._withheld: list[tuple[str, Any]] = []  # written while nothing passes
+        self._withheld: list[tuple[str, Any]] = []  # sent while the link is blocked
 
     def set_blocked(self, blocked: bool) -> None:
-        """Between it and the relay nothing passes: what is written now is not told."""
+        """Block or unblock the link to the relay: updates written while blocked are not received."""
         if self._blocked != blocked and self.watches:
             self.writer.add(rec.Watch(self.writer.now, self.relay, not blocked))
         self._blocked = blocked
-        if not blocked:  # what was written meanwhile arrives now, if its connection has lasted
+        if not blocked:  # updates written meanwhile arrive now, if the connection survived
             for host, state in self._withheld:
                 self.writer.add(rec.Told(self.writer.now, self.relay, host, state))
             self._withheld.clear()
 
     async def listen(self) -> None:
-        """Listen, and keep watches from falling silent."""
+        """Listen, and send heartbeats to the watches."""
         await super().listen()
         self._send_heartbeats()
 
@@ -95,7 +100,7 @@
                 self.writer.add(rec.Watch(self.writer.now, self.relay, False))
 
     def request_received(self, request: Request) -> None:
-        """A watch, or notices; notices are taken also while discovery is down."""
+        """Serve the list, a watch or notices; notices are accepted even while discovery is down."""
         if request.method == "POST" and request.target == "/v1/notices":
             self._receive_notices(request)
         elif request.method != "GET" or not request.target.startswith("/discovery/hosts"):
@@ -134,7 +139,7 @@
         request.connection.answer(204)
 
     def with_dial_addresses(self, update: dict[str, Any]) -> dict[str, Any]:
-        """News with the addresses under which this relay reaches the endpoints."""
+        """Add to an update the addresses that this relay connects to."""
         return update | {"hosts": [e | {"dial": self.dial_address(e["host"])} for e in update["hosts"]]}
 
     def _send_update(self, connection: Connection, update: dict[str, Any]) -> None:
@@ -144,26 +149,26 @@
             state = state_by_health[entry["health"]]
             if self._blocked and state != "ready":
                 self._withheld.append((entry["host"], state))
-            else:  # a link that is cut after some bytes may have let it pass: whoever heard it may send
+            else:  # a link cut after some bytes may have passed it, and a relay that received it may send
                 self._withheld = [withheld for withheld in self._withheld if withheld[0] != entry["host"]]
                 self.writer.add(rec.Told(self.writer.now, self.relay, entry["host"], state))
         connection.send_chunk(json.dumps(update).encode() + b"\n")
         self.last_sent = self.with_dial_addresses(self.directory.snapshot())
 
     def send_change(self, entry: dict[str, Any], seq: int) -> None:
-        """Tell the watches what changed."""
+        """Send a change to all watches."""
         for connection in self.watches:
             self._send_update(connection, {"seq": seq, "whole": False, "hosts": [entry]})
 
     def go_down(self) -> None:
-        """Discovery goes down: watches end."""
+        """Take discovery down and reset the watches."""
         self.down = True
         for connection in list(self.watches):
             connection.reset()
 
 
 class Platform:
-    """One directory for all relays, each at an address of its own; its news is late."""
+    """One endpoint directory for all relays, each with its own server; changes are published late."""
 
     def __init__(
         self,
@@ -185,7 +190,7 @@
         self.dial_address: Callable[[str, str], str] = lambda _relay, host: host
 
     async def add_server(self, relay: str) -> DiscoveryServer:
-        """Discovery at a new address for a relay; one that it had before stays until it is stopped."""
+        """Start discovery at a new address for a relay; a previous server runs until it is stopped."""
         server = DiscoveryServer(relay, self.directory, self.writer, self._forward_notice, self._addresses)
         server.dial_address = lambda host: self.dial_address(relay, host)
         if previous := self.servers.get(relay):
@@ -199,7 +204,7 @@
         self.on_notice(notice)
 
     def set_state(self, host: str, state: Any, delayed: bool = True, **fields: Any) -> None:
-        """The truth changes now; the list says so some time later."""
+        """Change an endpoint's state now; the list shows it after a random delay if ``delayed``."""
         self.writer.add(rec.Listed(self.writer.now, host, state))
         if delayed:
             delay_s = self._rng.uniform(*self._delay_range_s)
@@ -213,12 +218,12 @@
             server.send_change(entry, self.directory.seq)
 
     def go_down(self) -> None:
-        """Discovery goes down everywhere."""
+        """Take discovery down for all relays."""
         for server in self.servers.values():
             server.go_down()
 
     def come_back(self) -> None:
-        """Discovery is back."""
+        """Restore discovery for all relays."""
         for server in self.servers.values():
             server.down = False
 
--- a/mallowlug/rig/world/proxy.py
+++ b/mallowlug/rig/world/proxy.py
@@ -1,8 +1,8 @@
-"""A fault proxy between two parts: it delays, cuts, falls silent, drips or resets, and never reorders.
+"""A TCP proxy that injects faults: delay, cut, silence, byte-by-byte transfer. It never reorders bytes.
 
-One pump for each direction of a connection takes bytes in the order in which they come and hands them on in
-that order, whatever the fault: TCP would not reorder them, so the proxy must not either. A delay that gets
-shorter lets nothing overtake what was taken in before.
+Each direction of a connection forwards bytes in the order of arrival, whatever the fault: TCP does not
+reorder bytes, so the proxy must not either. After a delay is shortened, later bytes still wait for
+earlier ones.
 """
 
 from __future__ import annotations
@@ -17,15 +17,16 @@
 from mallowlug.rig.world.httpd import AddressAllocator
 
 READ_BYTES = 16 * 1024
-DRIP_INTERVAL_S = 0.002  # s between bytes
+DRIP_INTERVAL_S = 0.002  # s between bytes under a drip fault
 
 
 @dataclass(frozen=True, slots=True)
 class LinkFault:
-    """What happens to bytes from now on; as it stands here, nothing.
+    """A fault applied to forwarded bytes; the defaults mean no fault.
 
-    ``cut_after``: both sides are reset once so many bytes have passed one way (-1: never). ``silent``:
-    nothing passes, connections stay open, new ones come up and stay silent as well. ``drip``: byte by byte.
+    ``cut_after``: reset both sides once this many bytes have passed in one direction (-1: never). ``silent``:
+    no bytes pass, open connections stay open, new ones are accepted and pass nothing either.
+    ``drip``: forward byte by byte.
     """
 
     delay_s: float = 0.0
@@ -38,7 +39,7 @@
 
 
 def reset_connection(writer: asyncio.StreamWriter) -> None:
-    """Reset a connection; one that is closed already stays as it is."""
+    """Reset a connection; a closed one is left as it is."""
     with contextlib.suppress(OSError):
         sock = writer.get_extra_info("socket")
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
@@ -46,7 +47,7 @@
 
 
 class FaultProxy:
-    """Listens for one side and connects to the other for each of its connections."""
+    """Accepts connections and forwards each to the target, applying the current fault."""
 
     def __init__(self, target: Callable[[], tuple[str, int]], place: AddressAllocator | None = None) -> None:
         self._target = target
@@ -57,18 +58,18 @@
         self.connections = 0
 
     async def listen(self) -> None:
-        """Begin to listen on a free port."""
+        """Start listening."""
         self._server = await asyncio.start_server(self._serve, *self.address)
         self.address = self._server.sockets[0].getsockname()[:2]
 
     def set_fault(self, fault: LinkFault) -> None:
-        """From now on."""
+        """Apply a fault from now on, to open connections too."""
         self._fault = fault
         self._changed.set()
         self._changed = asyncio.Event()
 
     def close(self) -> None:
-        """Stop listening and break all connections."""
+        """Stop listening and reset all connections."""
         if self._server is not None:
             self._server.close()
         for task in self._tasks:
@@ -94,7 +95,7 @@
                     reset_connection(side)
 
     async def _forward(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """One direction: a queue of what came and when it is due, so that a delay costs no throughput."""
+        """Forward one direction through a queue of due times, so that a delay does not reduce throughput."""
         queue: asyncio.Queue[tuple[float, bytes]] = asyncio.Queue(64)
         async with asyncio.TaskGroup() as group:
             group.create_task(self._read_side(reader, queue))
@@ -125,7 +126,7 @@
             bytes_passed = await self._write_with_fault(data, writer, bytes_passed)
 
     async def _write_with_fault(self, data: bytes, writer: asyncio.StreamWriter, bytes_passed: int) -> int:
-        """Write what is to pass of it; ``OSError`` where the connection is cut here."""
+        """Write the part that the fault allows; raise ``ConnectionResetError`` at the cut."""
         fault = self._fault
         allowed = len(data) if fault.cut_after < 0 else max(0, fault.cut_after - bytes_passed)
         data, cut = data[:allowed], len(data) > allowed
--- a/mallowlug/rig/world/replay.py
+++ b/mallowlug/rig/world/replay.py
@@ -1,6 +1,4 @@
-"""A record's traffic as a scenario: who wanted what, when, played again in the same world or another one.
-No I/O.
-"""
+"""Extracts the traffic of a record, to replay it in the same or another simulated environment. No I/O."""
 
 from __future__ import annotations
 
@@ -12,25 +10,23 @@
 
 
 def first_submissions(record: rec.Record) -> list[rec.Ask]:
-    """What clients wanted, each message once; retries are their habits and come by themselves."""
+    """Return the first submission of each message; simulated clients make the retries themselves."""
     first_by_id: dict[str, rec.Ask] = {}
     for event in record.events:
         if isinstance(event, rec.Ask) and not event.first:
-            first_by_id.setdefault(
-                event.id, event
-            )  # one written once more on a new connection is one message
+            first_by_id.setdefault(event.id, event)  # one resent on a new connection has the same id
     return list(first_by_id.values())
 
 
 def traffic_only(record: rec.Record) -> rec.Record:
-    """A record of the first tries alone: small enough to be shipped, and replayed like any other."""
+    """Reduce a record to its first submissions: small enough to ship, and replayed like any other."""
     firsts = first_submissions(record)
     end = rec.End(firsts[-1].at if firsts else 0, len(firsts))
     return rec.Record(record.head, [*firsts, end], True)
 
 
 def arrivals_from(record: rec.Record) -> list[Arrival]:
-    """The first tries as arrivals, counted from the first of them."""
+    """Convert the first submissions to arrivals, timed from the first one."""
     firsts = first_submissions(record)
     relays = {name: number for number, name in enumerate(sorted({ask.relay for ask in firsts}))}
     start_us = firsts[0].at if firsts else 0
@@ -41,7 +37,7 @@
 
 
 def scenario_from(record: rec.Record) -> Scenario:
-    """The world that a record was made in; ``RecordError`` where its head does not hold one."""
+    """Return the scenario in the head of a record; raise ``RecordError`` if it holds no valid one."""
     try:
         return Scenario.model_validate(record.head.scenario)
     except ValidationError as error:
--- a/mallowlug/rig/world/scenario.py
+++ b/mallowlug/rig/world/scenario.py
@@ -1,7 +1,7 @@
-"""A scenario: what a run is to be, as a TOML file with a seed; every mistake in it is named with its line.
+"""Scenario files: TOML with a seed that describes a run; every mistake is reported with its line.
 
-Shapes: a range is two numbers, low and high, of which each host draws one. Times are seconds (``_s``) or
-milliseconds (``_ms``), rates are messages a second over all relays.
+A range is two numbers, low and high, from which each host draws a value. Times are seconds (``_s``) or
+milliseconds (``_ms``), rates are messages per second over all relays.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 
 def check_range(values: tuple[float, ...]) -> tuple[float, ...]:
-    """A range's low end comes first."""
+    """Check that the low end of a range comes first."""
     if values[0] > values[1]:
         raise ValueError("the low end is above the high one")
     return values
@@ -30,20 +30,20 @@
 
 
 class LoadTable(toml_check.Strict):
-    """``[load]``: how many messages, and how they come."""
+    """``[load]``: message rate and arrival pattern."""
 
     rate_per_s: float = Field(gt=0, le=20_000)
-    clumps: Share = 0.1  # share of the messages that come in clumps for one destination
+    clumps: Share = 0.1  # share of the messages that arrive in clumps for one destination
     clump_size: int = Field(default=6, ge=1)
     skew: float = Field(default=0.9, ge=0, le=3)  # Zipf exponent over destinations
     body: int = Field(default=200, ge=0, le=65_536)  # bytes
-    key_reuse: Share = 0.5  # in classes with order: share of messages with a key that is in use
-    # How much traffic each relay gets beside the others, in turn; none: all alike.
+    key_reuse: Share = 0.5  # in ordered classes: share of messages with a recently used key
+    # Relative traffic of each relay, repeated cyclically; empty: uniform.
     relay_weights: tuple[Annotated[float, Field(gt=0)], ...] = Field(default=(), strict=False)
 
 
 class ClassTable(toml_check.Strict):
-    """``[[class]]``: a class of message."""
+    """``[[class]]``: a message class."""
 
     name: str = Field(pattern=r"^[!-+\--<>-~]{1,64}$")
     share: float = Field(gt=0)
@@ -63,16 +63,16 @@
 
     name: str = Field(pattern=r"^[!-+\--<>-~]{1,64}$")
     share: float = Field(gt=0)
-    lean: float = 0.0  # 1: mostly destinations with much traffic
+    lean: float = 0.0  # above 0: favours destinations with much traffic
     batch: int = Field(default=1, ge=1, le=100)
     apart: bool = True
-    limited: bool = False  # a rate limit; else capacity alone
-    headroom: Range = (1.3, 2.5)  # limit or capacity over the load at rate_per_s
+    limited: bool = False  # has a rate limit; otherwise only its capacity limits it
+    headroom: Range = (1.3, 2.5)  # limit or capacity, as a multiple of the load at rate_per_s
     least_per_s: Range = (1.5, 3.7)
-    tells_wait: Share = 0.8  # of its refusals
+    tells_wait: Share = 0.8  # share of its refusals that state a wait
     wait_ms: Range = (270, 720)
-    refused_count: bool = False  # refused calls use up the limit too
-    queue_s: Range = (0.3, 1.0)  # of its capacity
+    refused_count: bool = False  # refused calls count against the limit too
+    queue_s: Range = (0.3, 1.0)  # seconds of its capacity
     error_rate: Share = 0.003
     handshake_ms: Range = (20, 60)
 
@@ -90,12 +90,12 @@
 
 
 class ClientsTable(toml_check.Strict):
-    """``[clients]``: the habits of clients."""
+    """``[clients]``: the behaviour of clients."""
 
     retries: int = Field(default=2, ge=0, le=10)
     backoff_s: Range = (0.5, 1.4)
-    honour: Share = 0.8  # of told waits
-    marks: bool = False  # whether a retry is marked
+    honour: Share = 0.8  # share of Retry-After waits that clients honour
+    marks: bool = False  # whether retries are marked as such
     answer_s: float = Field(default=0.4, gt=0)
 
 
@@ -103,22 +103,26 @@
     """``[relays]``: the processes under test and their limits."""
 
     count: int = Field(default=2, ge=1, le=200)
-    slots_room: float = Field(default=1.9, gt=0)  # over what the load keeps busy
-    hold_s: float = Field(default=9.0, gt=0)  # of the load
+    slots_room: float = Field(
+        default=1.9, gt=0
+    )  # concurrent calls, as a multiple of what the load keeps busy
+    hold_s: float = Field(default=9.0, gt=0)  # seconds of the load that a relay may hold open
     sockets: int = Field(default=384, ge=32)
     disk_mb: float = Field(default=3.0, gt=0)
-    back_s: float = Field(default=0.6, ge=0)  # from a process's end to its next start
-    durable: bool = False  # their journals outlast the loss of power
-    console: bool = False  # they have consoles, and can be upgraded; simulated relays alone
-    fleet: bool = False  # they keep a view of each other; simulated relays alone
-    staff: bool = False  # seeds let staff take hosts out and back
-    reloads: bool = False  # seeds change the relays' file at every stage of an upgrade
-    awake: int = Field(default=1024, ge=1)  # destinations that stay awake; simulated relays alone
-    rest_s: float = Field(default=60.0, gt=0)  # without a use, after which one may sleep; the same
+    back_s: float = Field(default=0.6, ge=0)  # from a process's exit to its next start
+    durable: bool = False  # their journals survive a power loss
+    console: bool = False  # they have consoles and can be upgraded; simulated relays only
+    fleet: bool = False  # they form a fleet; simulated relays only
+    staff: bool = False  # seeds include operators who disable and enable hosts
+    reloads: bool = False  # seeds change the configuration file at every stage of an upgrade
+    awake: int = Field(default=1024, ge=1)  # destinations that stay active; simulated relays only
+    rest_s: float = Field(
+        default=60.0, gt=0
+    )  # idle time after which one may become inactive; simulated relays only
 
 
 class RulesTable(toml_check.Strict):
-    """``[rules]``: the figures that are not a class's."""
+    """``[rules]``: limits that do not depend on the class."""
 
     drain_grace_s: float = Field(default=0.5, ge=0)
     ask_within_s: float = Field(default=6.0, gt=0)
@@ -127,24 +131,24 @@
     order_pause_s: float = Field(default=0.0, ge=0)
     max_attempts: int = Field(default=6, ge=1)
     max_retry_after_s: float = Field(default=2.0, ge=0)
-    second_copies: bool = True  # whether a message may go again while a call that carries it is out
+    second_copies: bool = True  # whether a message may be sent again while a call with it is in progress
 
 
 class DirectoryTable(toml_check.Strict):
-    """``[directory]``: how late its news is."""
+    """``[directory]``: delay of published changes."""
 
     late_s: Range = (0.7, 2.5)
 
 
 class MemberTable(toml_check.Strict):
-    """``[[member]]``: its share of the load, and how much of that it uses."""
+    """``[[member]]``: a tenant, its share of the load, and how much of that it uses."""
 
     name: str = Field(pattern=r"^[!-+\--<>-~]{1,64}$")
     share: float = Field(gt=0)
     usage: float = Field(default=1.0, ge=0)
 
 
-# What a scenario has that names no classes, kinds or members of its own: the site's, by the BRIEF's figures.
+# Defaults for scenarios without classes, kinds or members: the values of the modelled site.
 POSTINGS = ClassTable(
     name="payment-postings", share=0.69, effect="keyed", work_ms=74.0, aim_s=4.0, deadline_s=12.0,
     late_worth=0.4, window_s=25.0, by_zone=True,
@@ -170,29 +174,29 @@
 OUTAGE_EVENTS = ("refuse", "silent", "slow", "shut")
 DIRECTORY_EVENTS = ("drain", "remove", "replace")
 LINK_FAULT_EVENTS = ("delay", "cut", "silence", "drip")
-# What only a simulation can do to a relay.
+# Events that only a simulation can apply.
 SIMULATION_EVENTS = ("stall", "jump", "full", "apart", "power", "upgrade", "out", "reload")
 
 
 class EventTable(toml_check.Strict):
-    """``[[event]]``: what happens at a time.
+    """``[[event]]``: a fault or change at a given time.
 
-    ``kill``, ``term``, ``hup``, ``wipe`` end or signal a relay (``wipe`` loses its folder too); ``move``
-    gives the directory another address and sends SIGHUP to all. ``refuse``, ``silent``, ``slow`` and ``shut``
-    strike endpoints of one zone that get ``part`` of the traffic, or of one ``dest``. ``drain``, ``remove``
+    ``kill``, ``term``, ``hup``, ``wipe`` stop or signal a relay (``wipe`` deletes its folder too); ``move``
+    gives the directory a new address and sends SIGHUP to all relays. ``refuse``, ``silent``, ``slow`` and
+    ``shut`` affect endpoints of one zone that get ``part`` of the traffic, or of one ``dest``. ``drain``, ``remove``
     and ``replace`` change ``count`` endpoints in the directory. ``heavy_tail`` makes ``part`` of a class
-    ``size`` times as long, ``directory_out`` takes the directory away, ``garble`` spoils ``part`` of the
-    answers, ``rude`` brings ``count`` rude clients. ``delay``, ``cut``, ``silence`` and ``drip`` strike the
-    links ``between`` two parts. Only in the simulation: ``stall`` lets a relay stand still, ``jump`` moves
-    its wall clock by ``size`` seconds (``back`` for the past), ``full`` fills its disk, ``apart`` cuts it off
-    from all, ``power`` lets its machine lose power and come back with what was synced (``relays.durable``),
-    ``upgrade`` starts a second process beside it and ends the first once that is ready (``relays.console``);
-    with ``len_s`` the first one is killed so long after the second's start, with ``back`` the second one.
-    ``out`` lets staff take ``count`` endpoints out at a relay and restart them, and take them back.
-    ``crowd`` opens ``count`` connections to every relay that say nothing, and keeps them open.
-    ``reload`` puts another ``file`` in place, whole or ``broken``, and sends SIGHUP; with ``back`` to the
-    process that was started last, be it in line, owner or gone; with ``unsaid`` to none. With ``len_s`` a
-    whole file is back so long after it, and told.
+    ``size`` times as long, ``directory_out`` takes the directory down, ``garble`` corrupts ``part`` of the
+    answers, ``rude`` starts ``count`` malformed clients. ``delay``, ``cut``, ``silence`` and ``drip`` affect
+    the links ``between`` two parts. Only in the simulation: ``stall`` suspends a relay, ``jump`` moves
+    its wall clock by ``size`` seconds (``back`` for the past), ``full`` fills its disk, ``apart`` isolates it
+    from the network, ``power`` cuts its power and keeps only what was synced (``relays.durable``),
+    ``upgrade`` starts a second process beside it and stops the first once that is ready (``relays.console``);
+    with ``len_s`` the first one is killed that long after the second's start, with ``back`` the second one.
+    ``out`` lets operators disable ``count`` endpoints at a relay, restart them and enable them.
+    ``crowd`` opens ``count`` idle connections to every relay and keeps them open.
+    ``reload`` installs another ``file``, valid or ``broken``, and sends SIGHUP; with ``back`` to the
+    process started last, whether it waits for ownership, is the owner or has exited; with ``unsaid`` to none.
+    With ``len_s`` a valid file is restored that long after it, with a SIGHUP.
     """
 
     at_s: float = Field(ge=0)
@@ -217,30 +221,30 @@
     unsaid: bool = False
 
 
-# What a system call is named by: with what it writes or sends, where that differs.
+# Names of system calls; writes and sends also name their content.
 SYSTEM_CALLS = (
     "write.in", "write.try", "write.not", "write.end", "write.over", "write.journal.new", "replace",
     "truncate", "open", "unlink", "read", "connect", "send.call", "send.notice", "send.watch", "send.answer",
 )  # fmt: skip
 
-SYNC_CALLS = ("sync", "sync_folder")  # made only where journals are durable
+SYNC_CALLS = ("sync", "sync_folder")  # made only with durable journals
 
 
 class NetTable(toml_check.Strict):
-    """``[net]``: the simulation's links; each direction of a connection draws its own figures."""
+    """``[net]``: links of the simulation; each direction of a connection draws its own values."""
 
     latency_ms: Range = (0.05, 0.2)
     jitter_ms: Range = (0, 0)
-    bytes_per_s: Range = (0, 0)  # 0: no bound
+    bytes_per_s: Range = (0, 0)  # 0: unlimited
     piece: tuple[int, int] = Field(default=(0, 0), strict=False)  # bytes of a segment; 0: as sent
 
 
 class StrikeTable(toml_check.Strict):
-    """``[[strike]]``: what befalls one system call or step of a relay's life; only in the simulation.
+    """``[[strike]]``: a fault at one system call or step of a relay process; only in the simulation.
 
-    ``at`` counts, in that life, its system calls (``call``) or the steps of its loop (``step``); with
-    ``call`` named, only such calls (``write``), or only those with such content (``write.try``). ``kill``
-    ends the life ``before``, ``within`` or ``after`` it; any other ``what`` lets a call of the disk fail
+    ``at`` counts the system calls (``call``) or event loop steps (``step``) of that process lifetime; if
+    ``call`` is set, only such calls (``write``), or only those with such content (``write.try``). ``kill``
+    ends the process ``before``, ``within`` or ``after`` it; any other ``what`` makes a disk call fail
     (``short``: half of it is written).
     """
 
@@ -254,7 +258,7 @@
 
 
 class MessageTable(toml_check.Strict):
-    """``[[message]]``: one message; where there are any, they are all the traffic."""
+    """``[[message]]``: one message; if there are any, they replace the drawn traffic."""
 
     at_s: float = Field(ge=0)
     relay: int = Field(default=0, ge=0)
@@ -266,7 +270,7 @@
 
 
 class Scenario(toml_check.Strict):
-    """The whole file."""
+    """A complete scenario file."""
 
     name: str
     seed: int = Field(ge=0)
@@ -287,14 +291,14 @@
 
     @model_validator(mode="after")
     def check_references(self) -> Scenario:
-        """What one table cannot see: names that repeat, events that name what is not there."""
+        """Check across tables: unique names, and references to existing relays, destinations and classes."""
         for key, names in (
             ("class", [item.name for item in self.classes]),
             ("kind", [item.name for item in self.kinds]),
             ("member", [item.name for item in self.members]),
         ):
             if len(set(names)) < len(names):
-                raise ValueError(f"{key}: a name stands twice")
+                raise ValueError(f"{key}: duplicate name")
         partners = self.partners
         for at, event in enumerate(self.events):
             if event.at_s >= self.length_s:
@@ -304,9 +308,9 @@
             if event.dest >= partners.destinations:
                 raise ValueError(f"event.{at}.dest: there are {partners.destinations}, from 0")
             if event.what == "power" and not self.relays.durable:
-                raise ValueError(f"event.{at}.what: relays.durable is off, so nothing outlasts it")
+                raise ValueError(f"event.{at}.what: relays.durable is off, so no data survives a power loss")
             if event.what in ("upgrade", "out") and not self.relays.console:
-                raise ValueError(f"event.{at}.what: relays.console is off, and it has to be asked")
+                raise ValueError(f"event.{at}.what: relays.console is off, but the event needs the console")
             if event.what == "heavy_tail" and event.cls not in {cls.name for cls in self.classes}:
                 raise ValueError(f"event.{at}.cls: no such class: {event.cls!r}")
         classes = {cls.name for cls in self.classes}
@@ -325,27 +329,27 @@
 
     @property
     def simulation_only(self) -> str:
-        """The first thing in it that only a simulation can do; empty where there is none."""
+        """The first setting that requires a simulation, with the reason; empty if there is none."""
         if self.strikes:
-            return "strike.0: system calls are struck only in the simulation"
+            return "strike.0: faults of system calls need the simulation"
         for at, event in enumerate(self.events):
             if event.what in SIMULATION_EVENTS:
                 return f"event.{at}.what: {event.what} happens only in the simulation"
-        return "net: links have figures only in the simulation" if self.net != NetTable() else ""
+        return "net: link properties need the simulation" if self.net != NetTable() else ""
 
     @property
     def faulty_links(self) -> set[str]:
-        """Where fault proxies are needed."""
+        """The links that need fault proxies."""
         return {event.between for event in self.events if event.what in LINK_FAULT_EVENTS}
 
 
 def load(path: Path) -> Scenario:
-    """Read a scenario; ``toml_check.FileMistakesError`` names all that is wrong with it."""
+    """Read a scenario; raise ``toml_check.FileMistakesError`` with all mistakes."""
     return toml_check.read(path, Scenario)
 
 
 def load_without_simulation(path: Path) -> Scenario:
-    """A scenario for real sockets; what only a simulation can do is refused with its line."""
+    """Read a scenario for real sockets; reject settings that need the simulation, with their line."""
     found = load(path)
     if reason := found.simulation_only:
         key = reason.partition(":")[0]
--- a/tests/rig/test_standins.py
+++ b/tests/rig/test_standins.py
@@ -41,8 +41,8 @@
     async def host(self, kind: KindTable = KIND, name: str = "h", zone: str = "a") -> Host:
         """An endpoint that is quick."""
         plan = draw.HostPlan(
-            name, 1, zone, kind, per_s=4.0, capacity_per_s=1000.0, servers=2, queue=2, service_time_factor=1.0,
-            network_s=0.0, handshake_s=0.0, cold_from=0.25, warm_s=10.0,
+            name, 1, zone, kind, per_s=4.0, capacity_per_s=1000.0, servers=2, queue=2,
+            service_time_factor=1.0, network_s=0.0, handshake_s=0.0, cold_from=0.25, warm_s=10.0,
         )  # fmt: skip
         host = Host(plan, self.book, self.memory, 15.0, "seed")
         await host.listen()
