--- a/mallowlug/rig/run/play.py
+++ b/mallowlug/rig/run/play.py
@@ -1,6 +1,4 @@
-"""A run: the world of a scenario around relays that are started as processes, in real time, into one
-record.
-"""
+"""Runs a scenario: starts the simulated environment and the relays, and writes one record."""
 
 from __future__ import annotations
 
@@ -32,77 +30,79 @@
     Scenario,
 )
 
-MOVED_DIRECTORY_S = 1.5  # s after which a directory that has moved closes what is open at its old address
-DRAIN_S = 2.0  # s from an endpoint's drain to its end
-DRIP_LATE_US = 400_000  # how late what drips may be: a client waits no longer
-POLL_S = 0.02  # s between looks at the event loop's lateness
-EXTRA_WAIT_S = 1.5  # s beyond that in which a task may still end
-ENABLE_TIMEOUT_S = 5.0  # s in which a call back is made again where nobody says yes
-PARALLEL_STARTS = 8  # relays at the run's begin
-SETTLE_S = 0.6  # s after a message's time in which its end may still come
+MOVED_DIRECTORY_S = 1.5  # s after a directory move until connections at its old address are closed
+DRAIN_S = 2.0  # min s from an endpoint's drain to its removal
+DRIP_LATE_US = 400_000  # lateness allowed under a drip fault: clients wait no longer
+POLL_S = 0.02  # s between polls
+EXTRA_WAIT_S = 1.5  # further s in which a client task may finish
+ENABLE_TIMEOUT_S = 5.0  # s for which enabling a host is retried if it is not confirmed
+PARALLEL_STARTS = 8  # relays started concurrently at the beginning of a run
+SETTLE_S = 0.6  # s after a message's deadline in which its final result may still arrive
 
 
 @dataclass(slots=True)
 class RunOptions:
-    """How a run differs from its scenario's."""
+    """Options of a run that are not part of its scenario."""
 
     command: Sequence[str] = DEFAULT_COMMAND
-    environment: Callable[[int], dict[str, str]] = lambda _life: {}  # by number of the life
-    traffic: list[draw.Arrival] | None = None  # in place of what the seed draws
+    environment: Callable[[int], dict[str, str]] = lambda _life: {}  # by number of the process start
+    traffic: list[draw.Arrival] | None = None  # replaces the drawn traffic
     watch: Callable[[rec.AnyEvent], None] | None = None
     on_started: Callable[[Environment], Coroutine[Any, Any, None]] | None = None  # runs beside the events
 
 
 class Backend(Protocol):
-    """What a run stands on: the machine with its sockets and processes, or a simulation of them."""
+    """What a run executes on: real sockets and processes, or a simulation of them."""
 
     addresses: AddressAllocator
-    on_dial: Callable[[str, tuple[str, int]], None] | None  # told of every connect; None: it can't be
+    on_dial: (
+        Callable[[str, tuple[str, int]], None] | None
+    )  # called for every connect; None: connects cannot be observed
 
     def now_us(self) -> int:
-        """The record's clock, in microseconds from any start."""
+        """Return the record's clock, in microseconds from an arbitrary start."""
 
     def cpu_s(self) -> float:
-        """CPU time of the rig so far; 0 where it is no figure of the run."""
+        """Return the CPU time of the rig so far; 0 if it is not measured."""
 
     def relay(
         self, name: str, folder: Path, writer: rec.Writer, config: Callable[[], dict[str, Any]]
     ) -> ManagedRelay:
-        """A relay that can be started."""
+        """Create a relay that can be started."""
 
     async def apply_event(self, relay: ManagedRelay, event: EventTable) -> None:
-        """Let something happen to a relay that only a simulation can do, for as long as it lasts."""
+        """Apply an event that only a simulation supports, and wait until it ends."""
 
 
 class LocalBackend:
-    """This machine: loopback sockets, processes, real time."""
+    """The local machine: loopback sockets, processes, real time."""
 
     def __init__(self, options: RunOptions) -> None:
         self.addresses, self._options = AddressAllocator(), options
-        # A closed port on a real machine tells nobody whom it has refused.
+        # A closed port on a real machine does not report which connections it refused.
         self.on_dial: Callable[[str, tuple[str, int]], None] | None = None
         self._cpu_s = time.process_time()
 
     now_us = staticmethod(rec.now_us)
 
     def cpu_s(self) -> float:
-        """CPU time since the run began."""
+        """Return the CPU time since the run began."""
         return time.process_time() - self._cpu_s
 
     def relay(
         self, name: str, folder: Path, writer: rec.Writer, config: Callable[[], dict[str, Any]]
     ) -> RelayProcess:
-        """A relay in a process of its own."""
+        """Create a relay that runs in its own process."""
         told = self._options
         return RelayProcess(name, folder, writer, config, command=told.command, environment=told.environment)
 
     async def apply_event(self, relay: ManagedRelay, event: EventTable) -> None:
-        """Nothing of this can be done to a real process."""
+        """Raise ``NotImplementedError``: real processes do not support these events."""
         raise NotImplementedError(event.what)
 
 
 class Environment:
-    """Everything around the relays, and the relays."""
+    """The relays and everything they talk to."""
 
     def __init__(self, scenario: Scenario, folder: Path, options: RunOptions, ground: Backend) -> None:
         self.scenario, self.folder, self.options, self.backend = scenario, folder, options, ground
@@ -129,20 +129,18 @@
         self.hosts: dict[str, Host] = {}
         self.key_memories: dict[int, KeyMemory] = {}  # by destination
         self.relays: list[ManagedRelay] = []
-        self.relay_targets: list[RelayTarget] = []  # the relays as clients reach them
+        self.relay_targets: list[RelayTarget] = []  # the addresses at which clients reach the relays
         self.proxies: dict[str, list[FaultProxy]] = {"hosts": [], "directory": [], "clients": []}
         self._proxy_by_host: dict[str, FaultProxy] = {}
-        self._directory_addresses: dict[
-            str, tuple[str, int]
-        ] = {}  # by relay: where its configuration finds the directory
+        self._directory_addresses: dict[str, tuple[str, int]] = {}  # by relay: address of its directory
         self._tasks: dict[asyncio.Task[None], None] = {}
-        self._draining: set[str] = set()  # endpoints that drain
+        self._draining: set[str] = set()  # endpoints that are draining
         self.crashed: list[str] = []
-        self._last_submit_s = 0.0  # loop's time at which the last message was written to a relay
-        self.max_lag_us = 0  # how late this process's event loop was at worst
+        self._last_submit_s = 0.0  # loop time of the last submission to a relay
+        self.max_lag_us = 0  # max lateness of this process's event loop
 
     async def _measure_lag(self) -> None:
-        """Watch the event loop: what it does late it also times late."""
+        """Measure the lateness of the event loop, which delays the record's timestamps as well."""
         loop = asyncio.get_running_loop()
         while True:
             due_s = loop.time() + POLL_S
@@ -150,7 +148,7 @@
             self.max_lag_us = max(self.max_lag_us, round((loop.time() - due_s) * 1e6))
 
     def _record_dial(self, relay: str, address: tuple[str, int]) -> None:
-        """Somebody connects; the directory and other relays' ports are no endpoints."""
+        """Record a relay's connect to an endpoint; connects to other addresses are ignored."""
         told = "{}:{}".format(*address)
         for host in self.hosts:
             if relay and self._dial_address(relay, host) == told:
@@ -165,14 +163,14 @@
                     self.clients.message_delivered(ref)
 
     def spawn(self, work: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
-        """Run something beside the rest; its errors end the run."""
+        """Run a coroutine as a task of this run."""
         task = asyncio.get_running_loop().create_task(work)
         self._tasks[task] = None
         task.add_done_callback(lambda done: self._tasks.pop(done, None))
         return task
 
     async def start(self) -> None:
-        """Bring up endpoints, directory and relays."""
+        """Start endpoints, directory and relays."""
         for plan in draw.draw_hosts(self.scenario):
             await self._add_host(plan, late=False)
         self.platform.dial_address = self._dial_address
@@ -180,7 +178,7 @@
             await self._add_relay(f"n{number}")
         for first in range(0, len(self.relays), PARALLEL_STARTS):
             await asyncio.gather(*map(self._start_relay, self.relays[first : first + PARALLEL_STARTS]))
-        # From here on: before the first message nothing is timed that a rule is judged by.
+        # Started only now: no rule judges timings before the first message.
         self.spawn(self._measure_lag())
         for relay in self.relays:
             self.spawn(self._supervise(relay))
@@ -250,18 +248,18 @@
         self.relay_targets.append(RelayTarget(name, address))
 
     async def _start_relay(self, relay: ManagedRelay) -> None:
-        """Start a relay; one that ends before it answers has crashed, and is started again."""
+        """Start a relay; an exit before it answers counts as a crash, and it is restarted."""
         for _ in range(await relay.start_with_retries(self.scenario.relays.back_s)):
             self.crashed.append(f"{relay.name} ended before it was ready")
 
     async def _supervise(self, relay: ManagedRelay) -> None:
-        """A relay that ends by itself has crashed; it is started again, as a supervisor would."""
+        """Restart a relay that exits unexpectedly, as a supervisor would, and record the crash."""
         while True:
             process = relay.process
             assert process is not None
             await process.wait()
             async with relay.lifecycle_lock:
-                if relay.process is not process:  # its end was ordered, and it has been started again
+                if relay.process is not process:  # stopped on purpose and restarted already
                     continue
                 await relay.wait_for_exit()
                 self.crashed.append(f"{relay.name} ended with {process.returncode}")
@@ -269,7 +267,7 @@
                 await self._start_relay(relay)
 
     async def traffic(self) -> None:
-        """Hand every message in at its time, and wait until each has its end or its time is up."""
+        """Submit every message at its time, and wait for each final result or a timeout."""
         arrivals = self.options.traffic
         if arrivals is None:
             arrivals = draw.draw_arrivals(self.scenario)
@@ -282,12 +280,12 @@
         longest_s += self.scenario.relays.back_s + EXTRA_WAIT_S
         loop, pending = asyncio.get_running_loop(), set(tasks)
         self._last_submit_s = loop.time()
-        # A link that was silent lets a message come long after it was due to, with all its time before it.
+        # After a silent link, a message can be submitted late and still have its whole deadline.
         while pending and (left_s := self._last_submit_s + longest_s - loop.time()) > 0:
             _, pending = await asyncio.wait(pending, timeout=left_s)
 
     async def events(self) -> None:
-        """Let everything happen that the scenario names, each at its time."""
+        """Run the scenario's events, each at its time."""
         start_s, tasks = asyncio.get_running_loop().time(), []
         for event in sorted(self.scenario.events, key=lambda item: item.at_s):
             await sleep_until(start_s + event.at_s)
@@ -338,7 +336,7 @@
             face.stop()
 
     async def _disable_hosts(self, event: EventTable) -> None:
-        """Staff take endpoints out at one relay, restart them, and take them back: they return cold."""
+        """Disable endpoints at one relay, restart them and enable them: they return cold."""
         relay = self.relays[event.relay]
         able = [name for name, host in self.hosts.items() if host.model.state == "up"]
         names = self.rng.sample(able, min(event.count, len(able)))
@@ -359,7 +357,7 @@
         affected = [host for host in hosts if host.begin_outage(event.what, event.size, event.len_s)]
         await asyncio.sleep(event.len_s)
         for host in affected:
-            if host.plan.name in self.hosts:  # else it has gone meanwhile
+            if host.plan.name in self.hosts:  # otherwise it was removed meanwhile
                 await host.end_outage()
 
     async def _heavy_tail(self, event: EventTable) -> None:
@@ -381,7 +379,7 @@
             await asyncio.sleep(event.len_s / event.count)
 
     async def _idle_clients(self, event: EventTable) -> None:
-        """Idle clients at every relay; a relay may close their connections whenever it likes."""
+        """Open idle client connections at every relay; a relay may close them at any time."""
         idle = list[asyncio.StreamWriter]()
         for door in self.relay_targets:
             for _ in range(event.count):
@@ -397,11 +395,11 @@
         self.platform.come_back()
 
     async def _drain_hosts(self, event: EventTable) -> None:
-        """Endpoints drain, then go; with ``replace`` new ones come at their addresses under new names."""
+        """Drain endpoints, then restore (``drain``), remove or replace them."""
         last_hosts = {plan.dest: plan.name for plan in (host.plan for host in self.hosts.values())}
         up = [name for name, host in self.hosts.items() if host.model.state == "up"]
         candidates = [name for name in up if name not in self._draining]
-        if event.what == "remove":  # the last endpoint of a destination stays
+        if event.what == "remove":  # keep one endpoint of each destination
             candidates = [name for name in candidates if name not in last_hosts.values()]
         names = self.rng.sample(candidates, min(event.count, len(candidates)))
         self._draining.update(names)
@@ -429,10 +427,10 @@
         for proxy in self.proxies[event.between]:
             proxy.set_fault(fault)
         late_us = {"silence": -1, "delay": round(event.size * 1000), "drip": DRIP_LATE_US}.get(event.what, 0)
-        if event.between != "directory" or event.what == "delay":  # else nothing is told: ``Reach`` says so
+        if event.between != "directory" or event.what == "delay":  # otherwise recorded as ``Reach``
             self.writer.add(rec.Link(self.writer.now, event.between, late_us))
         shut = event.between == "directory" and event.what in ("silence", "cut")
-        # A directory that has moved tells on at its old address for a while, over links that are as silent.
+        # A moved directory serves its old address for a while, over links with the same fault.
         blocked = [*self.platform.servers.values(), *self.platform.former_servers] if shut else []
         for face in blocked:
             face.set_blocked(True)
@@ -448,7 +446,7 @@
             self.writer.add(rec.Reach(self.writer.now, relay, True))
 
     async def stop(self) -> None:
-        """End everything and write the record's last line."""
+        """Cancel all tasks and stop relays, proxies, directory and endpoints."""
         for task in list(self._tasks):
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
@@ -462,7 +460,7 @@
 
 
 def read_marks(folder: Path, start_us: int) -> list[rec.AnyEvent]:
-    """What other processes have noted beside the record, timed by the same clock, in the run's time."""
+    """Read the marks that other processes wrote, converted from the same clock to the run's time."""
     marks = list[rec.AnyEvent]()
     for path in sorted(folder.glob("*.marks")):
         for _, event in rec.lines(path):
@@ -472,23 +470,21 @@
 
 
 async def sleep_until(due_s: float) -> None:
-    """Sleep until a time of the loop's clock; not at all where it has passed."""
+    """Sleep until a time of the loop's clock; return at once if it has passed."""
     wait_s = due_s - asyncio.get_running_loop().time()
     if wait_s > 0:
         await asyncio.sleep(wait_s)
 
 
 def describe_event(event: EventTable) -> str:
-    """An event's figures, as a reader wants them."""
+    """Format the non-default fields of an event."""
     told = event.model_dump(exclude_defaults=True, exclude={"at_s", "what"})
     return " ".join(f"{name}={value}" for name, value in told.items())
 
 
 @dataclass(frozen=True, slots=True)
 class RunResult:
-    """What a run leaves: the record's path, relays that crashed, and calls that the protocol does not
-    know.
-    """
+    """The result of a run: path of the record, crashes of relays, and number of malformed calls."""
 
     path: Path
     crashed: tuple[str, ...]
@@ -498,9 +494,7 @@
 async def play(
     scenario: Scenario, folder: Path, options: RunOptions | None = None, ground: Backend | None = None
 ) -> RunResult:
-    """Play a scenario into ``folder``; the record is whole whatever happens, unless this process is
-    killed.
-    """
+    """Run a scenario in ``folder``; the record is complete unless this process is killed."""
     options = options or RunOptions()
     world = Environment(scenario, folder, options, ground or LocalBackend(options))
     try:
--- a/mallowlug/rig/run/relays.py
+++ b/mallowlug/rig/run/relays.py
@@ -1,4 +1,4 @@
-"""The relays under test, as processes of their own: started, signalled and killed, each with its folder."""
+"""Starts, signals and kills the relays under test, each a process with its own folder."""
 
 from __future__ import annotations
 
@@ -20,18 +20,18 @@
 
 ROOT = Path(__file__).resolve().parents[3]
 MAX_STARTS = 5
-READY_S = 30.0  # s in which a relay has to answer PING
-TERM_TIMEOUT_S = 3.7  # s after SIGTERM when SIGKILL follows
+READY_S = 30.0  # s within which a relay must answer PING
+TERM_TIMEOUT_S = 3.7  # s from SIGTERM to SIGKILL
 PING = b"*1\r\n$4\r\nPING\r\n"
 DEFAULT_COMMAND = (sys.executable, "-m", "mallowlug")
 
 
 class RelayError(Exception):
-    """A relay did not come up."""
+    """A relay did not become ready."""
 
 
 def free_address() -> tuple[str, int]:
-    """An address for a relay that keeps it over all its lives."""
+    """Return a free address, which a relay keeps over all restarts."""
     with socket.socket() as sock:
         sock.bind((random_loopback(), 0))
         found: tuple[str, int] = sock.getsockname()
@@ -39,7 +39,7 @@
 
 
 async def console_request(console: tuple[str, int], method: str, target: str) -> int:
-    """One call at a console: the status; 0 where there is no answer within a second."""
+    """Send a console request; return its status, or 0 if there is no answer within a second."""
     with contextlib.suppress(OSError, TimeoutError, IndexError, ValueError):
         async with asyncio.timeout(1.0):
             reader, writer = await asyncio.open_connection(*console)
@@ -51,24 +51,24 @@
 
 
 class Process(Protocol):
-    """What is asked of a process that runs; ``asyncio.subprocess.Process`` is one."""
+    """The interface of a running process; ``asyncio.subprocess.Process`` implements it."""
 
     @property
     def returncode(self) -> int | None:
-        """Its exit code, negative for a signal; None while it runs."""
+        """The exit code, negative for a signal; None while it runs."""
 
     async def wait(self) -> int:
-        """Wait for its end; the exit code."""
+        """Wait for its exit; return the exit code."""
 
     def send_signal(self, signal: int) -> None:
-        """Signal it."""
+        """Send a signal."""
 
     def kill(self) -> None:
-        """End it at once."""
+        """Send SIGKILL."""
 
 
 class ManagedRelay(ABC):
-    """One relay over all its lives: its process now, and what starts, signals and ends it."""
+    """One relay over all its restarts: its current process, and how to start, signal and stop it."""
 
     def __init__(
         self, name: str, address: tuple[str, int], writer: rec.Writer, config: Callable[[], dict[str, Any]]
@@ -78,46 +78,46 @@
         self.process: Process | None = None
         self.lifecycle_lock = (
             asyncio.Lock()
-        )  # who ends or starts it has it: two at once would start two processes
+        )  # held to start or stop it: otherwise two processes could be started
 
     def record_event(self, what: Any, detail: str = "") -> None:
-        """Write down what happens to it."""
+        """Record an event of the process."""
         self._writer.add(rec.Process(self._writer.now, self.name, what, detail))
 
     def config_bytes(self) -> bytes:
-        """The deployment's file, as it is now."""
+        """Return the current contents of the configuration file."""
         told = self._config() | {"name": self.name, "listen": "{}:{}".format(*self.address)}
         return json.dumps(told).encode()
 
     @abstractmethod
     def write_config(self) -> None:
-        """Put the deployment's file where the relay reads it."""
+        """Write the configuration file where the relay reads it."""
 
     @abstractmethod
     async def spawn(self) -> Process:
-        """Start the process of the next life."""
+        """Start a new process."""
 
     async def set_disabled(self, host: str, out: bool) -> bool:
-        """Call a host out or back at the relay's console; whether it said yes."""
+        """Disable or enable a host at the relay's console; return whether it confirmed."""
         raise NotImplementedError(host)
 
     @abstractmethod
     def delete_state(self) -> None:
-        """The machine is lost with its folder."""
+        """Delete the state folder, as with the loss of a machine."""
 
     async def start(self) -> None:
-        """Start it and wait until it answers; ``RelayError`` where it does not."""
+        """Start it and wait until it answers; raise ``RelayError`` if it does not."""
         self.write_config()
         self.record_event("start")
         self.process = await self.spawn()
         self.starts += 1
         if not await self._ready(self.process):
-            raise RelayError(f"{self.name} did not come up; its log says why")
+            raise RelayError(f"{self.name} did not become ready; see its log")
 
     async def start_with_retries(self, pause_s: float) -> int:
-        """Start it, and again where it ends before it answers; how often it did so.
+        """Start it, and restart it if it exits before it answers; return the number of such exits.
 
-        ``RelayError`` where it hangs, or has ended ``MOST_STARTS`` times.
+        Raises ``RelayError`` if it hangs, or has exited ``MAX_STARTS`` times.
         """
         for ended in range(MAX_STARTS):
             try:
@@ -128,7 +128,7 @@
                     raise
                 await self.wait_for_exit()
                 await asyncio.sleep(pause_s)
-        raise RelayError(f"{self.name} ended {MAX_STARTS} times before it answered")
+        raise RelayError(f"{self.name} exited {MAX_STARTS} times before it answered")
 
     async def _ready(self, process: Process) -> bool:
         loop = asyncio.get_running_loop()
@@ -148,14 +148,14 @@
         return False
 
     async def wait_for_exit(self) -> int:
-        """Wait for the process's end and write it down."""
+        """Wait for the process to exit and record it."""
         assert self.process is not None
         code = await self.process.wait()
         self.record_event("exit", str(code))
         return code
 
     async def kill(self) -> None:
-        """SIGKILL."""
+        """Send SIGKILL and wait for the exit."""
         await self._stop(signal.SIGKILL, "kill")
 
     async def _stop(self, number: signal.Signals, what: str) -> None:
@@ -171,24 +171,24 @@
         await self.wait_for_exit()
 
     async def term(self) -> None:
-        """SIGTERM, and SIGKILL where it lasts too long."""
+        """Send SIGTERM, and SIGKILL after ``TERM_TIMEOUT_S``."""
         await self._stop(signal.SIGTERM, "term")
 
     def hup(self) -> None:
-        """Replace the file and send SIGHUP."""
+        """Rewrite the configuration file and send SIGHUP."""
         if self.process is not None and self.process.returncode is None:
             self.write_config()
             self.record_event("hup")
             self.process.send_signal(signal.SIGHUP)
 
     def wipe(self) -> None:
-        """The machine is lost with its folder."""
+        """Delete the state folder, as with the loss of a machine."""
         self.delete_state()
         self.record_event("wiped")
 
 
 class RelayProcess(ManagedRelay):
-    """A relay in a process of the machine, and the folder that outlasts it."""
+    """A relay in a local process, with a state folder that survives restarts."""
 
     def __init__(
         self,
--- a/mallowlug/rig/soak/__init__.py
+++ b/mallowlug/rig/soak/__init__.py
@@ -1,1 +1,1 @@
-"""Soak runs: seeded worlds with faults around real relay processes, each judged by all rules."""
+"""Soak runs: seeded scenarios with faults against real relay processes, judged by all rules."""
--- a/mallowlug/rig/soak/plan.py
+++ b/mallowlug/rig/soak/plan.py
@@ -1,6 +1,6 @@
-"""What a soak seed stands for: a scenario with its site, load, outages, signals and bad clients. No I/O.
+"""Generates the scenario of a soak seed: endpoints, load, outages, signals and malformed clients. No I/O.
 
-Every value lies within the protocol page. Outages end early enough for their slow start to be judged.
+Every value is within the limits of the protocol. Outages end early enough for their slow start to be judged.
 """
 
 from __future__ import annotations
@@ -15,22 +15,25 @@
 EARLIEST_OUTAGE_S, FINAL_QUIET_S = (
     4.0,
     5.0,
-)  # no outage before, and none that ends later than so long before the run's end
+)  # s at the start without outages, and s at the end without one
 RELAY_WEIGHTS: tuple[tuple[float, ...], ...] = ((), (0.5, 1.5), (0.2, 0.5, 1.0, 1.0, 3.0))
 MIN_DESTINATIONS, MAX_DESTINATIONS = 6, 16  # destinations
-CROWD_RELAYS, CROWD_SOCKETS = 6, 192  # a crowd fills the descriptors of a few relays
-SIGNAL_OFFSETS_S = (-2.0, -0.5, 0.3, 1.0, 3.0)  # signals around the return of an endpoint
+CROWD_RELAYS, CROWD_SOCKETS = 6, 192  # idle connections exhaust the descriptors of a few relays
+SIGNAL_OFFSETS_S = (-2.0, -0.5, 0.3, 1.0, 3.0)  # s from an outage's end to a signal
 
 
 @dataclass(frozen=True, slots=True)
 class Profile:
-    """What the worlds of a kind have, and the ranges that they are drawn from."""
+    """The features of a kind of scenario, and the ranges that its values are drawn from."""
 
-    simultaneous: bool = False  # many whole destinations are out at one time, and most name their opening
-    other_faults: bool = False  # of other kinds beside the outages
-    idle_connections: bool = False  # idle clients fill the descriptors
+    simultaneous: bool = False  # whole destinations are out at once, most with a Retry-After wait
+    other_faults: bool = False  # other faults besides outages
+    idle_connections: bool = False  # idle clients exhaust the descriptors
     min_destinations: int = MIN_DESTINATIONS
-    per_destination_s: tuple[float, float] = (4.0, 9.0)  # messages for a destination: a cold one notices each
+    per_destination_s: tuple[float, float] = (
+        4.0,
+        9.0,
+    )  # messages/s per destination: low enough that each one loads a cold endpoint noticeably
     endpoints: tuple[list[int], ...] = ([1, 1], [1, 2], [1, 4])
 
 
@@ -50,7 +53,7 @@
 
 
 def soak_scenario(seed: int, relays: int, length_s: float) -> Scenario:
-    """The world that a seed stands for."""
+    """Generate the scenario of a seed."""
     rng = random.Random(f"soak {seed}")
     profile = PROFILES[seed % len(PROFILES)]
     count = min(relays, CROWD_RELAYS) if profile.idle_connections else relays
@@ -86,7 +89,7 @@
 
 
 def _load(rng: random.Random, destinations: int, profile: Profile) -> dict[str, Any]:
-    """How much comes, in clumps or not, and how it is spread over destinations and relays."""
+    """Draw the rate, the clumps, and the distribution over destinations and relays."""
     return {
         "rate_per_s": destinations * rng.uniform(*profile.per_destination_s),
         "clumps": rng.choice((0.0, 0.1, 0.3)),
@@ -97,7 +100,7 @@
 
 
 def _classes(rng: random.Random) -> list[dict[str, Any]]:
-    """A class that must not run twice in one way or another, and one that may."""
+    """Draw one class with a random effect, and one safe class."""
     aim_s, window_s = rng.uniform(2.0, 5.0), rng.choice((1.0, 4.0, 25.0))
     return [
         {
@@ -113,7 +116,7 @@
 
 
 def _kinds(rng: random.Random, profile: Profile) -> list[dict[str, Any]]:
-    """Limited endpoints that take batches, and plain ones, with little room over the load."""
+    """Draw rate-limited endpoints with batches, and plain ones, with little spare capacity."""
     low = rng.uniform(0.7, 1.1)
     headroom = [low, low + rng.uniform(0.2, 0.8)]
     tells_wait = 0.3
@@ -132,7 +135,7 @@
 
 
 def _outages(rng: random.Random, destinations: int, length_s: float) -> list[dict[str, Any]]:
-    """Two or three at once that begin early, and as many later, each at a destination of its own."""
+    """Draw two or three early outages at once and as many later, each at a different destination."""
     last_s = length_s - FINAL_QUIET_S
     struck = rng.sample(range(destinations), min(destinations, rng.randint(4, 6)))
     found = list[dict[str, Any]]()
@@ -148,7 +151,7 @@
 
 
 def _simultaneous_outages(rng: random.Random, destinations: int, length_s: float) -> list[dict[str, Any]]:
-    """Whole destinations that are out at one time and return at one time, twice; most of them name it."""
+    """Draw two groups of destinations that fail and return together, mostly with a Retry-After wait."""
     dests = rng.sample(range(destinations), 9)
     second_s = length_s / 2 + rng.uniform(0, 2)
     found = list[dict[str, Any]]()
@@ -163,7 +166,7 @@
 def _signals(
     rng: random.Random, outages: list[dict[str, Any]], relays: int, length_s: float
 ) -> list[dict[str, Any]]:
-    """Kills, terminations and reloads of some relays in series, around the outages' ends."""
+    """Draw series of kills, terminations and reloads of some relays around the ends of outages."""
     found = list[dict[str, Any]]()
     for relay in rng.sample(range(relays), max(1, relays // rng.choice((4, 10, 20)))):
         outage = rng.choice(outages)
@@ -176,7 +179,7 @@
 
 
 def _other_faults(rng: random.Random, length_s: float) -> list[dict[str, Any]]:
-    """Some of: discovery away, drains, replacements, spoilt answers, rude clients, slow endpoints."""
+    """Draw three faults: discovery, drains, replacements, corrupt answers, malformed clients, slowness."""
     drawn: list[dict[str, Any]] = [
         {"what": "directory_out", "len_s": rng.uniform(3, 10)},
         {"what": "drain", "count": 2, "len_s": 4.0},
--- a/mallowlug/rig/soak/run.py
+++ b/mallowlug/rig/soak/run.py
@@ -1,4 +1,4 @@
-"""Plays soak seeds one behind the other, within bounds on processes and memory, and sums up the verdicts."""
+"""Runs soak seeds in sequence, within limits on processes and memory, and summarizes the verdicts."""
 
 from __future__ import annotations
 
@@ -18,17 +18,17 @@
 from mallowlug.rig.soak.plan import soak_scenario
 
 MAX_RELAYS = 200
-RELAY_BYTES = 40 * 2**20  # of memory reckoned for a relay
-MEMORY_SHARE = 0.5  # of the machine's that all relays may use
+RELAY_BYTES = 40 * 2**20  # memory estimate of a relay
+MEMORY_SHARE = 0.5  # share of the machine's memory for all relays
 
 
 class SoakError(ValueError):
-    """The run would need more than its share of the machine."""
+    """The run would need more relays than this machine supports."""
 
 
 @dataclass(frozen=True, slots=True)
 class SeedResult:
-    """What a seed came to."""
+    """The result of a seed."""
 
     seed: int
     state: str
@@ -40,7 +40,7 @@
 
     @property
     def failed(self) -> bool:
-        """A rule was broken or a process crashed."""
+        """Whether a rule was broken or a process crashed."""
         return self.state == "broken" or bool(self.crashes)
 
     def __str__(self) -> str:
@@ -51,12 +51,12 @@
 
 
 def format_counts(rules: Counter[str]) -> str:
-    """Broken rules with their counts, in a line; empty for none."""
+    """Format broken rules with their counts; empty for none."""
     return ", ".join(f"{rule} {count}" for rule, count in sorted(rules.items()))
 
 
 def check_size(relays: int) -> None:
-    """``SoakError`` where so many relays would be too many for this machine."""
+    """Raise ``SoakError`` if this machine cannot run that many relays."""
     memory = os.sysconf("SC_PAGE_SIZE") * os.sysconf("SC_PHYS_PAGES")
     maximum = min(MAX_RELAYS, int(memory * MEMORY_SHARE / RELAY_BYTES))
     if not 1 <= relays <= maximum:
@@ -64,7 +64,7 @@
 
 
 def soak_seed(seed: int, relays: int, length_s: float, folder: Path) -> SeedResult:
-    """Play one seed and judge it; its folder is kept only where it failed."""
+    """Run and judge one seed; delete its folder unless it failed."""
     check_size(relays)
     done = asyncio.run(play(soak_scenario(seed, relays, length_s), folder, RunOptions()))
     record = rec.read(done.path)
@@ -79,7 +79,7 @@
 
 
 def soak(seeds: Iterable[int], relays: int, length_s: float, out: Path) -> Iterator[SeedResult]:
-    """Play seeds in turn; what failed keeps its record under ``out``."""
+    """Run seeds in sequence; failed ones keep their records under ``out``."""
     check_size(relays)
     for seed in seeds:
         yield soak_seed(seed, relays, length_s, out / f"seed-{seed}")
--- a/mallowlug/rig/world/clients.py
+++ b/mallowlug/rig/world/clients.py
@@ -144,8 +144,10 @@
 
     async def _submit(self, relay: RelayTarget, submission: rec.Ask, marks: str) -> ClientOutcome | None:
         """Submit once; None if the relay accepts no connection."""
-        attributes = f"c={submission.cls},t={submission.member},d={submission.left_us // 1000}"
-        attributes += f",dest={submission.dest}{marks}"
+        attributes = (
+            f"c={submission.cls},t={submission.member},d={submission.left_us // 1000}"
+            f",dest={submission.dest}{marks}"
+        )
         attributes += f",k={submission.key}" if submission.key else ""
         order, ref = submission.order or "0" * 16, submission.id
         request = encode_command(
