--- a/mallowlug/rig/run/play.py
+++ b/mallowlug/rig/run/play.py
@@ -93,8 +93,10 @@
         self, name: str, folder: Path, writer: rec.Writer, config: Callable[[], dict[str, Any]]
     ) -> RelayProcess:
         """Create a relay that runs in its own process."""
-        told = self._options
-        return RelayProcess(name, folder, writer, config, command=told.command, environment=told.environment)
+        options = self._options
+        return RelayProcess(
+            name, folder, writer, config, command=options.command, environment=options.environment
+        )
 
     async def apply_event(self, relay: ManagedRelay, event: EventTable) -> None:
         """Raise ``NotImplementedError``: real processes do not support these events."""
@@ -149,9 +151,9 @@
 
     def _record_dial(self, relay: str, address: tuple[str, int]) -> None:
         """Record a relay's connect to an endpoint; connects to other addresses are ignored."""
-        told = "{}:{}".format(*address)
+        dialled = "{}:{}".format(*address)
         for host in self.hosts:
-            if relay and self._dial_address(relay, host) == told:
+            if relay and self._dial_address(relay, host) == dialled:
                 self.writer.add(rec.Dial(self.writer.now, relay, host))
 
     def _handle_event(self, event: rec.AnyEvent) -> None:
@@ -227,8 +229,13 @@
     async def _add_relay(self, name: str) -> None:
         server = await self._add_directory(name)
         server.last_sent = server.with_dial_addresses(self.platform.directory.snapshot())
-        told = self.scenario.relays
-        limits = {"cores": 1.0, "memory_mb": 192, "sockets": told.sockets, "disk_mb": told.disk_mb}
+        relay_limits = self.scenario.relays
+        limits = {
+            "cores": 1.0,
+            "memory_mb": 192,
+            "sockets": relay_limits.sockets,
+            "disk_mb": relay_limits.disk_mb,
+        }
         settings = draw.relay_settings(self.scenario)
 
         def config() -> dict[str, Any]:
@@ -327,13 +334,13 @@
         self.relays[event.relay].hup()
 
     async def _move(self, _event: EventTable) -> None:
-        formers = [self.platform.servers[relay.name] for relay in self.relays]
+        previous = [self.platform.servers[relay.name] for relay in self.relays]
         for relay in self.relays:
             await self._add_directory(relay.name)
             relay.hup()
         await asyncio.sleep(MOVED_DIRECTORY_S)
-        for face in formers:
-            face.stop()
+        for server in previous:
+            server.stop()
 
     async def _disable_hosts(self, event: EventTable) -> None:
         """Disable endpoints at one relay, restart them and enable them: they return cold."""
@@ -432,16 +439,16 @@
         shut = event.between == "directory" and event.what in ("silence", "cut")
         # A moved directory serves its old address for a while, over links with the same fault.
         blocked = [*self.platform.servers.values(), *self.platform.former_servers] if shut else []
-        for face in blocked:
-            face.set_blocked(True)
+        for server in blocked:
+            server.set_blocked(True)
         for relay in self.platform.servers if shut else ():
             self.writer.add(rec.Reach(self.writer.now, relay, False))
         await asyncio.sleep(event.len_s)
         for proxy in self.proxies[event.between]:
             proxy.set_fault(NO_FAULT)
         self.writer.add(rec.Link(self.writer.now, event.between, 0))
-        for face in blocked:
-            face.set_blocked(False)
+        for server in blocked:
+            server.set_blocked(False)
         for relay in self.platform.servers if shut else ():
             self.writer.add(rec.Reach(self.writer.now, relay, True))
 
@@ -478,8 +485,8 @@
 
 def describe_event(event: EventTable) -> str:
     """Format the non-default fields of an event."""
-    told = event.model_dump(exclude_defaults=True, exclude={"at_s", "what"})
-    return " ".join(f"{name}={value}" for name, value in told.items())
+    fields = event.model_dump(exclude_defaults=True, exclude={"at_s", "what"})
+    return " ".join(f"{name}={value}" for name, value in fields.items())
 
 
 @dataclass(frozen=True, slots=True)
--- a/mallowlug/rig/run/relays.py
+++ b/mallowlug/rig/run/relays.py
@@ -86,8 +86,8 @@
 
     def config_bytes(self) -> bytes:
         """Return the current contents of the configuration file."""
-        told = self._config() | {"name": self.name, "listen": "{}:{}".format(*self.address)}
-        return json.dumps(told).encode()
+        config = self._config() | {"name": self.name, "listen": "{}:{}".format(*self.address)}
+        return json.dumps(config).encode()
 
     @abstractmethod
     def write_config(self) -> None:
--- a/mallowlug/rig/world/scenario.py
+++ b/mallowlug/rig/world/scenario.py
@@ -184,9 +184,9 @@
     ``kill``, ``term``, ``hup``, ``wipe`` stop or signal a relay (``wipe`` deletes its folder too); ``move``
     gives the directory a new address and sends SIGHUP to all relays. ``refuse``, ``silent``, ``slow`` and
     ``shut`` affect endpoints of one zone that get ``part`` of the traffic, or of one ``dest``. ``drain``,
-    ``remove`` and ``replace`` change ``count`` endpoints in the directory. ``heavy_tail`` makes ``part`` of a class
-    ``size`` times as long, ``directory_out`` takes the directory down, ``garble`` corrupts ``part`` of the
-    answers, ``rude`` starts ``count`` malformed clients. ``delay``, ``cut``, ``silence`` and ``drip`` affect
+    ``remove`` and ``replace`` change ``count`` endpoints in the directory. ``heavy_tail`` makes ``part`` of a
+    class ``size`` times as long, ``directory_out`` takes the directory down, ``garble`` corrupts ``part`` of
+    the answers, ``rude`` starts ``count`` malformed clients. ``delay``, ``cut``, ``silence`` and ``drip`` affect
     the links ``between`` two parts. Only in the simulation: ``stall`` suspends a relay, ``jump`` moves
     its wall clock by ``size`` seconds (``back`` for the past), ``full`` fills its disk, ``apart`` isolates it
     from the network, ``power`` cuts its power and keeps only what was synced (``relays.durable``),
