--- a/mallowlug/rig/world/fronts.py
+++ b/mallowlug/rig/world/fronts.py
@@ -87,11 +87,11 @@
 
     def partition(self, *groups: list[str]) -> None:
         """Cut all paths between these groups."""
-        for here in groups:
-            for there in groups:
-                for one in here if here is not there else ():
-                    for other in there:
-                        self.set_path(one, other, DatagramPath(cut=True), both=False)
+        for senders in groups:
+            for receivers in groups:
+                for sender in senders if senders is not receivers else ():
+                    for receiver in receivers:
+                        self.set_path(sender, receiver, DatagramPath(cut=True), both=False)
 
     def clear_all(self) -> None:
         """Remove all faults."""
--- a/mallowlug/rig/world/hosts.py
+++ b/mallowlug/rig/world/hosts.py
@@ -83,9 +83,9 @@
     """State that all endpoints share: the record, submitted messages, call numbers, fault settings."""
 
     def __init__(
-        self, writer: rec.Writer, classes: dict[str, ClassWork], place: AddressAllocator | None = None
+        self, writer: rec.Writer, classes: dict[str, ClassWork], addresses: AddressAllocator | None = None
     ) -> None:
-        self.writer, self.addresses = writer, place or AddressAllocator()
+        self.writer, self.addresses = writer, addresses or AddressAllocator()
         self.classes = classes  # by name
         self.submitted_classes: dict[str, str] = {}  # class name by message id
         self.last_call_number = 0
--- a/mallowlug/rig/world/httpd.py
+++ b/mallowlug/rig/world/httpd.py
@@ -165,9 +165,9 @@
 class Server:
     """An HTTP server on its own address; subclasses handle the requests."""
 
-    def __init__(self, place: AddressAllocator) -> None:
+    def __init__(self, addresses: AddressAllocator) -> None:
         self.now = asyncio.get_running_loop().time
-        self.address, self.connection_numbers = place.allocate(), place.connection_numbers
+        self.address, self.connection_numbers = addresses.allocate(), addresses.connection_numbers
         self.connections: dict[Connection, None] = {}  # ordered, so that resets happen in a fixed order
         self._listener: asyncio.Server | None = None
 
--- a/mallowlug/rig/world/platform.py
+++ b/mallowlug/rig/world/platform.py
@@ -50,9 +50,9 @@
         listing: EndpointDirectory,
         writer: rec.Writer,
         ended: Callable[[rec.Notice], None],
-        place: AddressAllocator,
+        addresses: AddressAllocator,
     ) -> None:
-        super().__init__(place)
+        super().__init__(addresses)
         self.relay, self.directory, self.writer, self.on_notice = relay, listing, writer, ended
         self.down = False
         self.dial_address: Callable[[str], str] = str  # endpoint name to the address this relay connects to
@@ -175,13 +175,13 @@
         writer: rec.Writer,
         late_s: tuple[float, float],
         rng: random.Random,
-        place: AddressAllocator | None = None,
+        addresses: AddressAllocator | None = None,
     ) -> None:
         self.writer, self._delay_range_s, self._rng, self._addresses = (
             writer,
             late_s,
             rng,
-            place or AddressAllocator(),
+            addresses or AddressAllocator(),
         )
         self.directory = EndpointDirectory()
         self.servers: dict[str, DiscoveryServer] = {}  # by relay
--- a/mallowlug/rig/world/proxy.py
+++ b/mallowlug/rig/world/proxy.py
@@ -49,12 +49,14 @@
 class FaultProxy:
     """Accepts connections and forwards each to the target, applying the current fault."""
 
-    def __init__(self, target: Callable[[], tuple[str, int]], place: AddressAllocator | None = None) -> None:
+    def __init__(
+        self, target: Callable[[], tuple[str, int]], addresses: AddressAllocator | None = None
+    ) -> None:
         self._target = target
         self._fault, self._changed = NO_FAULT, asyncio.Event()
         self._server: asyncio.Server | None = None
         self._tasks: dict[asyncio.Task[None], None] = {}
-        self.address = (place or AddressAllocator()).allocate()
+        self.address = (addresses or AddressAllocator()).allocate()
         self.connections = 0
 
     async def listen(self) -> None:
--- a/mallowlug/rig/world/scenario.py
+++ b/mallowlug/rig/world/scenario.py
@@ -181,22 +181,23 @@
 class EventTable(toml_check.Strict):
     """``[[event]]``: a fault or change at a given time.
 
-    ``kill``, ``term``, ``hup``, ``wipe`` stop or signal a relay (``wipe`` deletes its folder too); ``move``
-    gives the directory a new address and sends SIGHUP to all relays. ``refuse``, ``silent``, ``slow`` and
-    ``shut`` affect endpoints of one zone that get ``part`` of the traffic, or of one ``dest``. ``drain``,
-    ``remove`` and ``replace`` change ``count`` endpoints in the directory. ``heavy_tail`` makes ``part`` of a
-    class ``size`` times as long, ``directory_out`` takes the directory down, ``garble`` corrupts ``part`` of
-    the answers, ``rude`` starts ``count`` malformed clients. ``delay``, ``cut``, ``silence`` and ``drip`` affect
-    the links ``between`` two parts. Only in the simulation: ``stall`` suspends a relay, ``jump`` moves
-    its wall clock by ``size`` seconds (``back`` for the past), ``full`` fills its disk, ``apart`` isolates it
-    from the network, ``power`` cuts its power and keeps only what was synced (``relays.durable``),
-    ``upgrade`` starts a second process beside it and stops the first once that is ready (``relays.console``);
-    with ``len_s`` the first one is killed that long after the second's start, with ``back`` the second one.
-    ``out`` lets operators disable ``count`` endpoints at a relay, restart them and enable them.
-    ``crowd`` opens ``count`` idle connections to every relay and keeps them open.
-    ``reload`` installs another ``file``, valid or ``broken``, and sends SIGHUP; with ``back`` to the
-    process started last, whether it waits for ownership, is the owner or has exited; with ``unsaid`` to none.
-    With ``len_s`` a valid file is restored that long after it, with a SIGHUP.
+    ``kill``, ``term``, ``hup``, ``wipe`` stop or signal a relay (``wipe`` deletes its folder too);
+    ``move`` gives the directory a new address and sends SIGHUP to all relays. ``refuse``, ``silent``,
+    ``slow`` and ``shut`` affect endpoints of one zone that get ``part`` of the traffic, or of one
+    ``dest``. ``drain``, ``remove`` and ``replace`` change ``count`` endpoints in the directory.
+    ``heavy_tail`` makes ``part`` of a class ``size`` times as long, ``directory_out`` takes the directory
+    down, ``garble`` corrupts ``part`` of the answers, ``rude`` starts ``count`` malformed clients.
+    ``delay``, ``cut``, ``silence`` and ``drip`` affect the links ``between`` two parts. Only in the
+    simulation: ``stall`` suspends a relay, ``jump`` moves its wall clock by ``size`` seconds (``back``
+    for the past), ``full`` fills its disk, ``apart`` isolates it from the network, ``power`` cuts its
+    power and keeps only what was synced (``relays.durable``), ``upgrade`` starts a second process beside
+    it and stops the first once that is ready (``relays.console``); with ``len_s`` the first one is killed
+    that long after the second's start, with ``back`` the second one. ``out`` lets operators disable
+    ``count`` endpoints at a relay, restart them and enable them. ``crowd`` opens ``count`` idle
+    connections to every relay and keeps them open. ``reload`` installs another ``file``, valid or
+    ``broken``, and sends SIGHUP; with ``back`` to the process started last, whether it waits for
+    ownership, is the owner or has exited; with ``unsaid`` to none. With ``len_s`` a valid file is
+    restored that long after it, with a SIGHUP.
     """
 
     at_s: float = Field(ge=0)
--- a/tests/rig/test_models.py
+++ b/tests/rig/test_models.py
@@ -1,4 +1,4 @@
-"""What decides in the rig without I/O: cold budgets, endpoints, draws, scenarios, the live view's counts."""
+"""Tests of the rig's logic without I/O: cold budgets, endpoint models, draws, scenarios, live view."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 def model(**changed: Any) -> HostModel:
-    """An endpoint with two servers, room for two in line, 10 messages a second."""
+    """Return an endpoint with two servers, a queue of two and 10 messages per second."""
     plan = draw.HostPlan("h", 1, "a", KIND, 10.0, 10.0, 2, 2, 1.0, 0.0, 0.0, 0.25, 10.0)
     kind = KIND.model_copy(update=changed)
     return HostModel(replace(plan, kind=kind), random.Random(1))
@@ -49,7 +49,7 @@
 
 
 @given(st.floats(0.1, 0.99), st.integers(0, 999))
-def test_what_keeps_to_a_share_of_the_present_capacity_is_never_over(share: float, phase: int) -> None:
+def test_load_below_the_current_capacity_never_exceeds_the_budget(share: float, phase: int) -> None:
     arrivals, at, level = list[tuple[int, float]](), RETURN.at_us + phase * 1000, 0.0
     while at < RETURN.at_us + RETURN.warm_us:
         at += 10_000
@@ -60,7 +60,7 @@
     assert cold.overrun(RETURN, arrivals, 1.5, 3 * SECOND) is None
 
 
-def test_a_burst_is_over_and_the_same_later_is_not() -> None:
+def test_a_burst_exceeds_the_budget_early_but_not_later() -> None:
     most = int(RETURN.budget(RETURN.at_us, 1.5, 3 * SECOND))
     burst = [(RETURN.at_us + n * 1000, 1.0) for n in range(most + 1)]
     assert cold.overrun(RETURN, burst[:most], 1.5, 3 * SECOND) is None
@@ -70,7 +70,7 @@
     assert cold.overrun(RETURN, [(at + 10 * SECOND, n) for at, n in burst], 1.5, 3 * SECOND) is None
 
 
-def test_chance_has_the_room_that_the_standing_test_gives_it() -> None:
+def test_the_window_maximum_includes_a_margin_for_chance() -> None:
     assert cold.most_in_window(16) == 16 + 3 * 4 + 3
     assert cold.most_in_window(36) == 36 + 2 * 6 + 2
 
@@ -98,7 +98,7 @@
 
 
 @given(st.floats(1.0, 20.0))
-def test_after_a_told_wait_there_is_room(rate: float) -> None:
+def test_a_call_after_the_stated_wait_is_accepted(rate: float) -> None:
     host = model(limited=True, tells_wait=1.0, refused_count=False)
     host.plan = replace(host.plan, per_s=rate)
     while not isinstance(refusal := host.offer(Job(1, 1, 0.0), 0.0), Refusal):
@@ -125,7 +125,7 @@
     assert first_uses(memory, [("k", 25.0)], 25.1) == [True]
 
 
-def test_every_shipped_scenario_is_in_order() -> None:
+def test_every_shipped_scenario_is_valid() -> None:
     paths = sorted((ROOT / "scenarios").glob("*.toml"))
     assert {path.stem for path in paths} >= {"calm", "rush", "churn", "rough", "reload", "links", "demo"}
     for path in paths:
@@ -150,7 +150,7 @@
 """
 
 
-def test_every_mistake_in_a_scenario_is_named_with_its_line(tmp_path: Path) -> None:
+def test_every_mistake_in_a_scenario_is_reported_with_its_line(tmp_path: Path) -> None:
     path = tmp_path / "s.toml"
     path.write_text(WRONG, encoding="utf-8")
     with pytest.raises(FileMistakesError) as caught:
@@ -173,24 +173,24 @@
         ({"at_s": 1.0, "what": "heavy_tail", "cls": "none"}, "event.0.cls"),
     ],
 )
-def test_an_event_that_names_what_is_not_there_is_a_mistake(event: dict[str, Any], reason: str) -> None:
+def test_an_event_with_an_unknown_reference_is_a_mistake(event: dict[str, Any], reason: str) -> None:
     with pytest.raises(ValueError, match=reason):
         drawn(event=[event])
 
 
 def drawn(seed: int = 1, **changed: Any) -> Scenario:
-    """A scenario of ten seconds."""
+    """Return a scenario of ten seconds."""
     known = {"name": "s", "seed": seed, "length_s": 10.0, "load": {"rate_per_s": 100.0}}
     return Scenario.model_validate(known | changed)
 
 
 @given(st.integers(0, 1000))
-def test_a_seed_draws_the_same_world_twice(seed: int) -> None:
+def test_a_seed_always_draws_the_same_environment(seed: int) -> None:
     assert draw.draw_hosts(drawn(seed)) == draw.draw_hosts(drawn(seed))
     assert draw.draw_arrivals(drawn(seed)) == draw.draw_arrivals(drawn(seed))
 
 
-def test_traffic_has_the_rate_and_the_shares_that_were_asked_for() -> None:
+def test_traffic_has_the_configured_rate_and_shares() -> None:
     arrivals = [arrival for seed in range(20) for arrival in draw.draw_arrivals(drawn(seed))]
     assert all(a.at_s <= b.at_s for a, b in pairwise(draw.draw_arrivals(drawn(1))))
     assert len(arrivals) == pytest.approx(20_000, rel=0.05)
@@ -199,7 +199,7 @@
 
 
 @given(st.integers(0, 200), st.floats(0.05, 0.6))
-def test_an_outage_strikes_one_zone_with_at_most_its_part(seed: int, part: float) -> None:
+def test_an_outage_affects_one_zone_with_at_most_its_share(seed: int, part: float) -> None:
     world = drawn(seed)
     hosts = draw.draw_hosts(world)
     event = EventTable(at_s=1.0, what="refuse", part=part)
@@ -210,14 +210,14 @@
     assert len(dests) == 1 or sum(weights[dest] for dest in dests) <= part + 1e-9
 
 
-def test_replayed_traffic_is_the_first_tries_and_nothing_else() -> None:
+def test_replayed_traffic_is_only_the_first_submissions() -> None:
     story = Story().ask(100, "a", said="refused").ask(600, "b", first="a").ask(900, "c", "keyed", dest=2)
-    story.add(rec.Ask(901_000, "c", "n0", 2, "keyed", "m", SECOND))  # once more on a new connection
+    story.add(rec.Ask(901_000, "c", "n0", 2, "keyed", "m", SECOND))  # resent on a new connection
     traffic = replay.arrivals_from(story.record())
     assert [(a.at_s, a.dest, a.cls) for a in traffic] == [(0.0, 1, "safe"), (pytest.approx(0.8), 2, "keyed")]
 
 
-def test_traffic_alone_replays_as_its_record_does(tmp_path: Path) -> None:
+def test_reduced_traffic_replays_like_its_record(tmp_path: Path) -> None:
     story = Story().ask(100, "a", said="refused").ask(600, "b", first="a").ask(900, "c", "keyed", dest=2)
     rec.save(replay.traffic_only(story.record()), tmp_path / "traffic")
     kept = rec.read(tmp_path / "traffic")
@@ -235,7 +235,7 @@
     assert len(traffic) / traffic[-1].at_s == pytest.approx(world.load.rate_per_s, rel=0.1)
 
 
-def test_a_record_without_a_scenario_cannot_be_replayed_in_its_own_world() -> None:
+def test_a_record_without_a_scenario_cannot_be_replayed() -> None:
     with pytest.raises(rec.RecordError, match="the head holds no scenario"):
         replay.scenario_from(Story().record())
 
@@ -247,7 +247,7 @@
     assert replay.scenario_from(story.record()) == world
 
 
-def test_the_live_view_counts_what_is_open() -> None:
+def test_the_live_view_counts_open_messages() -> None:
     live = Live()
     story = Story().ask(0, "a").ask(0, "b").ask(0, "c", said="refused")
     story.call(10, "a").call(10, "b", end="open").notice(100, "b")
--- a/tests/rig/test_proxy.py
+++ b/tests/rig/test_proxy.py
@@ -1,4 +1,4 @@
-"""The fault proxy: each fault does what it says, and nothing is ever reordered."""
+"""Tests of the fault proxy: each fault has its effect, and bytes are never reordered."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 DATA = bytes(range(256)) * 40
 
 
-class Far:
-    """The other side: it keeps what it gets and can answer."""
+class Target:
+    """The target of the proxy: it stores received bytes and can answer."""
 
     def __init__(self) -> None:
         self.got = bytearray()
@@ -37,26 +37,26 @@
         writer.close()
 
     async def until(self, size: int) -> None:
-        """Wait until so many bytes have come."""
+        """Wait until this many bytes have arrived."""
         async with self.changed:
             await soon(self.changed.wait_for(lambda: len(self.got) >= size))
 
 
 @pytest.fixture
-async def line() -> AsyncIterator[tuple[FaultProxy, Far, asyncio.StreamReader, asyncio.StreamWriter]]:
-    """A connection through a proxy."""
-    far = Far()
-    server = await asyncio.start_server(far.serve, "127.0.0.1", 0)
+async def line() -> AsyncIterator[tuple[FaultProxy, Target, asyncio.StreamReader, asyncio.StreamWriter]]:
+    """Provide a connection through a proxy."""
+    target = Target()
+    server = await asyncio.start_server(target.serve, "127.0.0.1", 0)
     proxy = FaultProxy(lambda: server.sockets[0].getsockname()[:2])
     await proxy.listen()
     reader, writer = await asyncio.open_connection(*proxy.address)
-    yield proxy, far, reader, writer
+    yield proxy, target, reader, writer
     writer.close()
     proxy.close()
     server.close()
 
 
-Line = tuple[FaultProxy, Far, asyncio.StreamReader, asyncio.StreamWriter]
+Line = tuple[FaultProxy, Target, asyncio.StreamReader, asyncio.StreamWriter]
 
 
 FAULTS = [NO_FAULT, LinkFault(delay_s=0.05), LinkFault(drip=True), LinkFault(delay_s=0.02, drip=True)]
@@ -64,83 +64,85 @@
 
 @pytest.mark.parametrize("fault", FAULTS)
 async def test_bytes_come_in_order_whatever_the_fault(line: Line, fault: LinkFault) -> None:
-    proxy, far, _, writer = line
+    proxy, target, _, writer = line
     proxy.set_fault(fault)
     data = DATA if not fault.drip else DATA[:300]
     for at in range(0, len(data), 100):
         writer.write(data[at : at + 100])
         await writer.drain()
-    await far.until(len(data))
-    assert bytes(far.got) == data
+    await target.until(len(data))
+    assert bytes(target.got) == data
 
 
 async def test_a_delay_that_gets_shorter_lets_nothing_overtake(line: Line) -> None:
-    proxy, far, _, writer = line
+    proxy, target, _, writer = line
     proxy.set_fault(LinkFault(delay_s=0.3))
     writer.write(b"first")
     await asyncio.sleep(0.05)
     proxy.set_fault(NO_FAULT)
     writer.write(b"second")
-    await far.until(11)
-    assert bytes(far.got) == b"firstsecond"
+    await target.until(11)
+    assert bytes(target.got) == b"firstsecond"
 
 
 async def test_a_delay_delays(line: Line) -> None:
-    proxy, far, _, writer = line
+    proxy, target, _, writer = line
     loop = asyncio.get_running_loop()
     proxy.set_fault(LinkFault(delay_s=0.2))
     start_s = loop.time()
     writer.write(b"x")
-    await far.until(1)
+    await target.until(1)
     assert loop.time() - start_s >= 0.2
 
 
-async def test_a_cut_passes_so_many_bytes_and_resets_both_sides(line: Line) -> None:
-    proxy, far, reader, writer = line
+async def test_a_cut_passes_its_byte_count_and_resets_both_sides(line: Line) -> None:
+    proxy, target, reader, writer = line
     proxy.set_fault(LinkFault(cut_after=150))
     writer.write(DATA[:1000])
     with pytest.raises(ConnectionError):
         while await soon(reader.read(100)):
             pass
         raise ConnectionResetError
-    await far.until(150)
-    async with far.changed:
-        await soon(far.changed.wait_for(lambda: bool(far.ended)))
-    assert bytes(far.got) == DATA[:150]
-    assert far.ended == ["reset"]
+    await target.until(150)
+    async with target.changed:
+        await soon(target.changed.wait_for(lambda: bool(target.ended)))
+    assert bytes(target.got) == DATA[:150]
+    assert target.ended == ["reset"]
 
 
-async def test_silence_holds_everything_back_and_loses_nothing(line: Line) -> None:
-    proxy, far, reader, writer = line
+async def test_silence_delays_all_bytes_and_loses_none(line: Line) -> None:
+    proxy, target, reader, writer = line
     writer.write(b"before")
-    await far.until(6)
+    await target.until(6)
     proxy.set_fault(LinkFault(silent=True))
     writer.write(b"after")
-    far.writers[0].write(b"answer")
+    target.writers[0].write(b"answer")
     await asyncio.sleep(0.1)
-    assert bytes(far.got) == b"before"
-    _, late_writer = await asyncio.open_connection(*proxy.address)  # new ones come up, and stay silent
+    assert bytes(target.got) == b"before"
+    _, late_writer = await asyncio.open_connection(
+        *proxy.address
+    )  # new connections are accepted and stay silent
     late_writer.write(b"late")
     await asyncio.sleep(0.1)
-    assert bytes(far.got) == b"before"
+    assert bytes(target.got) == b"before"
     proxy.set_fault(NO_FAULT)
-    await far.until(15)
-    assert bytes(far.got) in (b"beforeafterlate", b"beforelateafter")  # two connections have no order
+    await target.until(15)
+    assert bytes(target.got) in (b"beforeafterlate", b"beforelateafter")  # two connections have no order
     assert await soon(reader.readexactly(6)) == b"answer"
     late_writer.close()
 
 
-async def test_the_end_of_one_side_reaches_the_other_behind_its_bytes(line: Line) -> None:
-    proxy, far, _, writer = line
+async def test_end_of_stream_arrives_after_the_bytes(line: Line) -> None:
+    proxy, target, _, writer = line
     proxy.set_fault(LinkFault(delay_s=0.05))
     writer.write(b"bye")
     writer.write_eof()
-    async with far.changed:
-        await soon(far.changed.wait_for(lambda: far.ended == ["end"]))
-    assert bytes(far.got) == b"bye"
+    async with target.changed:
+        await soon(target.changed.wait_for(lambda: target.ended == ["end"]))
+    assert bytes(target.got) == b"bye"
 
 
-async def test_a_far_side_that_is_not_there_resets_the_near_one() -> None:
+async def test_an_unreachable_target_resets_the_client() -> None:
     proxy = FaultProxy(lambda: ("127.0.0.1", 1))
     await proxy.listen()
     reader, writer = await asyncio.open_connection(*proxy.address)
--- a/tests/rig/test_standins.py
+++ b/tests/rig/test_standins.py
@@ -1,4 +1,4 @@
-"""The stand-ins, each against an independent library's other side, so that both cannot share one mistake."""
+"""Tests of the simulated services against independent libraries, so that both sides cannot share a fault."""
 
 from __future__ import annotations
 
@@ -27,8 +27,8 @@
 KIND = KindTable(name="banks", share=1.0, batch=3, error_rate=0.0, handshake_ms=(0, 0))
 
 
-class Set:
-    """A record, what it holds so far, and one endpoint of a kind of its own."""
+class Harness:
+    """A record with its events so far, and a factory of endpoints."""
 
     def __init__(self, folder: Path) -> None:
         self.writer = rec.Writer(folder / "record", lambda _at: draw.record_head(SCENARIO))
@@ -39,7 +39,7 @@
         self.memory = KeyMemory()
 
     async def host(self, kind: KindTable = KIND, name: str = "h", zone: str = "a") -> Host:
-        """An endpoint that is quick."""
+        """Start a fast endpoint."""
         plan = draw.HostPlan(
             name, 1, zone, kind, per_s=4.0, capacity_per_s=1000.0, servers=2, queue=2,
             service_time_factor=1.0, network_s=0.0, handshake_s=0.0, cold_from=0.25, warm_s=10.0,
@@ -49,25 +49,25 @@
         return host
 
     def ask(self, *refs: str, cls: str = "c") -> None:
-        """Messages that were handed in."""
+        """Register submitted messages."""
         for ref in refs:
             self.book.submitted_classes[ref] = cls
 
     def of(self, kind: type) -> list[Any]:
-        """Events of a kind."""
+        """Return the events of a type."""
         return [event for event in self.events if isinstance(event, kind)]
 
 
 @pytest.fixture
-async def world(tmp_path: Path) -> AsyncIterator[Set]:
-    """A record without anything around it."""
-    yield Set(tmp_path)
+async def world(tmp_path: Path) -> AsyncIterator[Harness]:
+    """Provide a harness with an empty record."""
+    yield Harness(tmp_path)
 
 
 async def call(
     host: Host, *refs: str, key: str = "k", connection: http.client.HTTPConnection | None = None
 ) -> tuple[int, dict[str, str], str]:
-    """One call by the standard library's client: status, headers and body."""
+    """Make one call with the standard library's client; return status, headers and body."""
 
     def run() -> tuple[int, dict[str, str], str]:
         client = connection or http.client.HTTPConnection(*host.address, timeout=20)
@@ -85,7 +85,7 @@
     return await soon(asyncio.get_running_loop().run_in_executor(None, run))
 
 
-async def test_a_call_is_delivered_and_recorded_from_first_byte_to_answer(world: Set) -> None:
+async def test_a_call_is_delivered_and_recorded_from_first_byte_to_answer(world: Harness) -> None:
     host = await world.host()
     world.ask("m1")
     assert (await call(host, "m1"))[0] == 200
@@ -95,7 +95,7 @@
     host.stop_listening()
 
 
-async def test_a_batch_tells_each_ones_end(world: Set) -> None:
+async def test_a_batch_answer_states_each_result(world: Harness) -> None:
     host = await world.host()
     world.ask("m1", "m2", "m3")
     status, _, body = await call(host, "m1", "m2", "m3")
@@ -103,7 +103,7 @@
     host.stop_listening()
 
 
-async def test_a_connection_serves_one_call_after_the_other(world: Set) -> None:
+async def test_a_connection_serves_one_call_after_the_other(world: Harness) -> None:
     host = await world.host()
     world.ask("m1", "m2")
     client = http.client.HTTPConnection(*host.address, timeout=20)
@@ -114,7 +114,7 @@
     host.stop_listening()
 
 
-async def test_a_key_that_is_remembered_has_no_effect_again(world: Set) -> None:
+async def test_a_key_that_is_remembered_has_no_effect_again(world: Harness) -> None:
     first, second = await world.host(), await world.host()
     world.ask("m1", "m2", "m3")
     await call(first, "m1", key="k1")
@@ -127,7 +127,7 @@
 
 @pytest.mark.parametrize(("cls", "effects"), [("c", [True, False]), ("zoned", [True, True])])
 async def test_a_key_is_remembered_by_the_whole_destination_or_by_its_zone(
-    world: Set, cls: str, effects: list[bool]
+    world: Harness, cls: str, effects: list[bool]
 ) -> None:
     hosts = [await world.host(), await world.host(name="i", zone="b")]
     world.ask("m0", "m1", cls=cls)
@@ -136,7 +136,7 @@
     assert [event.effect for event in world.of(rec.Ran)] == effects
 
 
-async def test_over_its_limit_it_refuses_with_a_wait_after_which_there_is_room(world: Set) -> None:
+async def test_over_its_limit_an_endpoint_refuses_with_a_wait(world: Harness) -> None:
     kind = KIND.model_copy(update={"limited": True, "tells_wait": 1.0, "wait_ms": (100, 100)})
     host = await world.host(kind)
     host.model.tokens_updated_s = host.now()
@@ -152,7 +152,7 @@
     host.stop_listening()
 
 
-async def test_while_shut_it_tells_when_it_opens(world: Set) -> None:
+async def test_while_shut_the_wait_lasts_until_it_reopens(world: Harness) -> None:
     kind = KIND.model_copy(update={"tells_wait": 1.0})
     host = await world.host(kind)
     world.ask("m1")
@@ -163,7 +163,7 @@
     host.stop_listening()
 
 
-async def test_refusing_it_takes_no_connection_and_comes_back_cold(world: Set) -> None:
+async def test_an_endpoint_that_refuses_connections_returns_cold(world: Harness) -> None:
     host = await world.host()
     host.begin_outage("refuse", 1.0, 1.0)
     with pytest.raises(OSError):
@@ -175,7 +175,7 @@
     host.stop_listening()
 
 
-async def test_silent_it_runs_the_call_and_breaks_it_off_when_it_is_back(world: Set) -> None:
+async def test_a_silent_endpoint_runs_the_call_and_resets_it_on_return(world: Harness) -> None:
     host = await world.host()
     world.ask("m1")
     host.begin_outage("silent", 1.0, 1.0)
@@ -189,7 +189,7 @@
     assert [gone.call for gone in world.of(rec.Gone)] == [1]
 
 
-async def test_sent_too_much_while_cold_it_falls_over(world: Set) -> None:
+async def test_overloaded_while_cold_an_endpoint_collapses(world: Harness) -> None:
     host = await world.host()
     host.begin_outage("refuse", 1.0, 1.0)
     await host.end_outage()
@@ -202,7 +202,7 @@
         await call(host, "m39")
 
 
-async def test_what_nobody_handed_in_is_a_bad_call(world: Set) -> None:
+async def test_a_call_with_an_unsubmitted_message_is_a_bad_call(world: Harness) -> None:
     host = await world.host()
     assert (await call(host, "m9"))[0] == 400
     assert world.book.bad_calls == 1
@@ -221,17 +221,19 @@
         ("/hook/batch", {}, b"".join(b"m%d - 1\r\nx\r\n" % n for n in range(4))),
     ],
 )
-def test_calls_that_the_protocol_does_not_know(target: str, headers: dict[str, str], body: bytes) -> None:
+def test_calls_that_violate_the_protocol_are_rejected(
+    target: str, headers: dict[str, str], body: bytes
+) -> None:
     request = Request(None, "POST", target, headers, body, 0.0, 0.0)  # type: ignore[arg-type]
     with pytest.raises(BadCallError):
         parse_messages(request, 3)
 
 
-async def get(face: DiscoveryServer, target: str) -> tuple[int, list[Any]]:
-    """A whole answer, or a watch's first line, by the standard library's client."""
+async def get(server: DiscoveryServer, target: str) -> tuple[int, list[Any]]:
+    """Return a complete answer, or a watch's first line, read by the standard library's client."""
 
     def run() -> tuple[int, list[Any]]:
-        client = http.client.HTTPConnection(*face.address, timeout=20)
+        client = http.client.HTTPConnection(*server.address, timeout=20)
         client.request("GET", target)
         answer = client.getresponse()
         lines = [json.loads(answer.readline())] if answer.status == 200 else []
@@ -241,52 +243,52 @@
     return await soon(asyncio.get_running_loop().run_in_executor(None, run))
 
 
-async def test_discovery_tells_the_list_and_its_changes(world: Set) -> None:
+async def test_discovery_serves_the_list_and_its_changes(world: Harness) -> None:
     platform = Platform(world.writer, (0.0, 0.0), random.Random(1))
     platform.dial_address = lambda relay, host: f"{relay}.{host}:1"
-    face = await platform.add_server("n0")
+    server = await platform.add_server("n0")
     platform.set_state("h1", "ready", delayed=False, block=3)
-    status, [news] = await get(face, "/discovery/hosts")
+    status, [news] = await get(server, "/discovery/hosts")
     assert (status, news["whole"], news["seq"]) == (200, True, 1)
     assert [(e["host"], e["block"], e["dial"], e["health"]) for e in news["hosts"]] == [
         ("h1", 3, "n0.h1:1", "SERVING")
     ]
     platform.set_state("h1", "draining", delayed=False)
-    status, [news] = await get(face, "/discovery/hosts?watch=1&from=1")
+    status, [news] = await get(server, "/discovery/hosts?watch=1&from=1")
     assert [(e["host"], e["block"], e["health"]) for e in news["hosts"]] == [("h1", 3, "DRAINING")]
     assert world.of(rec.Told)[-1].state == "draining"
     platform.go_down()
-    assert (await get(face, "/discovery/hosts?watch=1&from=1"))[0] == 503
+    assert (await get(server, "/discovery/hosts?watch=1&from=1"))[0] == 503
     platform.stop()
 
 
-async def post(face: DiscoveryServer, body: bytes) -> int:
+async def post(server: DiscoveryServer, body: bytes) -> int:
     """Post notices."""
 
     def run() -> int:
-        client = http.client.HTTPConnection(*face.address, timeout=20)
+        client = http.client.HTTPConnection(*server.address, timeout=20)
         client.request("POST", "/v1/notices", body)
         return client.getresponse().status
 
     return await soon(asyncio.get_running_loop().run_in_executor(None, run))
 
 
-async def test_notices_are_taken_also_while_discovery_is_down(world: Set) -> None:
+async def test_notices_are_accepted_while_discovery_is_down(world: Harness) -> None:
     platform = Platform(world.writer, (0.0, 0.0), random.Random(1))
     heard: list[rec.Notice] = []
     platform.on_notice = heard.append
-    face = await platform.add_server("n0")
+    server = await platform.add_server("n0")
     platform.go_down()
     body = b'{"ref":"m1","result":"dead"}\n{"ref":"m2","result":"bounced","wait_ms":500}\n'
-    assert await post(face, body) == 204
+    assert await post(server, body) == 204
     assert [(n.id, n.result, n.wait_us) for n in heard] == [("m1", "dead", 0), ("m2", "bounced", 500_000)]
-    assert await post(face, b'{"ref":"m1","result":"lost"}\n') == 400
-    assert await post(face, b"nonsense") == 400
+    assert await post(server, b'{"ref":"m1","result":"lost"}\n') == 400
+    assert await post(server, b"nonsense") == 400
     assert len(heard) == 2
     platform.stop()
 
 
-def test_a_clients_words_are_those_of_an_independent_library() -> None:
+def test_commands_are_encoded_as_by_an_independent_library() -> None:
     words = (b"ENQUEUE", b"0" * 16, b"m1", b"c=x,d=1", bytes(range(256)))
     assert encode_command(*words) == hiredis.pack_command(words)  # type: ignore[arg-type]
 
@@ -301,19 +303,19 @@
         (b":1\r\n", "failed", 0),
     ],
 )
-def test_answers_in_the_records_words(line: bytes, what: str, wait_us: int) -> None:
+def test_answers_are_parsed_into_the_records_terms(line: bytes, what: str, wait_us: int) -> None:
     assert (parse_answer(line).result, parse_answer(line).wait_us) == (what, wait_us)
 
 
 class Scripted:
-    """A relay that answers by script and reads requests with hiredis."""
+    """A relay with scripted answers that reads requests with hiredis."""
 
     def __init__(self, *answers: bytes | None) -> None:
         self.answers, self.seen = list(answers), list[list[bytes]]()
         self.connections = 0
 
     async def start(self) -> RelayTarget:
-        """Listen; the relay as clients see it."""
+        """Listen; return the address for clients."""
         self.server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
         return RelayTarget("n0", self.server.sockets[0].getsockname())
 
@@ -331,10 +333,12 @@
                 writer.write(answer)
 
 
-async def handed_in(world: Set, script: Scripted, until: Callable[[], bool], **habits: Any) -> Clients:
-    """One message by a client with these habits, until something is so."""
+async def submit_until(
+    world: Harness, script: Scripted, until: Callable[[], bool], **settings: Any
+) -> Clients:
+    """Submit one message with these client settings; wait until the condition holds."""
     known: dict[str, Any] = {"retries": 2, "backoff_s": (0.01, 0.01), "honour": 1.0}
-    clients = Clients(world.writer, ClientsTable(**(known | habits)), random.Random(1))
+    clients = Clients(world.writer, ClientsTable(**(known | settings)), random.Random(1))
     relay = await script.start()
     cls = draw.record_head(SCENARIO).classes[0]
     arrival = draw.Arrival(0.0, 0, 7, cls.name, "m", "", 5)
@@ -350,9 +354,9 @@
     return clients
 
 
-async def test_a_refused_message_comes_again_under_a_new_id_after_its_wait(world: Set) -> None:
+async def test_a_refused_message_is_resubmitted_with_a_new_id_after_its_wait(world: Harness) -> None:
     script = Scripted(b"-BUSY 120\r\n", b"-BUSY\r\n")
-    await handed_in(world, script, lambda: len(world.of(rec.Said)) == 3, marks=True)
+    await submit_until(world, script, lambda: len(world.of(rec.Said)) == 3, marks=True)
     first, second, third = world.of(rec.Ask)
     assert len({first.id, second.id, third.id}) == 3
     assert (first.first, second.first, third.first) == ("", first.id, first.id)
@@ -363,24 +367,24 @@
     assert second.left_us < first.left_us
 
 
-async def test_a_kept_connection_that_closes_is_no_lost_request(world: Set) -> None:
+async def test_a_request_on_a_closed_idle_connection_is_resent(world: Harness) -> None:
     script = Scripted(b"-BUSY\r\n", None)
-    await handed_in(world, script, lambda: len(world.of(rec.Said)) == 2)
+    await submit_until(world, script, lambda: len(world.of(rec.Said)) == 2)
     assert [said.what for said in world.of(rec.Said)] == ["refused", "taken"]
-    assert [words[2] for words in script.seen[1:]] == [script.seen[1][2]] * 2  # the same id once more
+    assert [words[2] for words in script.seen[1:]] == [script.seen[1][2]] * 2  # resent with the same id
     assert script.connections == 2
 
 
-async def test_a_silent_relay_is_left_and_asked_again(world: Set) -> None:
+async def test_a_message_to_a_silent_relay_is_resubmitted(world: Harness) -> None:
     script = Scripted(b"")
-    await handed_in(world, script, lambda: len(world.of(rec.Said)) == 2, answer_s=0.1)
+    await submit_until(world, script, lambda: len(world.of(rec.Said)) == 2, answer_s=0.1)
     assert [said.what for said in world.of(rec.Said)] == ["silent", "taken"]
     assert b"again=1" in script.seen[1][3]
 
 
-async def test_a_bounced_message_comes_again_and_a_dead_one_does_not(world: Set) -> None:
+async def test_a_dead_notice_is_the_final_result(world: Harness) -> None:
     script = Scripted()
-    clients = await handed_in(world, script, lambda: len(world.of(rec.Said)) == 1)
+    clients = await submit_until(world, script, lambda: len(world.of(rec.Said)) == 1)
     assert clients.pending_count == 1
     clients.notice_received(rec.Notice(0, "n0", world.of(rec.Ask)[0].id, "dead"))
     assert clients.pending_count == 0
