--- a/mallowlug/rig/run/play.py
+++ b/mallowlug/rig/run/play.py
@@ -55,9 +55,8 @@
     """What a run executes on: real sockets and processes, or a simulation of them."""
 
     addresses: AddressAllocator
-    on_dial: (
-        Callable[[str, tuple[str, int]], None] | None
-    )  # called for every connect; None: connects cannot be observed
+    # Called for every connect; None: connects cannot be observed.
+    on_dial: Callable[[str, tuple[str, int]], None] | None
 
     def now_us(self) -> int:
         """Return the record's clock, in microseconds from an arbitrary start."""
@@ -106,22 +105,22 @@
 class Environment:
     """The relays and everything they talk to."""
 
-    def __init__(self, scenario: Scenario, folder: Path, options: RunOptions, ground: Backend) -> None:
-        self.scenario, self.folder, self.options, self.backend = scenario, folder, options, ground
+    def __init__(self, scenario: Scenario, folder: Path, options: RunOptions, backend: Backend) -> None:
+        self.scenario, self.folder, self.options, self.backend = scenario, folder, options, backend
         folder.mkdir(parents=True, exist_ok=True)
         self.path = folder / "record.jsonl"
-        head = msgspec.structs.replace(draw.record_head(scenario), dials=ground.on_dial is not None)
-        self.writer = rec.Writer(self.path, lambda _at: head, ground.now_us)
-        if ground.on_dial is not None:
-            ground.on_dial = self._record_dial
+        head = msgspec.structs.replace(draw.record_head(scenario), dials=backend.on_dial is not None)
+        self.writer = rec.Writer(self.path, lambda _at: head, backend.now_us)
+        if backend.on_dial is not None:
+            backend.on_dial = self._record_dial
         self.rng = random.Random(f"world {scenario.seed}")
         facts = {cls.name: cls for cls in draw.record_head(scenario).classes}
         self.classes = facts
         work = {
             cls.name: ClassWork(cls.work_ms / 1000, cls.window_s, cls.by_zone) for cls in scenario.classes
         }
-        self.host_context = HostContext(self.writer, work, ground.addresses)
-        self.platform = Platform(self.writer, scenario.directory.late_s, self.rng, ground.addresses)
+        self.host_context = HostContext(self.writer, work, backend.addresses)
+        self.platform = Platform(self.writer, scenario.directory.late_s, self.rng, backend.addresses)
         self.clients = Clients(self.writer, scenario.clients, self.rng)
         self.platform.on_notice = self.clients.notice_received
         self.clients.on_submit = self.host_context.submitted_classes.__setitem__
@@ -499,11 +498,11 @@
 
 
 async def play(
-    scenario: Scenario, folder: Path, options: RunOptions | None = None, ground: Backend | None = None
+    scenario: Scenario, folder: Path, options: RunOptions | None = None, backend: Backend | None = None
 ) -> RunResult:
     """Run a scenario in ``folder``; the record is complete unless this process is killed."""
     options = options or RunOptions()
-    world = Environment(scenario, folder, options, ground or LocalBackend(options))
+    world = Environment(scenario, folder, options, backend or LocalBackend(options))
     try:
         await world.start()
         started = world.options.on_started
--- a/mallowlug/rig/run/relays.py
+++ b/mallowlug/rig/run/relays.py
@@ -76,9 +76,8 @@
         self.name, self.address, self._writer, self._config = name, address, writer, config
         self.starts = 0
         self.process: Process | None = None
-        self.lifecycle_lock = (
-            asyncio.Lock()
-        )  # held to start or stop it: otherwise two processes could be started
+        # Held to start or stop it: otherwise two processes could be started.
+        self.lifecycle_lock = asyncio.Lock()
 
     def record_event(self, what: Any, detail: str = "") -> None:
         """Record an event of the process."""
--- a/mallowlug/rig/soak/plan.py
+++ b/mallowlug/rig/soak/plan.py
@@ -12,10 +12,8 @@
 from mallowlug.rig.world.scenario import Scenario
 
 OUTAGES = ("refuse", "silent", "shut")
-EARLIEST_OUTAGE_S, FINAL_QUIET_S = (
-    4.0,
-    5.0,
-)  # s at the start without outages, and s at the end without one
+# Seconds at the start, and at the end, without an outage.
+EARLIEST_OUTAGE_S, FINAL_QUIET_S = 4.0, 5.0
 RELAY_WEIGHTS: tuple[tuple[float, ...], ...] = ((), (0.5, 1.5), (0.2, 0.5, 1.0, 1.0, 3.0))
 MIN_DESTINATIONS, MAX_DESTINATIONS = 6, 16  # destinations
 CROWD_RELAYS, CROWD_SOCKETS = 6, 192  # idle connections exhaust the descriptors of a few relays
@@ -30,10 +28,8 @@
     other_faults: bool = False  # other faults besides outages
     idle_connections: bool = False  # idle clients exhaust the descriptors
     min_destinations: int = MIN_DESTINATIONS
-    per_destination_s: tuple[float, float] = (
-        4.0,
-        9.0,
-    )  # messages/s per destination: low enough that each one loads a cold endpoint noticeably
+    # Messages/s per destination: each one is noticeable at a cold endpoint.
+    per_destination_s: tuple[float, float] = (4.0, 9.0)
     endpoints: tuple[list[int], ...] = ([1, 1], [1, 2], [1, 4])
 
 
--- a/mallowlug/rig/world/clients.py
+++ b/mallowlug/rig/world/clients.py
@@ -74,9 +74,8 @@
 
     def __init__(self, writer: rec.Writer, settings: ClientsTable, rng: random.Random) -> None:
         self._writer, self._settings, self._rng = writer, settings, rng
-        self._results: dict[
-            str, asyncio.Future[rec.Notice | None]
-        ] = {}  # by id: submitted messages without a final result
+        # By id: submitted messages without a final result.
+        self._results: dict[str, asyncio.Future[rec.Notice | None]] = {}
         self.on_submit: Callable[[str, str], None] = lambda _ref, _cls: None
         self.ids = 0
 
--- a/mallowlug/rig/world/fronts.py
+++ b/mallowlug/rig/world/fronts.py
@@ -40,9 +40,8 @@
         self.address: Address = ("", 0)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self.transport = cast(
-            asyncio.DatagramTransport, transport
-        )  # asyncio's transport does not subclass DatagramTransport
+        # Asyncio's transport does not subclass DatagramTransport.
+        self.transport = cast(asyncio.DatagramTransport, transport)
         self.address = transport.get_extra_info("sockname")
 
     def datagram_received(self, data: bytes, addr: Address) -> None:
@@ -66,9 +65,8 @@
         self._relay_by_source: dict[Address, str] = {}  # by source address
         self._paths: dict[tuple[str, str], DatagramPath] = {}
         self._next_allowed_s: dict[tuple[str, str], float] = {}
-        self.on_path_change: Callable[[str, str, bool], None] = lambda _one, _other, _clear: (
-            None
-        )  # called for every change of a path
+        # Called for every change of a path.
+        self.on_path_change: Callable[[str, str, bool], None] = lambda _one, _other, _clear: None
         self.forwarded, self.dropped = Counter[tuple[str, str]](), Counter[tuple[str, str]]()
 
     async def add(self, relay: str, listen: Address, host: str = "127.0.0.1") -> Address:
--- a/mallowlug/rig/world/hosts.py
+++ b/mallowlug/rig/world/hosts.py
@@ -89,9 +89,8 @@
         self.classes = classes  # by name
         self.submitted_classes: dict[str, str] = {}  # class name by message id
         self.last_call_number = 0
-        self.heavy_tails: dict[
-            str, tuple[float, float]
-        ] = {}  # by class: share of slow messages, factor of their work
+        # By class: share of slow messages, factor of their work.
+        self.heavy_tails: dict[str, tuple[float, float]] = {}
         self.corrupt_share = 0.0  # share of answers that are corrupt
         self.bad_calls = 0
 
@@ -117,9 +116,8 @@
         self.rng = random.Random(seed)
         self.model = HostModel(plan, self.rng)
         self.calls_in_progress: dict[Connection, CallInProgress] = {}
-        self.retry_after_calls: dict[
-            Connection, int
-        ] = {}  # last call of a connection, if it was answered with a Retry-After wait
+        # Last call of a connection, if it was answered with a Retry-After wait.
+        self.retry_after_calls: dict[Connection, int] = {}
         self._queued_calls: dict[int, CallInProgress] = {}  # by call number: calls that wait for a server
         self._outage_number = 0  # outages so far; calls begun before an outage are not answered after it
         self._idle_timers: dict[Connection, asyncio.TimerHandle] = {}
@@ -147,9 +145,8 @@
     def request_received(self, request: Request) -> None:
         """Accept or refuse a call; while the endpoint is silent, accept it and never answer."""
         connection, context = request.connection, self.context
-        self.retry_after_calls.pop(
-            connection, None
-        )  # the relay sent another call, so it has received the wait
+        # The relay sent another call, so it has received the wait.
+        self.retry_after_calls.pop(connection, None)
         if timer := self._idle_timers.pop(connection, None):
             timer.cancel()
         try:
--- a/mallowlug/rig/world/scenario.py
+++ b/mallowlug/rig/world/scenario.py
@@ -103,9 +103,8 @@
     """``[relays]``: the processes under test and their limits."""
 
     count: int = Field(default=2, ge=1, le=200)
-    slots_room: float = Field(
-        default=1.9, gt=0
-    )  # concurrent calls, as a multiple of what the load keeps busy
+    # Concurrent calls, as a multiple of what the load keeps busy.
+    slots_room: float = Field(default=1.9, gt=0)
     hold_s: float = Field(default=9.0, gt=0)  # seconds of the load that a relay may hold open
     sockets: int = Field(default=384, ge=32)
     disk_mb: float = Field(default=3.0, gt=0)
@@ -116,9 +115,8 @@
     staff: bool = False  # seeds include operators who disable and enable hosts
     reloads: bool = False  # seeds change the configuration file at every stage of an upgrade
     awake: int = Field(default=1024, ge=1)  # destinations that stay active; simulated relays only
-    rest_s: float = Field(
-        default=60.0, gt=0
-    )  # idle time after which one may become inactive; simulated relays only
+    # Idle time after which one may become inactive; simulated relays only.
+    rest_s: float = Field(default=60.0, gt=0)
 
 
 class RulesTable(toml_check.Strict):
