--- a/mallowlug/rig/run/play.py
+++ b/mallowlug/rig/run/play.py
@@ -502,14 +502,14 @@
 ) -> RunResult:
     """Run a scenario in ``folder``; the record is complete unless this process is killed."""
     options = options or RunOptions()
-    world = Environment(scenario, folder, options, backend or LocalBackend(options))
+    environment = Environment(scenario, folder, options, backend or LocalBackend(options))
     try:
-        await world.start()
-        started = world.options.on_started
-        beside = [world.spawn(started(world))] if started is not None else []
-        await asyncio.gather(world.traffic(), world.events(), *beside)
+        await environment.start()
+        started = environment.options.on_started
+        beside = [environment.spawn(started(environment))] if started is not None else []
+        await asyncio.gather(environment.traffic(), environment.events(), *beside)
     finally:
-        await world.stop()
-        others = read_marks(folder, world.writer.start_us)
-        world.writer.close(world.backend.cpu_s(), world.max_lag_us, others)
-    return RunResult(world.path, tuple(world.crashed), world.host_context.bad_calls)
+        await environment.stop()
+        others = read_marks(folder, environment.writer.start_us)
+        environment.writer.close(environment.backend.cpu_s(), environment.max_lag_us, others)
+    return RunResult(environment.path, tuple(environment.crashed), environment.host_context.bad_calls)
--- a/mallowlug/rig/world/hosts.py
+++ b/mallowlug/rig/world/hosts.py
@@ -109,10 +109,10 @@
     """One endpoint and its connections."""
 
     def __init__(
-        self, plan: HostPlan, book: HostContext, memory: KeyMemory, idle_s: float, seed: str
+        self, plan: HostPlan, context: HostContext, memory: KeyMemory, idle_s: float, seed: str
     ) -> None:
-        super().__init__(book.addresses)
-        self.plan, self.context, self.memory, self.idle_s = plan, book, memory, idle_s
+        super().__init__(context.addresses)
+        self.plan, self.context, self.memory, self.idle_s = plan, context, memory, idle_s
         self.rng = random.Random(seed)
         self.model = HostModel(plan, self.rng)
         self.calls_in_progress: dict[Connection, CallInProgress] = {}
@@ -195,10 +195,10 @@
 
     def _schedule(self, delay_s: float, then: Any, *args: object) -> None:
         """Run a callback after a delay, unless an outage begins first."""
-        life = self._outage_number
+        outage_number = self._outage_number
 
         def run() -> None:
-            if life == self._outage_number:
+            if outage_number == self._outage_number:
                 then(*args)
 
         asyncio.get_running_loop().call_later(delay_s, run)
--- a/mallowlug/rig/world/platform.py
+++ b/mallowlug/rig/world/platform.py
@@ -47,13 +47,13 @@
     def __init__(
         self,
         relay: str,
-        listing: EndpointDirectory,
+        directory: EndpointDirectory,
         writer: rec.Writer,
-        ended: Callable[[rec.Notice], None],
+        on_notice: Callable[[rec.Notice], None],
         addresses: AddressAllocator,
     ) -> None:
         super().__init__(addresses)
-        self.relay, self.directory, self.writer, self.on_notice = relay, listing, writer, ended
+        self.relay, self.directory, self.writer, self.on_notice = relay, directory, writer, on_notice
         self.down = False
         self.dial_address: Callable[[str], str] = str  # endpoint name to the address this relay connects to
         self.watches: dict[Connection, None] = {}
