--- a/mallowlug/rig/run/play.py
+++ b/mallowlug/rig/run/play.py
@@ -344,8 +344,8 @@
     async def _disable_hosts(self, event: EventTable) -> None:
         """Disable endpoints at one relay, restart them and enable them: they return cold."""
         relay = self.relays[event.relay]
-        able = [name for name, host in self.hosts.items() if host.model.state == "up"]
-        names = self.rng.sample(able, min(event.count, len(able)))
+        candidates = [name for name, host in self.hosts.items() if host.model.state == "up"]
+        names = self.rng.sample(candidates, min(event.count, len(candidates)))
         names = [name for name in names if await relay.set_disabled(name, True)]
         for name in names:
             self.writer.add(rec.Hand(self.writer.now, relay.name, name, True))
--- a/mallowlug/rig/soak/plan.py
+++ b/mallowlug/rig/soak/plan.py
@@ -133,45 +133,45 @@
 def _outages(rng: random.Random, destinations: int, length_s: float) -> list[dict[str, Any]]:
     """Draw two or three early outages at once and as many later, each at a different destination."""
     last_s = length_s - FINAL_QUIET_S
-    struck = rng.sample(range(destinations), min(destinations, rng.randint(4, 6)))
-    found = list[dict[str, Any]]()
-    for number, dest in enumerate(struck):
+    affected = rng.sample(range(destinations), min(destinations, rng.randint(4, 6)))
+    events = list[dict[str, Any]]()
+    for number, dest in enumerate(affected):
         at_s = (
             EARLIEST_OUTAGE_S + rng.uniform(0, 2)
             if number % 2
             else max(EARLIEST_OUTAGE_S, last_s / 2 + rng.uniform(0, 2))
         )
         len_s = min(rng.uniform(7, 13), last_s - at_s)
-        found.append({"at_s": at_s, "what": rng.choice(OUTAGES), "len_s": len_s, "dest": dest})
-    return found
+        events.append({"at_s": at_s, "what": rng.choice(OUTAGES), "len_s": len_s, "dest": dest})
+    return events
 
 
 def _simultaneous_outages(rng: random.Random, destinations: int, length_s: float) -> list[dict[str, Any]]:
     """Draw two groups of destinations that fail and return together, mostly with a Retry-After wait."""
     dests = rng.sample(range(destinations), 9)
     second_s = length_s / 2 + rng.uniform(0, 2)
-    found = list[dict[str, Any]]()
-    for at_s, struck in ((EARLIEST_OUTAGE_S, dests[:5]), (second_s, dests[5:])):
+    events = list[dict[str, Any]]()
+    for at_s, affected in ((EARLIEST_OUTAGE_S, dests[:5]), (second_s, dests[5:])):
         len_s = min(rng.uniform(7, 11), length_s - FINAL_QUIET_S - at_s)
-        for dest in struck:
+        for dest in affected:
             what = rng.choice(("shut", "shut", "shut", *OUTAGES))
-            found.append({"at_s": at_s, "what": what, "len_s": len_s, "dest": dest})
-    return found
+            events.append({"at_s": at_s, "what": what, "len_s": len_s, "dest": dest})
+    return events
 
 
 def _signals(
     rng: random.Random, outages: list[dict[str, Any]], relays: int, length_s: float
 ) -> list[dict[str, Any]]:
     """Draw series of kills, terminations and reloads of some relays around the ends of outages."""
-    found = list[dict[str, Any]]()
+    events = list[dict[str, Any]]()
     for relay in rng.sample(range(relays), max(1, relays // rng.choice((4, 10, 20)))):
         outage = rng.choice(outages)
         at_s = outage["at_s"] + outage["len_s"] + rng.choice(SIGNAL_OFFSETS_S)
         for what in rng.choice((["kill"], ["term"], ["hup", "kill"], ["kill", "term"], ["hup"])):
             if at_s < length_s - 1:
-                found.append({"at_s": at_s, "what": what, "relay": relay})
+                events.append({"at_s": at_s, "what": what, "relay": relay})
             at_s += rng.uniform(2.0, 7.0)
-    return found
+    return events
 
 
 def _other_faults(rng: random.Random, length_s: float) -> list[dict[str, Any]]:
--- a/mallowlug/rig/world/platform.py
+++ b/mallowlug/rig/world/platform.py
@@ -87,7 +87,7 @@
             connection.send_chunk(b"\n")
 
     def stop(self) -> None:
-        """Be gone."""
+        """Stop heartbeats and close all connections."""
         if self._heartbeat_timer is not None:
             self._heartbeat_timer.cancel()
         self.stop_listening()
@@ -228,6 +228,6 @@
             server.down = False
 
     def stop(self) -> None:
-        """Be gone."""
+        """Stop the servers of all relays."""
         for server in [*self.servers.values(), *self.former_servers]:
             server.stop()
