--- a/mallowlug/rig/cli.py
+++ b/mallowlug/rig/cli.py
@@ -18,7 +18,7 @@
 from mallowlug.rig.judge.rules import Verdict, judge
 from mallowlug.rig.judge.service import service_of
 from mallowlug.rig.report.live import LiveState
-from mallowlug.rig.run.play import Done, Options, play
+from mallowlug.rig.run.play import RunOptions, RunResult, play
 from mallowlug.rig.world import replay, scenario
 from mallowlug.toml_check import FileMistakesError
 
@@ -108,7 +108,7 @@
 
 def run_and_judge(
     world: scenario.Scenario,
-    options: Options,
+    options: RunOptions,
     *,
     out: Path | None,
     live: bool,
@@ -120,7 +120,7 @@
     folder = record_folder(out, world.name)
     with live_view(live) as watch:
         options.watch = watch
-        done: Done = asyncio.run(play(world, folder, options))
+        done: RunResult = asyncio.run(play(world, folder, options))
     code = judge_and_report(done.path, folder / "report.html")
     print(f"record {done.path}\nreport {folder / 'report.html'}")
     for crash in done.crashed:
@@ -155,7 +155,9 @@
 @reports_file_errors
 def run(file: Path, *, out: Path | None, live: bool, seed: int | None, relays: int | None) -> int:
     """Run a scenario and judge it."""
-    return run_and_judge(scenario.load_real(file), Options(), out=out, live=live, seed=seed, relays=relays)
+    return run_and_judge(
+        scenario.load_without_simulation(file), RunOptions(), out=out, live=live, seed=seed, relays=relays
+    )
 
 
 @group.command("replay")
@@ -171,8 +173,8 @@
 ) -> int:
     """Replay a record's traffic in its own scenario or another."""
     found = rec.read(record)
-    world = scenario.load_real(file) if file else replay.scenario_of(found)
-    options = Options(traffic=replay.traffic_of(found))
+    world = scenario.load_without_simulation(file) if file else replay.scenario_from(found)
+    options = RunOptions(traffic=replay.arrivals_from(found))
     return run_and_judge(world, options, out=out, live=live, seed=seed, relays=relays)
 
 
@@ -257,6 +259,6 @@
             rules.update({breach.rule for breach in result.breaches})
     except soaks.SoakError as error:
         raise click.BadParameter(str(error)) from error
-    counts = soaks.counted(rules) or "none"
+    counts = soaks.format_counts(rules) or "none"
     print(f"{failed} of {len(seeds_of(seeds))} seeds failed; seeds by broken rule: {counts}")
     return int(failed > 0)
--- a/mallowlug/rig/sim/faults.py
+++ b/mallowlug/rig/sim/faults.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from mallowlug.rig.world.scenario import STRUCK, SYNCS, EventTable, NetTable, Scenario, StrikeTable
+from mallowlug.rig.world.scenario import SYNC_CALLS, SYSTEM_CALLS, EventTable, NetTable, Scenario, StrikeTable
 
 Row = dict[str, Any]
 KIND_PROBABILITY = 0.35  # probability that a kind of fault is enabled
@@ -75,7 +75,7 @@
         """Kills before, within and after single system calls, in successive processes of a relay."""
         relay = self._relay()
         for life in range(self.rng.randint(1, MAX_LIFETIMES)):
-            when, call = self.rng.choice(("before", "within", "after")), self.rng.choice(STRUCK)
+            when, call = self.rng.choice(("before", "within", "after")), self.rng.choice(SYSTEM_CALLS)
             at = self._draw_index(RARE_CALLS.get(call, 60))
             self.strikes.append({"relay": relay, "life": life, "call": call, "at": at, "when": when})
 
@@ -169,7 +169,7 @@
             for _ in self._repeats(3):
                 self._add_event("power", relay=self._relay())
         for _ in self._repeats(3):
-            call, when = self.rng.choice(SYNCS), self.rng.choice(("before", "within", "after"))
+            call, when = self.rng.choice(SYNC_CALLS), self.rng.choice(("before", "within", "after"))
             what = self.rng.choice(("EIO", "kill"))
             self._add_strike(call=call, what=what, when=when, at=self._draw_index(RARE_CALLS.get(call, 200)))
 
--- a/mallowlug/rig/sim/ground.py
+++ b/mallowlug/rig/sim/ground.py
@@ -16,15 +16,15 @@
 from mallowlug.config import Extras, FleetPlan
 from mallowlug.core import relay as core
 from mallowlug.rig.judge import record as rec
-from mallowlug.rig.run.play import Options, play
-from mallowlug.rig.run.relays import Relay
+from mallowlug.rig.run.play import RunOptions, play
+from mallowlug.rig.run.relays import ManagedRelay
 from mallowlug.rig.sim.disk import SimDisk
 from mallowlug.rig.sim.guards import InvariantMonitor
 from mallowlug.rig.sim.loop import START_S, SimLoop
 from mallowlug.rig.sim.net import Link, Network
 from mallowlug.rig.sim.process import InjectedFault, Kernel, LifetimeLog, Machine, SimProcess, SimRelay
 from mallowlug.rig.sim.upgrade import Upgrade
-from mallowlug.rig.world.httpd import Place
+from mallowlug.rig.world.httpd import AddressAllocator
 from mallowlug.rig.world.scenario import EventTable, Scenario
 from mossfront import interface as api
 
@@ -36,9 +36,9 @@
         self.loop, self.scenario = loop, scenario
         self.net = loop.net = Network(loop, random.Random(f"net {scenario.seed}"))
         self.net.new_link, self.net.on_connect = self._draw_link, self._report_connect
-        self.dialled: Callable[[str, tuple[str, int]], None] | None = lambda _relay, _address: None
+        self.on_dial: Callable[[str, tuple[str, int]], None] | None = lambda _relay, _address: None
         self.kernel = Kernel(loop, self.net, scenario.strikes)
-        self.place = Place(self.net.allocate_address, itertools.count(1))
+        self.addresses = AddressAllocator(self.net.allocate_address, itertools.count(1))
         self.relays: list[SimRelay] = []
         self.fleet_seeds: list[str] = []  # seed addresses of the relays' fleet
         self.writer: rec.RecordWriter | None = None
@@ -55,8 +55,8 @@
         )
 
     def _report_connect(self, place: str, address: tuple[str, int]) -> None:
-        if self.dialled is not None:
-            self.dialled(place, address)
+        if self.on_dial is not None:
+            self.on_dial(place, address)
 
     def _record_fault(self, fault: InjectedFault) -> None:
         assert self.writer is not None
@@ -99,7 +99,7 @@
             self.fleet_seeds.append(address_text)
         return FleetPlan("sim", address, address_text, tuple(self.fleet_seeds), period_s=0.2, settle_s=2.0)
 
-    async def strike(self, relay: Relay, event: EventTable) -> None:
+    async def apply_event(self, relay: ManagedRelay, event: EventTable) -> None:
         """Inject a fault that real processes cannot be given; returns when it is over."""
         assert isinstance(relay, SimRelay)
         machine = relay.machine
@@ -129,29 +129,29 @@
         machine.full_reasons += 1
         if machine.full_reasons == 1:
             machine.disk.full = True
-            relay.note("full")
+            relay.record_event("full")
         await asyncio.sleep(len_s)
         machine.full_reasons -= 1
         if not machine.full_reasons:
             machine.disk.full = False
-            relay.note("room")
+            relay.record_event("room")
 
     async def _suspend(self, relay: SimRelay, len_s: float) -> None:
         process = relay.process
         assert isinstance(process, SimProcess)
         process.lifetime.suspended = True
-        relay.note("deaf", "stands still")
+        relay.record_event("deaf", "stands still")
         with contextlib.suppress(TimeoutError):  # the process may end first
             await asyncio.wait_for(process.wait(), len_s)
-        relay.note("hears")
+        relay.record_event("hears")
         self.loop.resume(process.lifetime)
 
     async def _partition(self, relay: SimRelay, len_s: float) -> None:
-        relay.note("deaf", "cut off")
+        relay.record_event("deaf", "cut off")
         for pair in ((relay.name, ""), ("", relay.name)):
             self.net.partition(*pair)
         await asyncio.sleep(len_s)
-        relay.note("hears")
+        relay.record_event("hears")
         for pair in ((relay.name, ""), ("", relay.name)):
             self.net.heal(*pair)
 
@@ -203,7 +203,7 @@
     return MonitoredEngine
 
 
-def simulate(scenario: Scenario, folder: Path, options: Options | None = None) -> SimulatedRun:
+def simulate(scenario: Scenario, folder: Path, options: RunOptions | None = None) -> SimulatedRun:
     """Play a scenario in simulated time into ``folder``.
 
     The scenario and its seed alone decide what happens. The garbage collector is disabled during the run,
--- a/mallowlug/rig/sim/process.py
+++ b/mallowlug/rig/sim/process.py
@@ -23,7 +23,7 @@
 from mallowlug import config
 from mallowlug.compose import serve
 from mallowlug.rig.judge import record as rec
-from mallowlug.rig.run.relays import Process, Relay, asked
+from mallowlug.rig.run.relays import ManagedRelay, Process, console_request
 from mallowlug.rig.sim.disk import SimDisk
 from mallowlug.rig.sim.loop import CURRENT_LIFETIME, Killed, Lifetime, SimLoop, untyped
 from mallowlug.rig.sim.net import Network, SimSocket, os_error
@@ -282,7 +282,7 @@
         cls["aim_us"] = max(1, cls["aim_us"] * 9 // 10)
 
 
-class SimRelay(Relay):
+class SimRelay(ManagedRelay):
     """A relay across its restarts, on a machine of its own."""
 
     def __init__(
@@ -299,10 +299,10 @@
         self.config_edits: list[str] = []  # changes made by operators: "classes" or "deadlines"
 
     def write_config(self) -> None:
-        self.machine.disk.install_file(CONFIG, self.told())
+        self.machine.disk.install_file(CONFIG, self.config_bytes())
 
-    def told(self) -> bytes:
-        raw = json.loads(super().told())
+    def config_bytes(self) -> bytes:
+        raw = json.loads(super().config_bytes())
         for number, edit in enumerate(self.config_edits):
             edit_classes(raw["settings"]["request_classes"], edit, number)
         return json.dumps(raw).encode()
@@ -311,7 +311,7 @@
         """Replace the settings file as the event says, and send SIGHUP unless ``event.unsaid``."""
         if event.file in ("classes", "deadlines"):
             self.config_edits.append(event.file)
-        content = self.told()
+        content = self.config_bytes()
         self.machine.disk.install_file(
             CONFIG, content[: len(content) // 2] if event.file == "broken" else content
         )
@@ -322,13 +322,13 @@
         """Send SIGHUP to the current process, or to the one started ``last``."""
         process = self.processes[-1] if last and self.processes else self.process
         if process is not None and process.returncode is None:
-            self.note("hup")
+            self.record_event("hup")
             process.send_signal(signal.SIGHUP)
 
     async def spawn(self) -> SimProcess:
         if self.has_console:
             self.machine.console = self.kernel.net.allocate_address()
-        process = self.kernel.start(self.machine, self.lives)
+        process = self.kernel.start(self.machine, self.starts)
         process.console = self.machine.console
         self.processes.append(process)
         return process
@@ -352,25 +352,25 @@
                 process.kill()
         await super().kill()
 
-    async def by_hand(self, host: str, out: bool) -> bool:
+    async def set_disabled(self, host: str, out: bool) -> bool:
         """Disable (``out``) or enable a host at the console of any running process, drawn at random."""
         alive = [p.console for p in self.processes if p.returncode is None and p.console is not None]
         if not alive:
             return False
         target = f"/hosts/{'disable' if out else 'enable'}?name={host}"
-        return await asked(self.kernel.net.rng.choice(alive), "POST", target) == 200
+        return await console_request(self.kernel.net.rng.choice(alive), "POST", target) == 200
 
     def owning_lifetime(self) -> Lifetime | None:
         """The process that holds the lock on the state folder's ``owner`` file."""
         return self.machine.disk.lock_holder(STATE / "owner")
 
-    def lose(self) -> None:
+    def delete_state(self) -> None:
         self.machine.disk.wipe()
         self.machine.boot_count += 1
 
     def cut_power(self) -> None:
         """Cut the machine's power and restart it; synced data survives, unsynced data perhaps."""
-        self.note("kill", "power")
+        self.record_event("kill", "power")
         for process in self.processes:
             process.kill()
         self.machine.disk.crash()
--- a/mallowlug/rig/soak/plan.py
+++ b/mallowlug/rig/soak/plan.py
@@ -1,6 +1,6 @@
-"""What a soak seed stands for: a scenario with its site, load, outages, signals and bad clients. No I/O.
+"""Generates the scenario of a soak seed: endpoints, load, outages, signals and malformed clients. No I/O.
 
-Every value lies within the protocol page. Outages end early enough for their slow start to be judged.
+Every value is within the limits of the protocol. Outages end early enough for their slow start to be judged.
 """
 
 from __future__ import annotations
@@ -12,51 +12,63 @@
 from mallowlug.rig.world.scenario import Scenario
 
 OUTAGES = ("refuse", "silent", "shut")
-FIRST_S, SPARE_S = 4.0, 5.0  # no outage before, and none that ends later than so long before the run's end
-WEIGHTS: tuple[tuple[float, ...], ...] = ((), (0.5, 1.5), (0.2, 0.5, 1.0, 1.0, 3.0))
-FEWEST, MOST = 6, 16  # destinations
-CROWD_RELAYS, CROWD_SOCKETS = 6, 192  # a crowd fills the descriptors of a few relays
-KILLED_BEHIND_S = (-2.0, -0.5, 0.3, 1.0, 3.0)  # signals around the return of an endpoint
+# Seconds at the start, and at the end, without an outage.
+EARLIEST_OUTAGE_S, FINAL_QUIET_S = 4.0, 5.0
+RELAY_WEIGHTS: tuple[tuple[float, ...], ...] = ((), (0.5, 1.5), (0.2, 0.5, 1.0, 1.0, 3.0))
+MIN_DESTINATIONS, MAX_DESTINATIONS = 6, 16  # destinations
+CROWD_RELAYS, CROWD_SOCKETS = 6, 192  # idle connections exhaust the descriptors of a few relays
+SIGNAL_OFFSETS_S = (-2.0, -0.5, 0.3, 1.0, 3.0)  # s from an outage's end to a signal
 
 
 @dataclass(frozen=True, slots=True)
 class Profile:
-    """What the worlds of a kind have, and the ranges that they are drawn from."""
-
-    together: bool = False  # many whole destinations are out at one time, and most name their opening
-    troubles: bool = False  # of other kinds beside the outages
-    crowd: bool = False  # idle clients fill the descriptors
-    least_destinations: int = FEWEST
-    each_per_s: tuple[float, float] = (4.0, 9.0)  # messages for a destination: a cold one notices each
+    """The features of a kind of scenario, and the ranges that its values are drawn from."""
+
+    simultaneous: bool = False  # whole destinations are out at once, most with a Retry-After wait
+    other_faults: bool = False  # other faults besides outages
+    idle_connections: bool = False  # idle clients exhaust the descriptors
+    min_destinations: int = MIN_DESTINATIONS
+    # Messages/s per destination: each one is noticeable at a cold endpoint.
+    per_destination_s: tuple[float, float] = (4.0, 9.0)
     endpoints: tuple[list[int], ...] = ([1, 1], [1, 2], [1, 4])
 
 
-OUTAGES_ALONE = Profile()
-TOGETHER = Profile(together=True, least_destinations=MOST, each_per_s=(6.0, 8.0), endpoints=([2, 2], [1, 3]))
-PROFILES = (OUTAGES_ALONE, TOGETHER, Profile(troubles=True), Profile(troubles=True, crowd=True))
+OUTAGES_ONLY = Profile()
+SIMULTANEOUS = Profile(
+    simultaneous=True,
+    min_destinations=MAX_DESTINATIONS,
+    per_destination_s=(6.0, 8.0),
+    endpoints=([2, 2], [1, 3]),
+)
+PROFILES = (
+    OUTAGES_ONLY,
+    SIMULTANEOUS,
+    Profile(other_faults=True),
+    Profile(other_faults=True, idle_connections=True),
+)
 
 
-def scenario_of(seed: int, relays: int, length_s: float) -> Scenario:
-    """The world that a seed stands for."""
+def soak_scenario(seed: int, relays: int, length_s: float) -> Scenario:
+    """Generate the scenario of a seed."""
     rng = random.Random(f"soak {seed}")
     profile = PROFILES[seed % len(PROFILES)]
-    count = min(relays, CROWD_RELAYS) if profile.crowd else relays
-    destinations = max(profile.least_destinations, rng.randint(FEWEST, MOST))
-    outages = _outages_together if profile.together else _outages
+    count = min(relays, CROWD_RELAYS) if profile.idle_connections else relays
+    destinations = max(profile.min_destinations, rng.randint(MIN_DESTINATIONS, MAX_DESTINATIONS))
+    outages = _simultaneous_outages if profile.simultaneous else _outages
     events = outages(rng, destinations, length_s)
     events += _signals(rng, events, count, length_s)
-    if profile.troubles:
-        events += _troubles(rng, length_s)
-    if profile.crowd:
+    if profile.other_faults:
+        events += _other_faults(rng, length_s)
+    if profile.idle_connections:
         events.append({"at_s": 3.0, "what": "crowd", "len_s": length_s / 2, "count": CROWD_SOCKETS})
-    told: dict[str, Any] = {
+    tables: dict[str, Any] = {
         "name": f"soak-{seed}",
         "seed": seed,
         "length_s": length_s,
         "load": _load(rng, destinations, profile),
         "relays": {
             "count": count, "slots_room": rng.uniform(2.0, 6.0), "hold_s": rng.uniform(6.0, 12.0),
-            "sockets": CROWD_SOCKETS if profile.crowd else 384,
+            "sockets": CROWD_SOCKETS if profile.idle_connections else 384,
         },
         "partners": {
             "destinations": destinations,
@@ -69,22 +81,22 @@
         "kind": _kinds(rng, profile),
         "event": sorted(events, key=lambda event: float(event["at_s"])),
     }  # fmt: skip
-    return Scenario.model_validate(told)
+    return Scenario.model_validate(tables)
 
 
 def _load(rng: random.Random, destinations: int, profile: Profile) -> dict[str, Any]:
-    """How much comes, in clumps or not, and how it is spread over destinations and relays."""
+    """Draw the rate, the clumps, and the distribution over destinations and relays."""
     return {
-        "rate_per_s": destinations * rng.uniform(*profile.each_per_s),
+        "rate_per_s": destinations * rng.uniform(*profile.per_destination_s),
         "clumps": rng.choice((0.0, 0.1, 0.3)),
         "clump_size": rng.choice((2, 4, 8)),
         "skew": rng.uniform(0.1, 0.8),
-        "relay_weights": rng.choice(WEIGHTS),
+        "relay_weights": rng.choice(RELAY_WEIGHTS),
     }
 
 
 def _classes(rng: random.Random) -> list[dict[str, Any]]:
-    """A class that must not run twice in one way or another, and one that may."""
+    """Draw one class with a random effect, and one safe class."""
     aim_s, window_s = rng.uniform(2.0, 5.0), rng.choice((1.0, 4.0, 25.0))
     return [
         {
@@ -100,11 +112,11 @@
 
 
 def _kinds(rng: random.Random, profile: Profile) -> list[dict[str, Any]]:
-    """Limited endpoints that take batches, and plain ones, with little room over the load."""
+    """Draw rate-limited endpoints with batches, and plain ones, with little spare capacity."""
     low = rng.uniform(0.7, 1.1)
     headroom = [low, low + rng.uniform(0.2, 0.8)]
     tells_wait = 0.3
-    if profile.together:
+    if profile.simultaneous:
         headroom, tells_wait = [0.8, 1.1], rng.choice((0.8, 1.0))
     return [
         {
@@ -119,47 +131,51 @@
 
 
 def _outages(rng: random.Random, destinations: int, length_s: float) -> list[dict[str, Any]]:
-    """Two or three at once that begin early, and as many later, each at a destination of its own."""
-    last_s = length_s - SPARE_S
-    struck = rng.sample(range(destinations), min(destinations, rng.randint(4, 6)))
-    found = list[dict[str, Any]]()
-    for number, dest in enumerate(struck):
-        at_s = FIRST_S + rng.uniform(0, 2) if number % 2 else max(FIRST_S, last_s / 2 + rng.uniform(0, 2))
+    """Draw two or three early outages at once and as many later, each at a different destination."""
+    last_s = length_s - FINAL_QUIET_S
+    affected = rng.sample(range(destinations), min(destinations, rng.randint(4, 6)))
+    events = list[dict[str, Any]]()
+    for number, dest in enumerate(affected):
+        at_s = (
+            EARLIEST_OUTAGE_S + rng.uniform(0, 2)
+            if number % 2
+            else max(EARLIEST_OUTAGE_S, last_s / 2 + rng.uniform(0, 2))
+        )
         len_s = min(rng.uniform(7, 13), last_s - at_s)
-        found.append({"at_s": at_s, "what": rng.choice(OUTAGES), "len_s": len_s, "dest": dest})
-    return found
+        events.append({"at_s": at_s, "what": rng.choice(OUTAGES), "len_s": len_s, "dest": dest})
+    return events
 
 
-def _outages_together(rng: random.Random, destinations: int, length_s: float) -> list[dict[str, Any]]:
-    """Whole destinations that are out at one time and return at one time, twice; most of them name it."""
+def _simultaneous_outages(rng: random.Random, destinations: int, length_s: float) -> list[dict[str, Any]]:
+    """Draw two groups of destinations that fail and return together, mostly with a Retry-After wait."""
     dests = rng.sample(range(destinations), 9)
     second_s = length_s / 2 + rng.uniform(0, 2)
-    found = list[dict[str, Any]]()
-    for at_s, struck in ((FIRST_S, dests[:5]), (second_s, dests[5:])):
-        len_s = min(rng.uniform(7, 11), length_s - SPARE_S - at_s)
-        for dest in struck:
+    events = list[dict[str, Any]]()
+    for at_s, affected in ((EARLIEST_OUTAGE_S, dests[:5]), (second_s, dests[5:])):
+        len_s = min(rng.uniform(7, 11), length_s - FINAL_QUIET_S - at_s)
+        for dest in affected:
             what = rng.choice(("shut", "shut", "shut", *OUTAGES))
-            found.append({"at_s": at_s, "what": what, "len_s": len_s, "dest": dest})
-    return found
+            events.append({"at_s": at_s, "what": what, "len_s": len_s, "dest": dest})
+    return events
 
 
 def _signals(
     rng: random.Random, outages: list[dict[str, Any]], relays: int, length_s: float
 ) -> list[dict[str, Any]]:
-    """Kills, terminations and reloads of some relays in series, around the outages' ends."""
-    found = list[dict[str, Any]]()
+    """Draw series of kills, terminations and reloads of some relays around the ends of outages."""
+    events = list[dict[str, Any]]()
     for relay in rng.sample(range(relays), max(1, relays // rng.choice((4, 10, 20)))):
         outage = rng.choice(outages)
-        at_s = outage["at_s"] + outage["len_s"] + rng.choice(KILLED_BEHIND_S)
+        at_s = outage["at_s"] + outage["len_s"] + rng.choice(SIGNAL_OFFSETS_S)
         for what in rng.choice((["kill"], ["term"], ["hup", "kill"], ["kill", "term"], ["hup"])):
             if at_s < length_s - 1:
-                found.append({"at_s": at_s, "what": what, "relay": relay})
+                events.append({"at_s": at_s, "what": what, "relay": relay})
             at_s += rng.uniform(2.0, 7.0)
-    return found
+    return events
 
 
-def _troubles(rng: random.Random, length_s: float) -> list[dict[str, Any]]:
-    """Some of: discovery away, drains, replacements, spoilt answers, rude clients, slow endpoints."""
+def _other_faults(rng: random.Random, length_s: float) -> list[dict[str, Any]]:
+    """Draw three faults: discovery, drains, replacements, corrupt answers, malformed clients, slowness."""
     drawn: list[dict[str, Any]] = [
         {"what": "directory_out", "len_s": rng.uniform(3, 10)},
         {"what": "drain", "count": 2, "len_s": 4.0},
--- a/mallowlug/rig/soak/run.py
+++ b/mallowlug/rig/soak/run.py
@@ -1,4 +1,4 @@
-"""Plays soak seeds one behind the other, within bounds on processes and memory, and sums up the verdicts."""
+"""Runs soak seeds in sequence, within limits on processes and memory, and summarizes the verdicts."""
 
 from __future__ import annotations
 
@@ -14,21 +14,21 @@
 from mallowlug.rig.judge.rule import Breach
 from mallowlug.rig.judge.rules import judge
 from mallowlug.rig.judge.service import service_of
-from mallowlug.rig.run.play import Options, play
-from mallowlug.rig.soak.plan import scenario_of
+from mallowlug.rig.run.play import RunOptions, play
+from mallowlug.rig.soak.plan import soak_scenario
 
-MOST_RELAYS = 200
-RELAY_BYTES = 40 * 2**20  # of memory reckoned for a relay
-MEMORY_SHARE = 0.5  # of the machine's that all relays may use
+MAX_RELAYS = 200
+RELAY_BYTES = 40 * 2**20  # memory estimate of a relay
+MEMORY_SHARE = 0.5  # share of the machine's memory for all relays
 
 
 class SoakError(ValueError):
-    """The run would need more than its share of the machine."""
+    """The run would need more relays than this machine supports."""
 
 
 @dataclass(frozen=True, slots=True)
 class SeedResult:
-    """What a seed came to."""
+    """The result of a seed."""
 
     seed: int
     state: str
@@ -40,33 +40,33 @@
 
     @property
     def failed(self) -> bool:
-        """A rule was broken or a process crashed."""
+        """Whether a rule was broken or a process crashed."""
         return self.state == "broken" or bool(self.crashes)
 
     def __str__(self) -> str:
-        told = counted(Counter(breach.rule for breach in self.breaches)) or "no breach"
+        broken = format_counts(Counter(breach.rule for breach in self.breaches)) or "no breach"
         crashes = f", {len(self.crashes)} crashes" if self.crashes else ""
         figures = f"served {self.served:.3f}, {self.returns} returns"
-        return f"seed {self.seed}: {self.state}, {told}{crashes}; {figures}"
+        return f"seed {self.seed}: {self.state}, {broken}{crashes}; {figures}"
 
 
-def counted(rules: Counter[str]) -> str:
-    """Broken rules with their counts, in a line; empty for none."""
+def format_counts(rules: Counter[str]) -> str:
+    """Format broken rules with their counts; empty for none."""
     return ", ".join(f"{rule} {count}" for rule, count in sorted(rules.items()))
 
 
 def check_size(relays: int) -> None:
-    """``SoakError`` where so many relays would be too many for this machine."""
+    """Raise ``SoakError`` if this machine cannot run that many relays."""
     memory = os.sysconf("SC_PAGE_SIZE") * os.sysconf("SC_PHYS_PAGES")
-    most = min(MOST_RELAYS, int(memory * MEMORY_SHARE / RELAY_BYTES))
-    if not 1 <= relays <= most:
-        raise SoakError(f"{relays} relays, where 1 to {most} fit this machine")
+    maximum = min(MAX_RELAYS, int(memory * MEMORY_SHARE / RELAY_BYTES))
+    if not 1 <= relays <= maximum:
+        raise SoakError(f"{relays} relays, where 1 to {maximum} fit this machine")
 
 
 def soak_seed(seed: int, relays: int, length_s: float, folder: Path) -> SeedResult:
-    """Play one seed and judge it; its folder is kept only where it failed."""
+    """Run and judge one seed; delete its folder unless it failed."""
     check_size(relays)
-    done = asyncio.run(play(scenario_of(seed, relays, length_s), folder, Options()))
+    done = asyncio.run(play(soak_scenario(seed, relays, length_s), folder, RunOptions()))
     record = rec.read(done.path)
     verdict = judge(record)
     result = SeedResult(
@@ -79,7 +79,7 @@
 
 
 def soak(seeds: Iterable[int], relays: int, length_s: float, out: Path) -> Iterator[SeedResult]:
-    """Play seeds in turn; what failed keeps its record under ``out``."""
+    """Run seeds in sequence; failed ones keep their records under ``out``."""
     check_size(relays)
     for seed in seeds:
         yield soak_seed(seed, relays, length_s, out / f"seed-{seed}")
--- a/mallowlug/rig/world/draw.py
+++ b/mallowlug/rig/world/draw.py
@@ -1,6 +1,4 @@
-"""What a scenario's seed draws: endpoints, arrivals, and the words in which a relay is told its settings.
-No I/O.
-"""
+"""Draws endpoints and arrivals from a scenario's seed, and builds the settings of a relay. No I/O."""
 
 from __future__ import annotations
 
@@ -16,17 +14,17 @@
 
 @dataclass(frozen=True, slots=True)
 class HostPlan:
-    """An endpoint as it is drawn. Rates in messages a second, times in seconds."""
+    """A drawn endpoint. Rates are messages per second, times are seconds."""
 
     name: str
     dest: int
     zone: str
     kind: KindTable
-    per_s: float  # its limit, or its capacity where it has none
+    per_s: float  # rate limit, or the capacity if it has no limit
     capacity_per_s: float
-    servers: int  # messages that it works on at once
-    queue: int  # messages that may wait
-    pace: float  # factor of its service times
+    servers: int  # messages processed concurrently
+    queue: int  # messages that can wait
+    service_time_factor: float  # multiplies the work of a message
     network_s: float
     handshake_s: float
     cold_from: float
@@ -35,7 +33,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Arrival:
-    """A message that a client wants delivered, ``at_s`` after the run's begin."""
+    """A message to submit, ``at_s`` seconds after the run begins."""
 
     at_s: float
     relay: int
@@ -46,35 +44,35 @@
     size: int
 
 
-def weights_of(scenario: Scenario) -> list[float]:
-    """Each destination's share of the traffic."""
+def destination_weights(scenario: Scenario) -> list[float]:
+    """Return each destination's share of the traffic (Zipf)."""
     raw = [1 / (rank + 1) ** scenario.load.skew for rank in range(scenario.partners.destinations)]
     return [weight / sum(raw) for weight in raw]
 
 
 def mean_work_s(scenario: Scenario) -> float:
-    """A message's mean time at an endpoint of usual pace."""
+    """Return a message's mean service time at an endpoint of normal speed."""
     total = sum(cls.share for cls in scenario.classes)
     return sum(cls.share * cls.work_ms / 1000 for cls in scenario.classes) / total
 
 
-def hosts_of(scenario: Scenario) -> list[HostPlan]:
-    """Every endpoint; a destination's first has its zone drawn, the others take the next ones in turn."""
+def draw_hosts(scenario: Scenario) -> list[HostPlan]:
+    """Draw every endpoint; a destination's endpoints take consecutive zones from a drawn first one."""
     rng, plans = random.Random(f"hosts {scenario.seed}"), list[HostPlan]()
     partners, work_s = scenario.partners, mean_work_s(scenario)
-    for dest, weight in enumerate(weights_of(scenario)):
-        busy = weight * partners.destinations  # over 1: more traffic than the mean
-        chances = [kind.share * busy**kind.lean for kind in scenario.kinds]
+    for dest, weight in enumerate(destination_weights(scenario)):
+        relative_load = weight * partners.destinations  # above 1: more traffic than the mean
+        chances = [kind.share * relative_load**kind.lean for kind in scenario.kinds]
         kind = rng.choices(scenario.kinds, chances)[0]
         count = max(1, round(rng.uniform(*partners.endpoints)))
         zone = rng.randrange(len(partners.zones))
         for number in range(count):
             load = scenario.load.rate_per_s * weight / count
             per_s = max(rng.uniform(*kind.least_per_s), load * rng.uniform(*kind.headroom))
-            pace = rng.uniform(0.85, 1.1)
-            spare = rng.uniform(1.2, 1.6) if kind.limited else 1.0
-            servers = max(1, math.ceil(per_s * spare * work_s * pace))
-            capacity = servers / (work_s * pace)
+            service_time_factor = rng.uniform(0.85, 1.1)
+            spare_capacity = rng.uniform(1.2, 1.6) if kind.limited else 1.0
+            servers = max(1, math.ceil(per_s * spare_capacity * work_s * service_time_factor))
+            capacity = servers / (work_s * service_time_factor)
             plans.append(
                 HostPlan(
                     name=f"h{dest}-{number}",
@@ -85,7 +83,7 @@
                     capacity_per_s=capacity,
                     servers=servers,
                     queue=max(2, round(capacity * rng.uniform(*kind.queue_s))),
-                    pace=pace,
+                    service_time_factor=service_time_factor,
                     network_s=rng.uniform(*partners.network_ms) / 1000,
                     handshake_s=rng.uniform(*kind.handshake_ms) / 1000,
                     cold_from=rng.uniform(*partners.cold_from),
@@ -95,71 +93,79 @@
     return plans
 
 
-def arrivals_of(scenario: Scenario) -> list[Arrival]:
-    """Every message in order of time: a Poisson stream, of which a part comes in clumps for one
-    destination.
+def draw_arrivals(scenario: Scenario) -> list[Arrival]:
+    """Draw all messages in time order: a Poisson process, part of it in clumps for one destination.
+
+    Listed messages of the scenario replace the drawn ones.
     """
     if scenario.messages:
         listed = sorted(scenario.messages, key=lambda message: message.at_s)
         return [Arrival(m.at_s, m.relay, m.dest, m.cls, m.member, m.order, m.size) for m in listed]
     rng, load = random.Random(f"traffic {scenario.seed}"), scenario.load
-    weights, found, at_s = weights_of(scenario), list[Arrival](), 0.0
+    weights, arrivals, at_s = destination_weights(scenario), list[Arrival](), 0.0
     keys = dict[tuple[int, int], list[str]]()
-    mean = 1 + load.clumps * (load.clump_size - 1)  # messages that one point of the stream brings
+    mean = 1 + load.clumps * (load.clump_size - 1)  # mean messages per point of the Poisson process
     while (at_s := at_s + rng.expovariate(load.rate_per_s / mean)) < scenario.length_s:
         dest = rng.choices(range(len(weights)), weights)[0]
-        relay = drawn_relay(rng, scenario)
+        relay = draw_relay(rng, scenario)
         for _ in range(load.clump_size if rng.random() < load.clumps else 1):
             cls = rng.choices(scenario.classes, [item.share for item in scenario.classes])[0]
-            used = [item.share * item.usage for item in scenario.members]
-            member = rng.choices(scenario.members, used)[0]
-            order = drawn_key(rng, keys.setdefault((relay, dest), []), load.key_reuse) if cls.in_order else ""
-            found.append(Arrival(at_s, relay, dest, cls.name, member.name, order, load.body))
-    return found
+            usage = [item.share * item.usage for item in scenario.members]
+            member = rng.choices(scenario.members, usage)[0]
+            order = (
+                draw_order_key(rng, keys.setdefault((relay, dest), []), load.key_reuse)
+                if cls.in_order
+                else ""
+            )
+            arrivals.append(Arrival(at_s, relay, dest, cls.name, member.name, order, load.body))
+    return arrivals
 
 
-def drawn_relay(rng: random.Random, scenario: Scenario) -> int:
-    """Which relay gets a message: any alike, or by the weights that the load names."""
+def draw_relay(rng: random.Random, scenario: Scenario) -> int:
+    """Draw the relay of a message: uniform, or by ``load.relay_weights``."""
     count, weights = scenario.relays.count, scenario.load.relay_weights
     if not weights:
         return rng.randrange(count)
     return rng.choices(range(count), [weights[number % len(weights)] for number in range(count)])[0]
 
 
-def drawn_key(rng: random.Random, used: list[str], reuse: float) -> str:
-    """A key for order: one of the last few, or a new one."""
+def draw_order_key(rng: random.Random, used: list[str], reuse: float) -> str:
+    """Draw an ordering key: one of the last four, or a new one."""
     if used and rng.random() < reuse:
         return rng.choice(used[-4:])
     used.append(f"{rng.getrandbits(64):016x}")
     return used[-1]
 
 
-def struck(scenario: Scenario, hosts: Sequence[HostPlan], event: EventTable, rng: random.Random) -> list[str]:
-    """Endpoints that an outage strikes: one destination's, or some of one zone with ``part`` of the
-    traffic.
+def draw_affected_hosts(
+    scenario: Scenario, hosts: Sequence[HostPlan], event: EventTable, rng: random.Random
+) -> list[str]:
+    """Return the endpoints of an outage: those of ``dest``, or some of one zone.
+
+    Destinations of the zone are chosen with up to ``part`` of the traffic together, but at least one.
     """
     if event.dest >= 0:
         return [plan.name for plan in hosts if plan.dest == event.dest]
-    weights, zone = weights_of(scenario), rng.choice(scenario.partners.zones)
+    weights, zone = destination_weights(scenario), rng.choice(scenario.partners.zones)
     inside = sorted({plan.dest for plan in hosts if plan.zone == zone})
     rng.shuffle(inside)
-    chosen, sum_ = set[int](), 0.0
+    chosen, traffic = set[int](), 0.0
     for dest in inside:
-        if not chosen or sum_ + weights[dest] <= event.part:
+        if not chosen or traffic + weights[dest] <= event.part:
             chosen.add(dest)
-            sum_ += weights[dest]
+            traffic += weights[dest]
     return [plan.name for plan in hosts if plan.dest in chosen]
 
 
-def head_of(scenario: Scenario) -> rec.RecordHead:
-    """The facts by which a record of the run is judged."""
+def record_head(scenario: Scenario) -> rec.RecordHead:
+    """Build the head of the record: the facts by which the run is judged."""
     rate, total = scenario.load.rate_per_s, sum(member.share for member in scenario.members)
     rules = scenario.rules
     return rec.RecordHead(
         at=0,
         name=scenario.name,
         seed=scenario.seed,
-        classes=[facts_of(cls) for cls in scenario.classes],
+        classes=[class_facts(cls) for cls in scenario.classes],
         kinds=[rec.KindSpec(kind.name, kind.apart, kind.batch) for kind in scenario.kinds],
         members=[rec.TenantQuota(m.name, rate * m.share / total) for m in scenario.members],
         figures=rec.RuleLimits(
@@ -174,8 +180,8 @@
     )
 
 
-def facts_of(cls: ClassTable) -> rec.ClassSpec:
-    """A class in the record's words."""
+def class_facts(cls: ClassTable) -> rec.ClassSpec:
+    """Convert a class to the record's form."""
     return rec.ClassSpec(
         name=cls.name,
         effect=cls.effect,
@@ -189,10 +195,10 @@
     )
 
 
-def settings_of(scenario: Scenario) -> dict[str, Any]:
-    """What a relay is told, in the platform's words (its deployment and wire pages)."""
-    head, share = head_of(scenario), 1 / scenario.relays.count
-    busy = scenario.load.rate_per_s * mean_work_s(scenario) * share
+def relay_settings(scenario: Scenario) -> dict[str, Any]:
+    """Build the settings of a relay, in the names of the platform's protocol."""
+    head, share = record_head(scenario), 1 / scenario.relays.count
+    busy_slots = scenario.load.rate_per_s * mean_work_s(scenario) * share
     rules, figures = scenario.rules, head.figures
     return {
         "accounts": [
@@ -213,7 +219,7 @@
         "discovery": "ask",
         "domain": {
             "batch_by_kind": [kind.batch for kind in scenario.kinds],
-            "calls_out": max(3, round(scenario.relays.slots_room * busy)),
+            "calls_out": max(3, round(scenario.relays.slots_room * busy_slots)),
             "decay": "line",
             "kind_apart": [kind.apart for kind in scenario.kinds],
             "toll": [0.0 for _ in scenario.partners.zones],
--- a/mallowlug/rig/world/fronts.py
+++ b/mallowlug/rig/world/fronts.py
@@ -1,5 +1,7 @@
-"""Fault points for datagrams between relays: each relay is reached through a front of its own, which knows by
-the source who sends, and treats each pair and direction as it is told: cut, loss, delay, doubled, throttled.
+"""Datagram proxies that inject faults between relays.
+
+Each relay is reached through its own proxy, which identifies the sender by source address. Faults are set for
+each pair and direction: cut, loss, delay, duplication and throttling.
 """
 
 from __future__ import annotations
@@ -15,109 +17,111 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Way:
-    """How one direction between two relays carries datagrams. Times in seconds."""
+class DatagramPath:
+    """Faults of one direction between two relays. Times are seconds."""
 
     cut: bool = False
-    loss: float = 0.0
+    loss_share: float = 0.0
     delay_s: float = 0.0
-    jitter_s: float = 0.0  # above the delay, drawn anew for each: so they come out of order
-    doubled: float = 0.0
-    per_s: float = 0.0  # datagrams a second, what is beyond is lost; 0: no bound
+    jitter_s: float = 0.0  # added to the delay, drawn for each datagram, so that they are reordered
+    duplicate_share: float = 0.0
+    max_per_s: float = 0.0  # datagrams per second, the excess is lost; 0: unlimited
 
 
-CLEAR = Way()
+CLEAR_PATH = DatagramPath()
 
 
-class Front(asyncio.DatagramProtocol):
-    """What others are told as one relay's address."""
+class DatagramProxy(asyncio.DatagramProtocol):
+    """The proxy whose address other relays use for one relay."""
 
-    def __init__(self, fronts: Fronts, relay: str, target: Address) -> None:
-        self._fronts, self.relay, self.target = fronts, relay, target
+    def __init__(self, proxies: DatagramProxies, relay: str, target: Address) -> None:
+        self._proxies, self.relay, self.target = proxies, relay, target
         self.transport: asyncio.DatagramTransport | None = None
         self.address: Address = ("", 0)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self.transport = cast(asyncio.DatagramTransport, transport)  # asyncio's own is none by its class
+        # Asyncio's transport does not subclass DatagramTransport.
+        self.transport = cast(asyncio.DatagramTransport, transport)
         self.address = transport.get_extra_info("sockname")
 
     def datagram_received(self, data: bytes, addr: Address) -> None:
-        self._fronts.carry(self, addr, data)
+        self._proxies.route(self, addr, data)
 
     def error_received(self, exc: Exception) -> None:
-        """The relay behind it is gone: what was sent is lost."""
+        """Ignore the error: the relay is down and the datagram is lost."""
 
-    def pass_on(self, data: bytes) -> None:
-        """Let one datagram through."""
+    def forward(self, data: bytes) -> None:
+        """Forward one datagram to the relay."""
         if self.transport is not None and not self.transport.is_closing():
             self.transport.sendto(data, self.target)
 
 
-class Fronts:
-    """All fronts, and what befalls each way."""
+class DatagramProxies:
+    """All datagram proxies, and the faults of each path."""
 
     def __init__(self, seed: int) -> None:
         self._rng = random.Random(f"fronts {seed}")
-        self.fronts: dict[str, Front] = {}
-        self._who: dict[Address, str] = {}  # by the address a relay sends from
-        self._ways: dict[tuple[str, str], Way] = {}
-        self._free_s: dict[tuple[str, str], float] = {}
-        self.told: Callable[[str, str, bool], None] = lambda _one, _other, _clear: None  # of every change
-        self.carried, self.dropped = Counter[tuple[str, str]](), Counter[tuple[str, str]]()
+        self.proxies: dict[str, DatagramProxy] = {}
+        self._relay_by_source: dict[Address, str] = {}  # by source address
+        self._paths: dict[tuple[str, str], DatagramPath] = {}
+        self._next_allowed_s: dict[tuple[str, str], float] = {}
+        # Called for every change of a path.
+        self.on_path_change: Callable[[str, str, bool], None] = lambda _one, _other, _clear: None
+        self.forwarded, self.dropped = Counter[tuple[str, str]](), Counter[tuple[str, str]]()
 
     async def add(self, relay: str, listen: Address, host: str = "127.0.0.1") -> Address:
-        """A front for a relay that listens and sends at ``listen``; its address."""
+        """Start a proxy for a relay that listens and sends at ``listen``; return the proxy address."""
         loop = asyncio.get_running_loop()
-        front = Front(self, relay, listen)
-        await loop.create_datagram_endpoint(lambda: front, local_addr=(host, 0))
-        self.fronts[relay], self._who[listen] = front, relay
-        return front.address
-
-    def way(self, one: str, other: str, way: Way, both: bool = True) -> None:
-        """From now on one relay's datagrams to another go so; with ``both`` the other's to it too."""
-        for pair in ((one, other), (other, one)) if both else ((one, other),):
-            self._ways[pair] = way
-            self.told(*pair, way == CLEAR)
-
-    def apart(self, *groups: list[str]) -> None:
-        """Nothing passes between these groups."""
-        for here in groups:
-            for there in groups:
-                for one in here if here is not there else ():
-                    for other in there:
-                        self.way(one, other, Way(cut=True), both=False)
-
-    def heal(self) -> None:
-        """All ways are clear."""
-        for pair in list(self._ways):
-            self.told(*pair, True)
-        self._ways.clear()
-
-    def carry(self, front: Front, source: Address, data: bytes) -> None:
-        """One datagram has come to a relay's front."""
-        pair = self._who.get(source, "?"), front.relay
-        way, loop = self._ways.get(pair, CLEAR), asyncio.get_running_loop()
-        if way.cut or self._rng.random() < way.loss or self._beyond(pair, way, loop.time()):
+        proxy = DatagramProxy(self, relay, listen)
+        await loop.create_datagram_endpoint(lambda: proxy, local_addr=(host, 0))
+        self.proxies[relay], self._relay_by_source[listen] = proxy, relay
+        return proxy.address
+
+    def set_path(self, source: str, destination: str, path: DatagramPath, both: bool = True) -> None:
+        """Set the faults from one relay to another; with ``both`` also in the other direction."""
+        for pair in ((source, destination), (destination, source)) if both else ((source, destination),):
+            self._paths[pair] = path
+            self.on_path_change(*pair, path == CLEAR_PATH)
+
+    def partition(self, *groups: list[str]) -> None:
+        """Cut all paths between these groups."""
+        for senders in groups:
+            for receivers in groups:
+                for sender in senders if senders is not receivers else ():
+                    for receiver in receivers:
+                        self.set_path(sender, receiver, DatagramPath(cut=True), both=False)
+
+    def clear_all(self) -> None:
+        """Remove all faults."""
+        for pair in list(self._paths):
+            self.on_path_change(*pair, True)
+        self._paths.clear()
+
+    def route(self, proxy: DatagramProxy, source: Address, data: bytes) -> None:
+        """Forward, delay, duplicate or drop one datagram received by a proxy."""
+        pair = self._relay_by_source.get(source, "?"), proxy.relay
+        path, loop = self._paths.get(pair, CLEAR_PATH), asyncio.get_running_loop()
+        if path.cut or self._rng.random() < path.loss_share or self._exceeds_rate(pair, path, loop.time()):
             self.dropped[pair] += 1
             return
-        for _ in range(1 + (self._rng.random() < way.doubled)):
-            self.carried[pair] += 1
-            late_s = way.delay_s + self._rng.random() * way.jitter_s
+        for _ in range(1 + (self._rng.random() < path.duplicate_share)):
+            self.forwarded[pair] += 1
+            late_s = path.delay_s + self._rng.random() * path.jitter_s
             if late_s:
-                loop.call_later(late_s, front.pass_on, data)
+                loop.call_later(late_s, proxy.forward, data)
             else:
-                front.pass_on(data)
+                proxy.forward(data)
 
-    def _beyond(self, pair: tuple[str, str], way: Way, now_s: float) -> bool:
-        if not way.per_s:
+    def _exceeds_rate(self, pair: tuple[str, str], path: DatagramPath, now_s: float) -> bool:
+        if not path.max_per_s:
             return False
-        if now_s < self._free_s.get(pair, 0.0):
+        if now_s < self._next_allowed_s.get(pair, 0.0):
             return True
-        self._free_s[pair] = now_s + 1.0 / way.per_s
+        self._next_allowed_s[pair] = now_s + 1.0 / path.max_per_s
         return False
 
     def close(self) -> None:
-        """Let go of all."""
-        for front in self.fronts.values():
-            if front.transport is not None:
-                front.transport.close()
+        """Close all proxies."""
+        for proxy in self.proxies.values():
+            if proxy.transport is not None:
+                proxy.transport.close()
--- a/mallowlug/rig/world/replay.py
+++ b/mallowlug/rig/world/replay.py
@@ -1,6 +1,4 @@
-"""A record's traffic as a scenario: who wanted what, when, played again in the same world or another one.
-No I/O.
-"""
+"""Extracts the traffic of a record, to replay it in the same or another simulated environment. No I/O."""
 
 from __future__ import annotations
 
@@ -11,25 +9,25 @@
 from mallowlug.rig.world.scenario import Scenario
 
 
-def first_tries(record: rec.Record) -> list[rec.MessageSubmitted]:
-    """What clients wanted, each message once; retries are their habits and come by themselves."""
-    found: dict[str, rec.MessageSubmitted] = {}
+def first_submissions(record: rec.Record) -> list[rec.MessageSubmitted]:
+    """Return the first submission of each message; simulated clients make the retries themselves."""
+    first_by_id: dict[str, rec.MessageSubmitted] = {}
     for event in record.events:
         if isinstance(event, rec.MessageSubmitted) and not event.first:
-            found.setdefault(event.id, event)  # one written once more on a new connection is one message
-    return list(found.values())
+            first_by_id.setdefault(event.id, event)  # one resent on a new connection has the same id
+    return list(first_by_id.values())
 
 
 def traffic_only(record: rec.Record) -> rec.Record:
-    """A record of the first tries alone: small enough to be shipped, and replayed like any other."""
-    firsts = first_tries(record)
+    """Reduce a record to its first submissions: small enough to ship, and replayed like any other."""
+    firsts = first_submissions(record)
     end = rec.RecordEnd(firsts[-1].at if firsts else 0, len(firsts))
     return rec.Record(record.head, [*firsts, end], True)
 
 
-def traffic_of(record: rec.Record) -> list[Arrival]:
-    """The first tries as arrivals, counted from the first of them."""
-    firsts = first_tries(record)
+def arrivals_from(record: rec.Record) -> list[Arrival]:
+    """Convert the first submissions to arrivals, timed from the first one."""
+    firsts = first_submissions(record)
     relays = {name: number for number, name in enumerate(sorted({ask.relay for ask in firsts}))}
     start_us = firsts[0].at if firsts else 0
     return [
@@ -38,8 +36,8 @@
     ]
 
 
-def scenario_of(record: rec.Record) -> Scenario:
-    """The world that a record was made in; ``RecordError`` where its head does not hold one."""
+def scenario_from(record: rec.Record) -> Scenario:
+    """Return the scenario in the head of a record; raise ``RecordError`` if it holds no valid one."""
     try:
         return Scenario.model_validate(record.head.scenario)
     except ValidationError as error:
--- a/tests/members/ground.py
+++ b/tests/members/ground.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 from mallowlug.rig.judge import record as rec
-from mallowlug.rig.world.fronts import Fronts
+from mallowlug.rig.world.fronts import DatagramProxies
 from tests.world import ROOT, free_port, http_request, settings_json, soon
 
 PERIOD_S = 0.1  # probe interval: a tenth of the operator file's default
@@ -67,11 +67,11 @@
     """The relays of one test, and the record that the judge checks."""
 
     def __init__(self, folder: Path, seed: int = 1) -> None:
-        self.folder, self.proxies = folder, Fronts(seed)
+        self.folder, self.proxies = folder, DatagramProxies(seed)
         self.nodes: dict[str, Node] = {}
         self.seeds: list[str] = []
         self.record: list[rec.AnyEvent] = []
-        self.proxies.told = self.record_path_state
+        self.proxies.on_path_change = self.record_path_state
         self._sampler: asyncio.Task[None] | None = None
 
     async def add(self, name: str, *, seed: bool = False, **fleet: Any) -> Node:
--- a/tests/members/test_processes.py
+++ b/tests/members/test_processes.py
@@ -17,7 +17,7 @@
 
 from mallowlug.rig.judge import record as rec
 from mallowlug.rig.judge.members import judge_views
-from mallowlug.rig.world.fronts import Way
+from mallowlug.rig.world.fronts import DatagramPath
 from tests.members.ground import FleetEnvironment, alive_members, views_agree
 from tests.world import ROOT, http_request, soon
 
@@ -89,7 +89,7 @@
     await start_five_relays(ground)
     await ground.wait_until(lambda tables: {t["group"] for t in tables.values()} == {5}, *NAMES)
     few, most = ["n0", "n3"], ["n1", "n2", "n4"]
-    ground.proxies.apart(few, most)
+    ground.proxies.partition(few, most)
     await ground.wait_settled(*most)
     await ground.wait_settled(*few)
     tables = await ground.wait_until(lambda found: {t["group"] for t in found.values()} == {3}, *most)
@@ -97,14 +97,14 @@
     assert {table["group"] for table in minority.values()} == {5}
     groups = [table["group"] for table in (*tables.values(), *minority.values())]
     assert sum(1 / group for group in groups) < 1.5
-    ground.proxies.heal()
+    ground.proxies.clear_all()
     await ground.wait_settled(*NAMES)
     await ground.wait_until(lambda found: {t["group"] for t in found.values()} == {5}, *NAMES)
 
 
 async def test_two_relays_without_a_path_stay_alive_while_others_reach_both(ground: FleetEnvironment) -> None:
     await start_five_relays(ground)
-    ground.proxies.way("n2", "n3", Way(cut=True))
+    ground.proxies.set_path("n2", "n3", DatagramPath(cut=True))
     before = ground.proxies.dropped["n2", "n3"] + ground.proxies.dropped["n3", "n2"]
 
     async def tried() -> None:
@@ -118,12 +118,14 @@
 
 async def test_one_way_cut_and_lossy_link_evict_no_relay(ground: FleetEnvironment) -> None:
     await start_five_relays(ground)
-    ground.proxies.way("n1", "n4", Way(cut=True), both=False)
-    ground.proxies.way("n0", "n2", Way(loss=0.3, delay_s=0.02, jitter_s=0.02, doubled=0.3))
-    base = ground.proxies.carried["n0", "n2"]
+    ground.proxies.set_path("n1", "n4", DatagramPath(cut=True), both=False)
+    ground.proxies.set_path(
+        "n0", "n2", DatagramPath(loss_share=0.3, delay_s=0.02, jitter_s=0.02, duplicate_share=0.3)
+    )
+    base = ground.proxies.forwarded["n0", "n2"]
 
     async def used() -> None:
-        while ground.proxies.carried["n0", "n2"] < base + 20:
+        while ground.proxies.forwarded["n0", "n2"] < base + 20:
             await asyncio.sleep(0.02)
 
     await soon(used())
--- a/tests/rig/test_standins.py
+++ b/tests/rig/test_standins.py
@@ -1,4 +1,4 @@
-"""The stand-ins, each against an independent library's other side, so that both cannot share one mistake."""
+"""Tests of the simulated services against independent libraries, so that both sides cannot share a fault."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 
 from mallowlug.rig.judge import record as rec
 from mallowlug.rig.world import draw
-from mallowlug.rig.world.clients import Clients, Relay, heard_of, packed
+from mallowlug.rig.world.clients import Clients, RelayTarget, encode_command, parse_answer
 from mallowlug.rig.world.host_model import KeyMemory
-from mallowlug.rig.world.hosts import BadCallError, Book, ClassWork, Host, items_of
+from mallowlug.rig.world.hosts import BadCallError, ClassWork, Host, HostContext, parse_messages
 from mallowlug.rig.world.httpd import Request
-from mallowlug.rig.world.platform import Discovery, Platform
+from mallowlug.rig.world.platform import DiscoveryServer, Platform
 from mallowlug.rig.world.scenario import ClientsTable, KindTable, Scenario
 from tests.world import soon
 
@@ -27,47 +27,47 @@
 KIND = KindTable(name="banks", share=1.0, batch=3, error_rate=0.0, handshake_ms=(0, 0))
 
 
-class Set:
-    """A record, what it holds so far, and one endpoint of a kind of its own."""
+class Harness:
+    """A record with its events so far, and a factory of endpoints."""
 
     def __init__(self, folder: Path) -> None:
-        self.writer = rec.RecordWriter(folder / "record", lambda _at: draw.head_of(SCENARIO))
+        self.writer = rec.RecordWriter(folder / "record", lambda _at: draw.record_head(SCENARIO))
         self.events: list[rec.AnyEvent] = []
         self.writer.listeners.append(self.events.append)
         classes = {"c": ClassWork(0.001, 25.0), "zoned": ClassWork(0.001, 25.0, by_zone=True)}
-        self.book = Book(self.writer, classes)
+        self.book = HostContext(self.writer, classes)
         self.memory = KeyMemory()
 
     async def host(self, kind: KindTable = KIND, name: str = "h", zone: str = "a") -> Host:
-        """An endpoint that is quick."""
+        """Start a fast endpoint."""
         plan = draw.HostPlan(
-            name, 1, zone, kind, per_s=4.0, capacity_per_s=1000.0, servers=2, queue=2, pace=1.0,
-            network_s=0.0, handshake_s=0.0, cold_from=0.25, warm_s=10.0,
+            name, 1, zone, kind, per_s=4.0, capacity_per_s=1000.0, servers=2, queue=2,
+            service_time_factor=1.0, network_s=0.0, handshake_s=0.0, cold_from=0.25, warm_s=10.0,
         )  # fmt: skip
         host = Host(plan, self.book, self.memory, 15.0, "seed")
         await host.listen()
         return host
 
     def ask(self, *refs: str, cls: str = "c") -> None:
-        """Messages that were handed in."""
+        """Register submitted messages."""
         for ref in refs:
-            self.book.asked[ref] = cls
+            self.book.submitted_classes[ref] = cls
 
     def of(self, kind: type) -> list[Any]:
-        """Events of a kind."""
+        """Return the events of a type."""
         return [event for event in self.events if isinstance(event, kind)]
 
 
 @pytest.fixture
-async def world(tmp_path: Path) -> AsyncIterator[Set]:
-    """A record without anything around it."""
-    yield Set(tmp_path)
+async def world(tmp_path: Path) -> AsyncIterator[Harness]:
+    """Provide a harness with an empty record."""
+    yield Harness(tmp_path)
 
 
 async def call(
     host: Host, *refs: str, key: str = "k", connection: http.client.HTTPConnection | None = None
 ) -> tuple[int, dict[str, str], str]:
-    """One call by the standard library's client: status, headers and body."""
+    """Make one call with the standard library's client; return status, headers and body."""
 
     def run() -> tuple[int, dict[str, str], str]:
         client = connection or http.client.HTTPConnection(*host.address, timeout=20)
@@ -85,25 +85,25 @@
     return await soon(asyncio.get_running_loop().run_in_executor(None, run))
 
 
-async def test_a_call_is_delivered_and_recorded_from_first_byte_to_answer(world: Set) -> None:
+async def test_a_call_is_delivered_and_recorded_from_first_byte_to_answer(world: Harness) -> None:
     host = await world.host()
     world.ask("m1")
     assert (await call(host, "m1"))[0] == 200
     [came], [ran], [answer] = world.of(rec.Call), world.of(rec.MessageProcessed), world.of(rec.CallAnswered)
     assert (came.ids, came.host, ran.effect, answer.ends) == (["m1"], "h", True, {"m1": "delivered"})
     assert came.began <= came.at <= ran.at <= answer.at
-    host.refuse()
+    host.stop_listening()
 
 
-async def test_a_batch_tells_each_ones_end(world: Set) -> None:
+async def test_a_batch_answer_states_each_result(world: Harness) -> None:
     host = await world.host()
     world.ask("m1", "m2", "m3")
     status, _, body = await call(host, "m1", "m2", "m3")
     assert (status, body) == (200, "m1 delivered\r\nm2 delivered\r\nm3 delivered\r\n")
-    host.refuse()
+    host.stop_listening()
 
 
-async def test_a_connection_serves_one_call_after_the_other(world: Set) -> None:
+async def test_a_connection_serves_one_call_after_the_other(world: Harness) -> None:
     host = await world.host()
     world.ask("m1", "m2")
     client = http.client.HTTPConnection(*host.address, timeout=20)
@@ -111,23 +111,23 @@
         assert (await call(host, ref, connection=client))[0] == 200
     assert len({came.connection for came in world.of(rec.Call)}) == 1
     client.close()
-    host.refuse()
+    host.stop_listening()
 
 
-async def test_a_key_that_is_remembered_has_no_effect_again(world: Set) -> None:
+async def test_a_key_that_is_remembered_has_no_effect_again(world: Harness) -> None:
     first, second = await world.host(), await world.host()
     world.ask("m1", "m2", "m3")
     await call(first, "m1", key="k1")
     await call(second, "m2", key="k1")
     await call(second, "m3", key="k2")
     assert [ran.effect for ran in world.of(rec.MessageProcessed)] == [True, False, True]
-    first.refuse()
-    second.refuse()
+    first.stop_listening()
+    second.stop_listening()
 
 
 @pytest.mark.parametrize(("cls", "effects"), [("c", [True, False]), ("zoned", [True, True])])
 async def test_a_key_is_remembered_by_the_whole_destination_or_by_its_zone(
-    world: Set, cls: str, effects: list[bool]
+    world: Harness, cls: str, effects: list[bool]
 ) -> None:
     hosts = [await world.host(), await world.host(name="i", zone="b")]
     world.ask("m0", "m1", cls=cls)
@@ -136,10 +136,10 @@
     assert [event.effect for event in world.of(rec.MessageProcessed)] == effects
 
 
-async def test_over_its_limit_it_refuses_with_a_wait_after_which_there_is_room(world: Set) -> None:
+async def test_over_its_limit_an_endpoint_refuses_with_a_wait(world: Harness) -> None:
     kind = KIND.model_copy(update={"limited": True, "tells_wait": 1.0, "wait_ms": (100, 100)})
     host = await world.host(kind)
-    host.model.tokens_s = host.now()
+    host.model.tokens_updated_s = host.now()
     world.ask(*(f"m{n}" for n in range(4)))
     assert (await call(host, "m0"))[0] == 200
     assert (await call(host, "m1"))[0] in (200, 429)
@@ -149,53 +149,53 @@
     assert wait_ms >= 100
     assert world.of(rec.CallAnswered)[-1].wait_us == wait_ms * 1000
     assert told[-1][1]["x-pressure"].startswith("x0=0.")
-    host.refuse()
+    host.stop_listening()
 
 
-async def test_while_shut_it_tells_when_it_opens(world: Set) -> None:
+async def test_while_shut_the_wait_lasts_until_it_reopens(world: Harness) -> None:
     kind = KIND.model_copy(update={"tells_wait": 1.0})
     host = await world.host(kind)
     world.ask("m1")
-    host.strike("shut", 1.0, 60.0)
+    host.begin_outage("shut", 1.0, 60.0)
     status, headers, _ = await call(host, "m1")
     assert status == 429
     assert 59_000 <= int(headers["x-retry-in-ms"]) <= 60_000
-    host.refuse()
+    host.stop_listening()
 
 
-async def test_refusing_it_takes_no_connection_and_comes_back_cold(world: Set) -> None:
+async def test_an_endpoint_that_refuses_connections_returns_cold(world: Harness) -> None:
     host = await world.host()
-    host.strike("refuse", 1.0, 1.0)
+    host.begin_outage("refuse", 1.0, 1.0)
     with pytest.raises(OSError):
         await call(host, "m1")
-    await host.recover()
+    await host.end_outage()
     world.ask("m1")
     assert (await call(host, "m1"))[0] == 200
     assert [(life.state, life.cold_from) for life in world.of(rec.HostStateChange)] == [
         ("out", 1.0),
         ("back", 0.25),
     ]
-    host.refuse()
+    host.stop_listening()
 
 
-async def test_silent_it_runs_the_call_and_breaks_it_off_when_it_is_back(world: Set) -> None:
+async def test_a_silent_endpoint_runs_the_call_and_resets_it_on_return(world: Harness) -> None:
     host = await world.host()
     world.ask("m1")
-    host.strike("silent", 1.0, 1.0)
+    host.begin_outage("silent", 1.0, 1.0)
     pending = asyncio.create_task(call(host, "m1"))
     while not world.of(rec.MessageProcessed):
         await asyncio.sleep(0.01)
-    await host.recover()
+    await host.end_outage()
     with pytest.raises(ConnectionError):
         await pending
     assert world.of(rec.CallAnswered) == []
     assert [gone.call for gone in world.of(rec.CallBroken)] == [1]
 
 
-async def test_sent_too_much_while_cold_it_falls_over(world: Set) -> None:
+async def test_overloaded_while_cold_an_endpoint_collapses(world: Harness) -> None:
     host = await world.host()
-    host.strike("refuse", 1.0, 1.0)
-    await host.recover()
+    host.begin_outage("refuse", 1.0, 1.0)
+    await host.end_outage()
     world.ask(*(f"m{n}" for n in range(40)))
     with pytest.raises((ConnectionError, http.client.HTTPException)):
         for number in range(40):
@@ -205,11 +205,11 @@
         await call(host, "m39")
 
 
-async def test_what_nobody_handed_in_is_a_bad_call(world: Set) -> None:
+async def test_a_call_with_an_unsubmitted_message_is_a_bad_call(world: Harness) -> None:
     host = await world.host()
     assert (await call(host, "m9"))[0] == 400
     assert world.book.bad_calls == 1
-    host.refuse()
+    host.stop_listening()
 
 
 @pytest.mark.parametrize(
@@ -224,17 +224,19 @@
         ("/hook/batch", {}, b"".join(b"m%d - 1\r\nx\r\n" % n for n in range(4))),
     ],
 )
-def test_calls_that_the_protocol_does_not_know(target: str, headers: dict[str, str], body: bytes) -> None:
+def test_calls_that_violate_the_protocol_are_rejected(
+    target: str, headers: dict[str, str], body: bytes
+) -> None:
     request = Request(None, "POST", target, headers, body, 0.0, 0.0)  # type: ignore[arg-type]
     with pytest.raises(BadCallError):
-        items_of(request, 3)
+        parse_messages(request, 3)
 
 
-async def get(face: Discovery, target: str) -> tuple[int, list[Any]]:
-    """A whole answer, or a watch's first line, by the standard library's client."""
+async def get(server: DiscoveryServer, target: str) -> tuple[int, list[Any]]:
+    """Return a complete answer, or a watch's first line, read by the standard library's client."""
 
     def run() -> tuple[int, list[Any]]:
-        client = http.client.HTTPConnection(*face.address, timeout=20)
+        client = http.client.HTTPConnection(*server.address, timeout=20)
         client.request("GET", target)
         answer = client.getresponse()
         lines = [json.loads(answer.readline())] if answer.status == 200 else []
@@ -244,54 +246,54 @@
     return await soon(asyncio.get_running_loop().run_in_executor(None, run))
 
 
-async def test_discovery_tells_the_list_and_its_changes(world: Set) -> None:
+async def test_discovery_serves_the_list_and_its_changes(world: Harness) -> None:
     platform = Platform(world.writer, (0.0, 0.0), random.Random(1))
-    platform.dial = lambda relay, host: f"{relay}.{host}:1"
-    face = await platform.face("n0")
-    platform.put("h1", "ready", late=False, block=3)
-    status, [news] = await get(face, "/discovery/hosts")
+    platform.dial_address = lambda relay, host: f"{relay}.{host}:1"
+    server = await platform.add_server("n0")
+    platform.set_state("h1", "ready", delayed=False, block=3)
+    status, [news] = await get(server, "/discovery/hosts")
     assert (status, news["whole"], news["seq"]) == (200, True, 1)
     assert [(e["host"], e["block"], e["dial"], e["health"]) for e in news["hosts"]] == [
         ("h1", 3, "n0.h1:1", "SERVING")
     ]
-    platform.put("h1", "draining", late=False)
-    status, [news] = await get(face, "/discovery/hosts?watch=1&from=1")
+    platform.set_state("h1", "draining", delayed=False)
+    status, [news] = await get(server, "/discovery/hosts?watch=1&from=1")
     assert [(e["host"], e["block"], e["health"]) for e in news["hosts"]] == [("h1", 3, "DRAINING")]
     assert world.of(rec.StateAnnounced)[-1].state == "draining"
-    platform.lose()
-    assert (await get(face, "/discovery/hosts?watch=1&from=1"))[0] == 503
+    platform.go_down()
+    assert (await get(server, "/discovery/hosts?watch=1&from=1"))[0] == 503
     platform.stop()
 
 
-async def post(face: Discovery, body: bytes) -> int:
+async def post(server: DiscoveryServer, body: bytes) -> int:
     """Post notices."""
 
     def run() -> int:
-        client = http.client.HTTPConnection(*face.address, timeout=20)
+        client = http.client.HTTPConnection(*server.address, timeout=20)
         client.request("POST", "/v1/notices", body)
         return client.getresponse().status
 
     return await soon(asyncio.get_running_loop().run_in_executor(None, run))
 
 
-async def test_notices_are_taken_also_while_discovery_is_down(world: Set) -> None:
+async def test_notices_are_accepted_while_discovery_is_down(world: Harness) -> None:
     platform = Platform(world.writer, (0.0, 0.0), random.Random(1))
     heard: list[rec.Notice] = []
-    platform.ended = heard.append
-    face = await platform.face("n0")
-    platform.lose()
+    platform.on_notice = heard.append
+    server = await platform.add_server("n0")
+    platform.go_down()
     body = b'{"ref":"m1","result":"dead"}\n{"ref":"m2","result":"bounced","wait_ms":500}\n'
-    assert await post(face, body) == 204
+    assert await post(server, body) == 204
     assert [(n.id, n.result, n.wait_us) for n in heard] == [("m1", "dead", 0), ("m2", "bounced", 500_000)]
-    assert await post(face, b'{"ref":"m1","result":"lost"}\n') == 400
-    assert await post(face, b"nonsense") == 400
+    assert await post(server, b'{"ref":"m1","result":"lost"}\n') == 400
+    assert await post(server, b"nonsense") == 400
     assert len(heard) == 2
     platform.stop()
 
 
-def test_a_clients_words_are_those_of_an_independent_library() -> None:
+def test_commands_are_encoded_as_by_an_independent_library() -> None:
     words = (b"ENQUEUE", b"0" * 16, b"m1", b"c=x,d=1", bytes(range(256)))
-    assert packed(*words) == hiredis.pack_command(words)  # type: ignore[arg-type]
+    assert encode_command(*words) == hiredis.pack_command(words)  # type: ignore[arg-type]
 
 
 @pytest.mark.parametrize(
@@ -304,21 +306,21 @@
         (b":1\r\n", "failed", 0),
     ],
 )
-def test_answers_in_the_records_words(line: bytes, what: str, wait_us: int) -> None:
-    assert (heard_of(line).what, heard_of(line).wait_us) == (what, wait_us)
+def test_answers_are_parsed_into_the_records_terms(line: bytes, what: str, wait_us: int) -> None:
+    assert (parse_answer(line).result, parse_answer(line).wait_us) == (what, wait_us)
 
 
 class Scripted:
-    """A relay that answers by script and reads requests with hiredis."""
+    """A relay with scripted answers that reads requests with hiredis."""
 
     def __init__(self, *answers: bytes | None) -> None:
         self.answers, self.seen = list(answers), list[list[bytes]]()
         self.connections = 0
 
-    async def start(self) -> Relay:
-        """Listen; the relay as clients see it."""
+    async def start(self) -> RelayTarget:
+        """Listen; return the address for clients."""
         self.server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
-        return Relay("n0", self.server.sockets[0].getsockname())
+        return RelayTarget("n0", self.server.sockets[0].getsockname())
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.connections += 1
@@ -334,14 +336,16 @@
                 writer.write(answer)
 
 
-async def handed_in(world: Set, script: Scripted, until: Callable[[], bool], **habits: Any) -> Clients:
-    """One message by a client with these habits, until something is so."""
+async def submit_until(
+    world: Harness, script: Scripted, until: Callable[[], bool], **settings: Any
+) -> Clients:
+    """Submit one message with these client settings; wait until the condition holds."""
     known: dict[str, Any] = {"retries": 2, "backoff_s": (0.01, 0.01), "honour": 1.0}
-    clients = Clients(world.writer, ClientsTable(**(known | habits)), random.Random(1))
+    clients = Clients(world.writer, ClientsTable(**(known | settings)), random.Random(1))
     relay = await script.start()
-    cls = draw.head_of(SCENARIO).classes[0]
+    cls = draw.record_head(SCENARIO).classes[0]
     arrival = draw.Arrival(0.0, 0, 7, cls.name, "m", "", 5)
-    task = asyncio.create_task(clients.message(relay, arrival, cls))
+    task = asyncio.create_task(clients.run_message(relay, arrival, cls))
 
     async def wait() -> None:
         while not until():
@@ -353,9 +357,9 @@
     return clients
 
 
-async def test_a_refused_message_comes_again_under_a_new_id_after_its_wait(world: Set) -> None:
+async def test_a_refused_message_is_resubmitted_with_a_new_id_after_its_wait(world: Harness) -> None:
     script = Scripted(b"-BUSY 120\r\n", b"-BUSY\r\n")
-    await handed_in(world, script, lambda: len(world.of(rec.ClientOutcome)) == 3, marks=True)
+    await submit_until(world, script, lambda: len(world.of(rec.ClientOutcome)) == 3, marks=True)
     first, second, third = world.of(rec.MessageSubmitted)
     assert len({first.id, second.id, third.id}) == 3
     assert (first.first, second.first, third.first) == ("", first.id, first.id)
@@ -366,24 +370,24 @@
     assert second.left_us < first.left_us
 
 
-async def test_a_kept_connection_that_closes_is_no_lost_request(world: Set) -> None:
+async def test_a_request_on_a_closed_idle_connection_is_resent(world: Harness) -> None:
     script = Scripted(b"-BUSY\r\n", None)
-    await handed_in(world, script, lambda: len(world.of(rec.ClientOutcome)) == 2)
+    await submit_until(world, script, lambda: len(world.of(rec.ClientOutcome)) == 2)
     assert [said.what for said in world.of(rec.ClientOutcome)] == ["refused", "taken"]
-    assert [words[2] for words in script.seen[1:]] == [script.seen[1][2]] * 2  # the same id once more
+    assert [words[2] for words in script.seen[1:]] == [script.seen[1][2]] * 2  # resent with the same id
     assert script.connections == 2
 
 
-async def test_a_silent_relay_is_left_and_asked_again(world: Set) -> None:
+async def test_a_message_to_a_silent_relay_is_resubmitted(world: Harness) -> None:
     script = Scripted(b"")
-    await handed_in(world, script, lambda: len(world.of(rec.ClientOutcome)) == 2, answer_s=0.1)
+    await submit_until(world, script, lambda: len(world.of(rec.ClientOutcome)) == 2, answer_s=0.1)
     assert [said.what for said in world.of(rec.ClientOutcome)] == ["silent", "taken"]
     assert b"again=1" in script.seen[1][3]
 
 
-async def test_a_bounced_message_comes_again_and_a_dead_one_does_not(world: Set) -> None:
+async def test_a_dead_notice_is_the_final_result(world: Harness) -> None:
     script = Scripted()
-    clients = await handed_in(world, script, lambda: len(world.of(rec.ClientOutcome)) == 1)
-    assert clients.open == 1
-    clients.ended(rec.Notice(0, "n0", world.of(rec.MessageSubmitted)[0].id, "dead"))
-    assert clients.open == 0
+    clients = await submit_until(world, script, lambda: len(world.of(rec.ClientOutcome)) == 1)
+    assert clients.pending_count == 1
+    clients.notice_received(rec.Notice(0, "n0", world.of(rec.MessageSubmitted)[0].id, "dead"))
+    assert clients.pending_count == 0
