--- a/mallowlug/rig/sim_cli.py
+++ b/mallowlug/rig/sim_cli.py
@@ -48,7 +48,7 @@
 
 @click.group("sim")
 def group() -> None:
-    """Run the rig's test environment and relays in simulated time, with faults drawn from seeds.
+    """Relays and their environment in simulated time, with faults drawn from seeds.
 
     Exit codes: 0 all rules kept and every point reached; 1 a failure; 2 a file that cannot be read or used.
     """
