--- a/mallowlug/fleet/swim.py
+++ b/mallowlug/fleet/swim.py
@@ -358,9 +358,8 @@
                 self.times.probe_interval_us * time_factor,
             )
             self._probe = Probe(relay, number, now_us + answer_us, now_us + end_us)
-            required_updates = (
-                [entry.update] if entry.update.state == "suspect" else []
-            )  # lets it refute at once
+            # A suspected member that receives the suspicion can refute it at once.
+            required_updates = [entry.update] if entry.update.state == "suspect" else []
             self._send(entry.update.address, rec.Ping(number, relay), required_updates)
             return
 
--- a/mallowlug/partners/http_calls.py
+++ b/mallowlug/partners/http_calls.py
@@ -50,9 +50,8 @@
     sent_parts: list[Part] = field(default_factory=list)  # in the request; some may be settled before its end
     end_s: float = 0.0  # loop time at which the call ends for all of its parts
     timer: asyncio.TimerHandle | None = None
-    part_timers: dict[Part, asyncio.TimerHandle] = field(
-        default_factory=dict
-    )  # of parts with a shorter limit
+    # Of parts with a shorter limit than the call.
+    part_timers: dict[Part, asyncio.TimerHandle] = field(default_factory=dict)
     timed_out: bool = False  # the call reached ``end_s``
     # Parts that were settled while the call continued for others.
     parts_to_release: list[Part] = field(default_factory=list)
--- a/mossfront/engine.py
+++ b/mossfront/engine.py
@@ -1211,9 +1211,8 @@
             self.new_calls.append(call)
             self.calls_in_flight += 1
             rate_limiter = endpoint.rate_limiter
-            rate_limited = not rate_limiter.slow_start.needs_credit(
-                self.now_us
-            )  # else credit paces the calls
+            # Where calls need credit, the credit paces them.
+            rate_limited = not rate_limiter.slow_start.needs_credit(self.now_us)
             if rate_limited and (send_rate := self._send_rate(rate_limiter)) < math.inf:
                 gap_us = int(1e6 / send_rate * self.rng.uniform(0.5, 1.5))  # keeps relays apart
                 rate_limiter.pause_until_us = (
--- a/mossfront/state.py
+++ b/mossfront/state.py
@@ -126,7 +126,7 @@
         failure_ratio: DecayingCounter,
     ) -> None:
         self.host, self.dest, self.zone, self.kind = entry.host, entry.dest, entry.zone, kind
-        # disabled: by an operator.
+        # ``disabled``: an operator has disabled the host.
         self.listing, self.failure_ratio, self.own_limiter, self.disabled = (
             entry.listing,
             failure_ratio,
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -45,9 +45,8 @@
     lowered: tuple[int, int, float] = (0, 0, 1.0)  # start, end (us), share of the rate meanwhile
     refilled_at_us: int = -1
     tokens: float = 0.0
-    reports: list[tuple[int, float, float]] = field(
-        default_factory=list
-    )  # time of the report, share left, rate
+    # Time of the report, share left, rate.
+    reports: list[tuple[int, float, float]] = field(default_factory=list)
 
     def current_rate(self, now_us: int) -> float:
         """Return the current rate limit in calls a second."""
--- a/tests/rig/test_proxy.py
+++ b/tests/rig/test_proxy.py
@@ -119,9 +119,8 @@
     target.writers[0].write(b"answer")
     await asyncio.sleep(0.1)
     assert bytes(target.got) == b"before"
-    _, late_writer = await asyncio.open_connection(
-        *proxy.address
-    )  # new connections are accepted and stay silent
+    # New connections are accepted and stay silent.
+    _, late_writer = await asyncio.open_connection(*proxy.address)
     late_writer.write(b"late")
     await asyncio.sleep(0.1)
     assert bytes(target.got) == b"before"
--- a/tests/test_pushed_lists.py
+++ b/tests/test_pushed_lists.py
@@ -34,9 +34,8 @@
     """From the start of a new process, what the agent has counts as received."""
     cached = endpoint_update(entry("h1"), kind=api.EndpointUpdateKind.CACHED)
     assert subscribes(engine_in_large_group(True), 0, cached)
-    assert not subscribes(
-        engine_in_large_group(False), 0, cached
-    )  # one directory for all relays: subscriptions are spread over time
+    # One directory for all relays: subscriptions are spread over time.
+    assert not subscribes(engine_in_large_group(False), 0, cached)
 
 
 def test_a_watch_that_ended_is_reopened_within_half_a_drain_grace_period() -> None:
